--- a/src/bookkeeping/ledger.hpp
+++ b/src/bookkeeping/ledger.hpp
@@ -21,13 +21,15 @@
 struct Lent {
   RangeSet range;
   RangeSet done;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
   bool noted = false;  // its record shows that the borrower knows of the cancellation
   [[nodiscard]] bool complete() const { return done.size() == range.size(); }
 };
 
 // How long a task that is stopped, but not cancelled, has to save what it has done.
-inline double stop_grace_s(const JobSpec& spec) { return spec.saves() ? spec.snapshot_cost_s + 1 : 0; }
+inline double stop_grace_s(const JobSpec& spec) {
+  return spec.can_checkpoint() ? spec.checkpoint_cost_s + 1 : 0;
+}
 
 // The attempt of a gang of which tasks are placed. (Its tasks share one attempt number.)
 struct GangAttempt {
@@ -47,16 +49,16 @@
 // A job at its home part, or a block of one that this part has borrowed.
 struct Job {
   HeadRecord head;
-  std::uint64_t head_stamp = 0;
+  std::uint64_t job_revision = 0;
   int home = 0;
   std::string block;  // the block's key when borrowed
   RangeSet range;     // borrowed: the tasks in the block
-  std::uint64_t block_stamp = 0;
+  std::uint64_t delegation_revision = 0;
   bool works = false;                // borrowed: tasks of the job have completed elsewhere
   double idle_since = 0;             // nothing was placed since
   std::map<std::string, Lent> lent;  // home: by block key
   int team = 0;
-  int bundle = 0;
+  int image = 0;
   Resources demand{};
 
   RangeSet waiting;
@@ -64,7 +66,7 @@
   RangeSet unsaved;        // done, but not yet durable: must not be reaped
   bool fold_due = false;   // what the journal's pages hold of its completions has grown long
   double least_cores = 0;  // of the smallest machine type that can hold a task
-  std::uint64_t progress_stamp = 0;
+  std::uint64_t progress_revision = 0;
   // Completions that do not fit into one record: in further ones, by the hundreds of tasks that each covers.
   struct ProgressPart {
     std::uint64_t revision = 0;
@@ -81,7 +83,7 @@
   double lent_heard = 0;   // when it said so
   int placed = 0;
   std::map<int, int> stops;  // by task: how often it was stopped for other work
-  std::map<int, int> placed_by_hall;
+  std::map<int, int> placed_by_zone;
   bool finishing = false;   // the ending is on its way to the state service
   bool cancelling = false;  // the cancellation is on its way
   bool cleaning = false;
@@ -106,7 +108,7 @@
   std::map<std::string, Failing> failing;       // by machine: is it the job's fault or the machine's?
   std::vector<std::pair<double, int>> backoff;  // when, which task
   bool fails_elsewhere = false;                 // a part that borrowed tasks of it found it at fault
-  double next_try = 0;                          // at fault: when one task of it is tried again
+  double next_trial_at = 0;                     // at fault: when one task of it is tried again
   double pause = 0;                             // and how long after it, should that fail too
   static constexpr std::size_t kSeveral = 3;
   // It failed on several machines and has completed nothing: the fault is its own, not theirs.
@@ -137,11 +139,11 @@
   }
   // All its tasks run, as far as is known here.
   [[nodiscard]] bool gang_runs() const {
-    return attempt.started && !attempt.failed && placed == head.spec.pieces;
+    return attempt.started && !attempt.failed && placed == head.spec.task_count;
   }
   [[nodiscard]] bool borrowed() const { return !block.empty(); }
   [[nodiscard]] bool complete() const {
-    return done.size() >= (borrowed() ? range.size() : head.spec.pieces);
+    return done.size() >= (borrowed() ? range.size() : head.spec.task_count);
   }
   [[nodiscard]] bool lent_all_complete() const {
     for (const auto& [key, each] : lent) {
@@ -173,13 +175,13 @@
   };
   JobPtr job;
   int index = 0;
-  std::uint64_t try_no = 0;
+  std::uint64_t attempt = 0;
   Stage stage = Stage::kNew;
-  int page = 0;                 // of the journal, where it is recorded; 0: not yet on its way there
-  bool inherited = false;       // recorded by an earlier owner, who may have sent the launch
-  std::uint64_t sent_tick = 0;  // tick of the report whose answer last carried the launch
-  std::uint64_t seen_tick = 0;  // last report that showed it
-  PiecePhase phase = PiecePhase::kPulling;
+  int page = 0;                     // of the journal, where it is recorded; 0: not yet on its way there
+  bool inherited = false;           // recorded by an earlier owner, who may have sent the launch
+  std::uint64_t sent_sequence = 0;  // tick of the report whose answer last carried the launch
+  std::uint64_t seen_sequence = 0;  // last report that showed it
+  TaskPhase phase = TaskPhase::kFetchingImage;
   double running_since = 0;
   double requeue_delay = 0;
   bool preempted = false;      // being stopped for other work
@@ -188,7 +190,7 @@
 
 // A page of the part's journal (records.hpp).
 struct Page {
-  std::uint64_t stamp = 0;               // 0: not written yet
+  std::uint64_t revision = 0;            // 0: not written yet
   bool dirty = false;                    // a placement in it has ended and must go from it
   bool oversized = false;                // as read: larger than what may be written now
   std::map<std::string, RangeSet> done;  // by job or block
@@ -198,34 +200,34 @@
   std::string name;
   HostRecord record;  // identity and tenure; its placements field is unused here
   int type = 0;
-  int hall = 0;
+  int zone = 0;
   Resources capacity{};
   Resources room{};
   std::vector<Placement> placements;
-  std::vector<PieceReport> strays;  // of the last report: not among the placements
+  std::vector<TaskReport> strays;  // of the last report: not among the placements
 
-  std::uint64_t tick = 0;
-  bool heard = false;      // reported to this owner
-  bool acked = false;      // acknowledged our baton
-  double last_answer = 0;  // last time our answer may have renewed its lease
+  std::uint64_t sequence = 0;  // of the last heartbeat
+  bool heard = false;          // reported to this owner
+  bool acked = false;          // acknowledged our baton
+  double last_answer = 0;      // last time our answer may have renewed its lease
   double last_heard = 0;
   double first_heard = 0;
   double busy_at = 0;  // last time it had a placement
-  std::optional<double> warned_at;
+  std::optional<double> evicted_at;
   bool draining = false;
-  bool gone = false;     // the cloud took it back
-  bool keeping = false;  // for large tasks, when last looked
-  bool winding = false;  // takes nothing new, for now
+  bool gone = false;      // the cloud took it back
+  bool keeping = false;   // for large tasks, when last looked
+  bool cordoned = false;  // takes nothing new, for now
   bool sick = false;
   // Its reports come, our answers do not reach it: seen by launches without effect, or by a lease that ran
   // out while we heard it all along. Nothing is started there until a session outlasts the lease: it hears us
   // again.
   bool deaf = false;
   double deaf_since = 0;
-  int unheard = 0;           // launches in a row that had no effect
-  int vain_sessions = 0;     // in a row that ended although we had answered
-  double session_since = 0;  // first report of this session
-  double steady_since = 0;   // its reports have come without a gap since
+  int unheard = 0;               // launches in a row that had no effect
+  int expired_incarnations = 0;  // in a row that ended although we had answered
+  double incarnation_since = 0;  // first report of this session
+  double steady_since = 0;       // its reports have come without a gap since
   int error_streak = 0;
   std::vector<std::string> errors_of;  // jobs behind the streak
   double no_fill_until = 0;
@@ -242,16 +244,16 @@
   double raise_tried = 0;  // last time a direct command showed it our token
 
   // May anything new be started here?
-  [[nodiscard]] bool welcome() const { return !gone && !draining && !sick && !deaf && !warned_at; }
-  [[nodiscard]] bool has_image(int bundle) const {
-    for (const auto& [image, gb] : images) {
-      if (image == bundle) return true;
+  [[nodiscard]] bool welcome() const { return !gone && !draining && !sick && !deaf && !evicted_at; }
+  [[nodiscard]] bool has_image(int image) const {
+    for (const auto& [cached, gb] : images) {
+      if (cached == image) return true;
     }
     return false;
   }
-  void use_image(int bundle, double gb, double cache_gb) {
-    std::erase_if(images, [bundle](const auto& item) { return item.first == bundle; });
-    images.emplace_back(bundle, gb);
+  void use_image(int image, double gb, double cache_gb) {
+    std::erase_if(images, [image](const auto& item) { return item.first == image; });
+    images.emplace_back(image, gb);
     double total = 0;
     for (const auto& item : images) total += item.second;
     while (images.size() > 1 && total > cache_gb) {
@@ -268,11 +270,11 @@
   explicit TeamLedger(const std::vector<Team>& teams) {
     for (const Team& team : teams) rows_.push_back({team, 0, 0, 0, 0, 0});
   }
-  void allow(int team, double cores, double gpus, std::uint64_t stamp) {
+  void allow(int team, double cores, double gpus, std::uint64_t revision) {
     Row& row = at(team);
     row.allowed_cores = cores;
     row.allowed_gpus = gpus;
-    row.stamp = stamp;
+    row.revision = revision;
   }
   [[nodiscard]] bool room(int team, const Resources& demand) const {
     const Row& row = at(team);
@@ -311,7 +313,7 @@
   [[nodiscard]] double spare_gpus(int team) const {
     return std::max(0.0, at(team).allowed_gpus - at(team).gpus);
   }
-  [[nodiscard]] std::uint64_t stamp(int team) const { return at(team).stamp; }
+  [[nodiscard]] std::uint64_t revision(int team) const { return at(team).revision; }
 
  private:
   // Sums of decimal fractions come out a hair off; far below any real demand.
@@ -322,7 +324,7 @@
     double allowed_gpus = 0;
     double cores = 0;
     double gpus = 0;
-    std::uint64_t stamp = 0;
+    std::uint64_t revision = 0;
   };
   static double share(double part, double whole) { return whole > 0 ? part / whole : 0; }
   [[nodiscard]] const Row& at(int team) const { return rows_[static_cast<std::size_t>(team)]; }
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -5,7 +5,7 @@
 namespace mothslip {
 
 namespace {
-constexpr int kMostPieces = 100'000;  // tasks of a job, as the protocol says
+constexpr int kMaxTasks = 100'000;  // tasks of a job, as the protocol says
 }  // namespace
 
 Json HeadRecord::to_json() const {
@@ -33,12 +33,12 @@
   for (const PlacementRecord& item : placements) {
     Json& list = by_job.try_emplace(item.ref, Json::array()).first->second;
     list.push_back(item.index);
-    list.push_back(item.try_no);
+    list.push_back(item.attempt);
   }
   Json jobs = Json::object();
   for (auto& [ref, list] : by_job) jobs[ref] = std::move(list);
-  Json out = {{"a", address}, {"f", flavour}, {"z", hall},
-              {"s", loaner},  {"t", tenure},  {"p", std::move(jobs)}};
+  Json out = {{"a", address}, {"f", machine_type},       {"z", zone},
+              {"s", spot},    {"t", worker_incarnation}, {"p", std::move(jobs)}};
   if (!stopping.empty()) out["x"] = stopping;
   return out;
 }
@@ -48,10 +48,10 @@
   HostRecord out;
   try {
     out.address = value.at("a").get<std::string>();
-    out.flavour = value.at("f").get<std::string>();
-    out.hall = value.at("z").get<std::string>();
-    out.loaner = value.at("s").get<bool>();
-    out.tenure = value.at("t").get<std::uint64_t>();
+    out.machine_type = value.at("f").get<std::string>();
+    out.zone = value.at("z").get<std::string>();
+    out.spot = value.at("s").get<bool>();
+    out.worker_incarnation = value.at("t").get<std::uint64_t>();
     for (const auto& [ref, list] : value.at("p").items()) {
       for (std::size_t i = 0; i + 1 < list.size(); i += 2) {
         out.placements.push_back({ref, list[i].get<int>(), list[i + 1].get<std::uint64_t>()});
@@ -92,7 +92,7 @@
 }
 
 Json BlockRecord::to_json() const {
-  Json out = {{"home", home},           {"stamp", head_stamp},      {"works", works},
+  Json out = {{"home", home},           {"stamp", job_revision},    {"works", works},
               {"head", head.to_json()}, {"range", range.to_text()}, {"done", done.to_text()}};
   if (fails) out["fails"] = true;
   return out;
@@ -104,29 +104,29 @@
   if (!head) return std::nullopt;
   BlockRecord out;
   out.home = value.value("home", 0);
-  out.head_stamp = value.value("stamp", std::uint64_t{0});
+  out.job_revision = value.value("stamp", std::uint64_t{0});
   out.works = value.value("works", false);
   out.fails = value.value("fails", false);
-  const int pieces = head->spec.pieces;
+  const int task_count = head->spec.task_count;
   out.head = std::move(*head);
-  auto range = RangeSet::from_text(value.value("range", ""), pieces);
-  auto done = RangeSet::from_text(value.value("done", ""), pieces);
+  auto range = RangeSet::from_text(value.value("range", ""), task_count);
+  auto done = RangeSet::from_text(value.value("done", ""), task_count);
   if (!range || !done) return std::nullopt;
   out.range = std::move(*range);
   out.done = std::move(*done);
   return out;
 }
 
-RangeSet UnaccountedRecord::held_of(int pieces) const {
+RangeSet UnaccountedRecord::held_of(int task_count) const {
   if (rerun) return {};
   if (!all) return held;
   RangeSet out;
-  out.insert(0, pieces);
+  out.insert(0, task_count);
   return out;
 }
 
 Json UnaccountedRecord::to_json() const {
-  Json out = {{"held", held.to_text()}, {"reason", reason}, {"team", team}, {"class", workload}};
+  Json out = {{"held", held.to_text()}, {"reason", reason}, {"team", team}, {"class", job_class}};
   if (all) out["all"] = true;
   if (rerun) out["rerun"] = true;
   if (may_have_ended) out["may_have_ended"] = true;
@@ -136,7 +136,7 @@
 std::optional<UnaccountedRecord> UnaccountedRecord::from_json(const Json& value) {
   if (!value.is_object()) return std::nullopt;
   UnaccountedRecord out;
-  auto held = RangeSet::from_text(value.value("held", ""), kMostPieces);
+  auto held = RangeSet::from_text(value.value("held", ""), kMaxTasks);
   if (!held) return std::nullopt;
   out.held = std::move(*held);
   out.all = value.value("all", false);
@@ -144,16 +144,16 @@
   out.may_have_ended = value.value("may_have_ended", false);
   out.reason = value.value("reason", "");
   out.team = value.value("team", "");
-  out.workload = value.value("class", "");
+  out.job_class = value.value("class", "");
   return out;
 }
 
 std::uint64_t newest_shown(const Report& report) {
-  std::uint64_t out = report.baton;
-  for (const PieceReport& piece : report.pieces) out = std::max(out, piece.try_no >> kAttemptShift);
+  std::uint64_t out = report.fencing_token;
+  for (const TaskReport& task : report.tasks) out = std::max(out, task.attempt >> kAttemptShift);
   return out;
 }
 
-Json ending_json(const char* phase, int pieces) { return {{"phase", phase}, {"pieces", pieces}}; }
+Json ending_json(const char* phase, int task_count) { return {{"phase", phase}, {"pieces", task_count}}; }
 
 }  // namespace mothslip
--- a/src/bookkeeping/records.hpp
+++ b/src/bookkeeping/records.hpp
@@ -95,15 +95,15 @@
 struct PlacementRecord {
   std::string ref;
   int index = 0;
-  std::uint64_t try_no = 0;
+  std::uint64_t attempt = 0;
 };
 
 struct HostRecord {
   std::string address;
-  std::string flavour;
-  std::string hall;
-  bool loaner = false;
-  std::uint64_t tenure = 0;
+  std::string machine_type;
+  std::string zone;
+  bool spot = false;
+  std::uint64_t worker_incarnation = 0;
   std::vector<PlacementRecord> placements;
   std::vector<std::uint64_t> stopping;  // attempts of gangs that are being stopped
 
@@ -128,7 +128,7 @@
 // range, and shows in the head that it knows of a cancellation.
 struct BlockRecord {
   int home = 0;
-  std::uint64_t head_stamp = 0;
+  std::uint64_t job_revision = 0;
   HeadRecord head;
   RangeSet range;
   RangeSet done;
@@ -151,10 +151,10 @@
   std::string reason;
   // For display; empty where the description is lost.
   std::string team;
-  std::string workload;
+  std::string job_class;
 
   [[nodiscard]] bool silent() const { return may_have_ended && !rerun; }
-  [[nodiscard]] RangeSet held_of(int pieces) const;
+  [[nodiscard]] RangeSet held_of(int task_count) const;
   [[nodiscard]] Json to_json() const;
   static std::optional<UnaccountedRecord> from_json(const Json& value);
 };
@@ -162,6 +162,6 @@
 // The newest revision of the state service that a worker is a witness of.
 [[nodiscard]] std::uint64_t newest_shown(const Report& report);
 
-Json ending_json(const char* phase, int pieces);
+Json ending_json(const char* phase, int task_count);
 
 }  // namespace mothslip
--- a/src/coordination/cloud_client.cpp
+++ b/src/coordination/cloud_client.cpp
@@ -38,9 +38,9 @@
 
 void CloudClient::rent(const RentalRequest& request, CloudHandler handler) {
   const Json body = {{"rental", request.name},
-                     {"flavour", request.flavour},
-                     {"hall", request.hall},
-                     {"loaner", request.loaner},
+                     {"flavour", request.machine_type},
+                     {"hall", request.zone},
+                     {"loaner", request.spot},
                      {"how_many", request.how_many}};
   send("POST", "/hosts", dump_json(body), std::move(handler));
 }
--- a/src/coordination/cloud_client.hpp
+++ b/src/coordination/cloud_client.hpp
@@ -20,9 +20,9 @@
 
 struct RentalRequest {
   std::string name;
-  std::string flavour;
-  std::string hall;
-  bool loaner = false;
+  std::string machine_type;
+  std::string zone;
+  bool spot = false;
   int how_many = 0;
 };
 
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet.cpp
@@ -24,8 +24,8 @@
 constexpr double kTrouble = 2.0;      // the cloud is left alone this long after it failed to answer
 constexpr double kNoteEvery = 10.0;
 constexpr std::size_t kMaxHints = 60;
-constexpr double kSummaryGood = 5.0;  // a part's summary is believed this long
-constexpr double kWindReserve = 0.2;  // of recent use, free on the other machines
+constexpr double kSummaryGood = 5.0;    // a part's summary is believed this long
+constexpr double kCordonReserve = 0.2;  // of recent use, free on the other machines
 constexpr double kSilentPart = 20.0;
 constexpr std::size_t kReturnShare = 30;  // one in so many machines may go back a step
 constexpr int kRentCalls = 24;
@@ -40,7 +40,7 @@
 constexpr double kAskedFor = 10.0;               // a rental without an answer is counted on this long
 
 bool allows_type(const DemandSummary& wanted, const std::string& type) {
-  const auto& allowed = wanted.flavours;
+  const auto& allowed = wanted.machine_types;
   return allowed.empty() || std::find(allowed.begin(), allowed.end(), type) != allowed.end();
 }
 }  // namespace
@@ -48,8 +48,8 @@
 Fleet::Fleet(Context context) : ctx_(std::move(context)) {
   for (const Objective& goal : ctx_.settings->objectives) {
     if (goal.kind == "guarantee") guarantee_wish_ = std::min(guarantee_wish_, goal.within_s);
-    if (goal.kind != "wait" || goal.workload.empty()) continue;
-    auto [it, fresh] = start_wish_.try_emplace(goal.workload, goal.within_s);
+    if (goal.kind != "wait" || goal.job_class.empty()) continue;
+    auto [it, fresh] = start_wish_.try_emplace(goal.job_class, goal.within_s);
     if (!fresh) it->second = std::min(it->second, goal.within_s);
   }
 }
@@ -204,7 +204,7 @@
     Rented& rented = it->second;
     if (fresh) {
       rented.type = type;
-      rented.hall = ctx_.halls->intern(item.value("hall", ""));
+      rented.zone = ctx_.zones->intern(item.value("hall", ""));
       rented.spot = item.value("loaner", false);
       rented.rented_at = ctx_.env->now() - item.value("age_s", 0.0);
     }
@@ -251,7 +251,7 @@
   }
   Told& told = summaries_[part];
   told.at = ctx_.env->now();
-  if (told.since == 0 || told.summary.baton != summary.baton) told.since = told.at;
+  if (told.since == 0 || told.summary.fencing_token != summary.fencing_token) told.since = told.at;
   told.summary = std::move(summary);
   for (const MachineSummary& machine : told.summary.machines) machines_[machine.name] = &machine;
   note_reporting(told.summary);
@@ -264,8 +264,8 @@
       orders.gone.push_back(machine.name);
     } else if (it->second.returning) {
       orders.draining.push_back(machine.name);
-    } else if (winding_.count(machine.name) > 0) {
-      orders.winding.push_back(machine.name);
+    } else if (cordoned_.count(machine.name) > 0) {
+      orders.cordoned.push_back(machine.name);
     }
   }
   for (const bool starving : {true, false}) {  // those first, should there be too many
@@ -276,8 +276,8 @@
         // Best-effort work waits for what others leave: nothing is kept for it, unless it starves.
         const bool best_effort = demand.urgency == 0;
         if (best_effort && !starving) continue;
-        orders.waiting.push_back(
-            {demand.demand, demand.urgency, demand.loaner, starving, !best_effort && within_limit(demand)});
+        orders.waiting.push_back({demand.demand, demand.urgency, demand.allows_spot, starving,
+                                  !best_effort && within_limit(demand)});
       }
     }
   }
@@ -298,12 +298,12 @@
 // Machines that nobody here remembers asking for report like any other; they are used, or returned.
 void Fleet::note_reporting(const PartSummary& summary) {
   for (const MachineSummary& machine : summary.machines) {
-    const int type = ctx_.types->find(machine.flavour);
+    const int type = ctx_.types->find(machine.machine_type);
     if (type < 0) continue;
     auto [it, fresh] = rented_.try_emplace(machine.name);
     if (!fresh) continue;
     it->second.type = type;
-    it->second.hall = ctx_.halls->intern(machine.hall);
+    it->second.zone = ctx_.zones->intern(machine.zone);
     it->second.spot = machine.spot;
     it->second.address = machine.address;
     it->second.rented_at = ctx_.env->now();
@@ -404,19 +404,19 @@
   return wanted.demand;
 }
 
-bool Fleet::allows(const DemandSummary& wanted, int type, int hall, bool spot) const {
-  if (spot && !wanted.loaner) return false;
-  if (!wanted.hall.empty() && ctx_.halls->intern(wanted.hall) != hall) return false;
+bool Fleet::allows(const DemandSummary& wanted, int type, int zone, bool spot) const {
+  if (spot && !wanted.allows_spot) return false;
+  if (!wanted.zone.empty() && ctx_.zones->intern(wanted.zone) != zone) return false;
   return allows_type(wanted, ctx_.types->at(type).name);
 }
 
 // Tasks of the gang that each part's machines in this zone could hold if they were empty. A part owns the
 // machines whose names hash to it: those that are still booting count too.
-std::vector<int> Fleet::slots_by_part(const DemandSummary& gang, int hall) const {
+std::vector<int> Fleet::slots_by_part(const DemandSummary& gang, int zone) const {
   std::vector<int> out(static_cast<std::size_t>(ctx_.parts));
   for (const auto& [name, rented] : rented_) {
-    if (rented.returned || rented.returning || rented.failed || rented.hall != hall) continue;
-    if (!allows(gang, rented.type, hall, rented.spot)) continue;
+    if (rented.returned || rented.returning || rented.failed || rented.zone != zone) continue;
+    if (!allows(gang, rented.type, zone, rented.spot)) continue;
     const MachineSummary* machine = reporting(name);
     if (machine != nullptr && !machine->welcome) continue;
     const MachineType& type = ctx_.types->at(rented.type);
@@ -437,19 +437,19 @@
     const MachineType& type = ctx_.types->all()[t];
     const int each = slots({type.cores, type.memory_gb, type.accelerators}, gang.demand);
     if (each == 0) continue;
-    for (const std::string& zone : type.halls) {
-      const int hall = ctx_.halls->intern(zone);
-      const std::vector<int> by_part = slots_by_part(gang, hall);
+    for (const std::string& zone_name : type.zones) {
+      const int zone = ctx_.zones->intern(zone_name);
+      const std::vector<int> by_part = slots_by_part(gang, zone);
       const int missing = gang.count - *std::max_element(by_part.begin(), by_part.end());
       if (missing <= 0) return std::nullopt;
       for (const bool spot : {true, false}) {
-        const auto market = markets_.find({static_cast<int>(t), hall, spot});
+        const auto market = markets_.find({static_cast<int>(t), zone, spot});
         const bool refused = market != markets_.end() && ctx_.env->now() < market->second.refused_until;
-        if (refused || !allows(gang, static_cast<int>(t), hall, spot)) continue;
+        if (refused || !allows(gang, static_cast<int>(t), zone, spot)) continue;
         const int count = (missing + each - 1) / each;
         const double price = (spot ? type.spot_price : type.hourly) * count;
         if (best && std::pair(missing, price) >= std::pair(least_missing, least_price)) continue;
-        best = FleetPlan::Rent{static_cast<int>(t), hall, spot, std::min(count, kGangRent)};
+        best = FleetPlan::Rent{static_cast<int>(t), zone, spot, std::min(count, kGangRent)};
         least_missing = missing;
         least_price = price;
       }
@@ -507,24 +507,24 @@
       if (demand.demand != wanted->demand) demand.count = 1;
     }
     demand.rank = wanted->urgency;
-    demand.guess_s = wanted->guess_s;
-    demand.pull_gb = wanted->pull_gb;
+    demand.estimated_s = wanted->estimated_s;
+    demand.image_gb = wanted->image_gb;
     demand.time_left_s = wanted->time_left_s;
-    const auto wish = start_wish_.find(wanted->workload);
+    const auto wish = start_wish_.find(wanted->job_class);
     demand.start_within_s = wish != start_wish_.end() ? wish->second : guarantee_wish_;
-    demand.spot_allowed = wanted->loaner;
+    demand.spot_allowed = wanted->allows_spot;
     if (wanted->urgency == 0) {
       demand.start_within_s = std::max(demand.start_within_s, kBestEffortStart);
-      demand.spot_only = wanted->loaner;
+      demand.spot_only = wanted->allows_spot;
     }
-    if (!wanted->flavours.empty()) {
+    if (!wanted->machine_types.empty()) {
       demand.types.assign(ctx_.types->all().size(), 0);
-      for (const std::string& flavour : wanted->flavours) {
-        const int type = ctx_.types->find(flavour);
+      for (const std::string& machine_type : wanted->machine_types) {
+        const int type = ctx_.types->find(machine_type);
         if (type >= 0) demand.types[static_cast<std::size_t>(type)] = 1;
       }
     }
-    if (!wanted->hall.empty()) demand.hall = ctx_.halls->intern(wanted->hall);
+    if (!wanted->zone.empty()) demand.zone = ctx_.zones->intern(wanted->zone);
     out.push_back(std::move(demand));
   }
   return out;
@@ -544,15 +544,15 @@
     out.hourly = type.hourly;
     out.spot_price = type.spot_price;
     out.boot_s = type.boot_s;
-    out.pull_gb_per_s = type.pull_gb_per_s;
-    for (const std::string& name : type.halls) {
-      const int hall = ctx_.halls->intern(name);
+    out.fetch_gb_per_s = type.fetch_gb_per_s;
+    for (const std::string& name : type.zones) {
+      const int zone = ctx_.zones->intern(name);
       for (const bool spot : {true, false}) {
         FleetMarket market;
         market.type = static_cast<int>(t);
-        market.hall = hall;
+        market.zone = zone;
         market.spot = spot;
-        market.refused = now < markets_[{market.type, hall, spot}].refused_until;
+        market.refused = now < markets_[{market.type, zone, spot}].refused_until;
         markets.push_back(market);
       }
     }
@@ -566,7 +566,7 @@
     const MachineSummary* machine = reporting(name);
     FleetMachine out;
     out.type = rented.type;
-    out.hall = rented.hall;
+    out.zone = rented.zone;
     out.spot = rented.spot;
     const FleetType& type = types[static_cast<std::size_t>(rented.type)];
     if (machine != nullptr) {
@@ -578,7 +578,7 @@
       out.rooms.push_back({std::max(2.0, type.boot_s - age), type.capacity});
     }
     for (FleetMarket& market : markets) {
-      if (market.type == out.type && market.hall == out.hall && market.spot == out.spot) market.rented++;
+      if (market.type == out.type && market.zone == out.zone && market.spot == out.spot) market.rented++;
     }
     machines.push_back(std::move(out));
     names.push_back(name);
@@ -590,10 +590,10 @@
     for (const RentalRequest& request : rental.requests) {
       if (rental.open.count(request.name) == 0) continue;
       FleetMachine out;
-      out.type = ctx_.types->find(request.flavour);
+      out.type = ctx_.types->find(request.machine_type);
       if (out.type < 0) continue;
-      out.hall = ctx_.halls->intern(request.hall);
-      out.spot = request.loaner;
+      out.zone = ctx_.zones->intern(request.zone);
+      out.spot = request.spot;
       out.usable = now - rental.at < kAskedFor;
       const FleetType& type = types[static_cast<std::size_t>(out.type)];
       out.rooms.push_back({type.boot_s, type.capacity});
@@ -662,7 +662,7 @@
   }
 
   keep_ordinary(names, machines, types);
-  wind_down(names, machines, types);
+  cordon_surplus(names, machines, types);
 
   // Idle machines that the plan does not count on go back, the dearest first, a few a step: a share of the
   // fleet, so that a large one shrinks as fast as a small one. Spot machines are cheap to keep, and what they
@@ -707,9 +707,9 @@
 
 // An ordinary machine that always gets some task never falls idle. When the others have room for all that
 // waits and a reserve without it, it takes nothing new; when work waits again, it does.
-void Fleet::wind_down(const std::vector<std::string>& names, const std::vector<FleetMachine>& machines,
-                      const std::vector<FleetType>& types) {
-  winding_ = kept_;
+void Fleet::cordon_surplus(const std::vector<std::string>& names, const std::vector<FleetMachine>& machines,
+                           const std::vector<FleetType>& types) {
+  cordoned_ = kept_;
   double waiting = 0;
   for (const auto& [part, told] : summaries_) {
     for (const DemandSummary& demand : told.summary.demands)
@@ -729,28 +729,28 @@
       ordinary.emplace_back(-type.hourly / std::max(1.0, type.capacity[0]), m);
   }
   std::sort(ordinary.begin(), ordinary.end());
-  const double reserve = kWindReserve * used_cores_;
+  const double reserve = kCordonReserve * used_cores_;
   for (const auto& [price, m] : ordinary) {
     const double own = room_now(m);
     if (free - own - waiting <= reserve) continue;
     free -= own;
-    winding_.insert(names[m]);
+    cordoned_.insert(names[m]);
   }
 }
 
 // ---------------------------------------------------------------- renting
 
 void Fleet::rent(const std::vector<FleetPlan::Rent>& wanted) {
-  const std::string name = "r-" + std::to_string(ctx_.baton) + "-" + std::to_string(++next_name_);
+  const std::string name = "r-" + std::to_string(ctx_.fencing_token) + "-" + std::to_string(++next_name_);
   Rental rental;
   std::size_t bytes = kRentalFrame;
   const auto most_bytes = static_cast<std::size_t>(ctx_.settings->value_kb * 1024);
   for (const FleetPlan::Rent& each : wanted) {
     for (int left = each.count; left > 0 && rent_calls_ < kRentCalls; left -= 50) {
       const std::string own = name + "." + std::to_string(rental.requests.size());
-      RentalRequest request = {own, ctx_.types->at(each.type).name, ctx_.halls->name(each.hall), each.spot,
+      RentalRequest request = {own, ctx_.types->at(each.type).name, ctx_.zones->name(each.zone), each.spot,
                                std::min(50, left)};
-      bytes += kRentalRequestFrame + request.flavour.size() + request.hall.size();
+      bytes += kRentalRequestFrame + request.machine_type.size() + request.zone.size();
       if (bytes > most_bytes && !rental.requests.empty()) break;  // what a record can't hold comes next time
       rental.requests.push_back(std::move(request));
       rental.open.insert(own);
@@ -767,13 +767,13 @@
   const std::vector<RentalRequest> requests = rentals_.at(name).requests;
   Json list = Json::array();
   for (const RentalRequest& request : requests) {
-    list.push_back({{"flavour", request.flavour},
-                    {"hall", request.hall},
-                    {"loaner", request.loaner},
+    list.push_back({{"flavour", request.machine_type},
+                    {"hall", request.zone},
+                    {"loaner", request.spot},
                     {"how_many", request.how_many}});
   }
   Transaction txn;
-  txn.guard(keys::part(0), ctx_.baton);
+  txn.guard(keys::part(0), ctx_.fencing_token);
   txn.put(keys::rental(name), {{"requests", std::move(list)}});
   ctx_.state->commit(Lane::kLaunch, txn, alive([this, name, requests](const StateReply& reply) {
                        if (reply.ok()) {
@@ -805,9 +805,9 @@
   const auto found = rentals_.find(name);
   if (found == rentals_.end()) return;
   Rental& rental = found->second;
-  const int type = ctx_.types->find(request.flavour);
-  const int hall = ctx_.halls->intern(request.hall);
-  Market& market = markets_[{type, hall, request.loaner}];
+  const int type = ctx_.types->find(request.machine_type);
+  const int zone = ctx_.zones->intern(request.zone);
+  Market& market = markets_[{type, zone, request.spot}];
   const double now = ctx_.env->now();
   const bool rented = reply.status == 200 && reply.body.is_object();
   const bool no_capacity =
@@ -835,13 +835,13 @@
       auto [place, fresh] = rented_.try_emplace(host.get<std::string>());
       if (!fresh) continue;
       place->second.type = type;
-      place->second.hall = hall;
-      place->second.spot = request.loaner;
+      place->second.zone = zone;
+      place->second.spot = request.spot;
       place->second.rented_at = rental.at;
     }
   }
-  spdlog::info("rented {} of {} {} in {}{} ({})", count, request.how_many, request.flavour, request.hall,
-               request.loaner ? ", spot" : "", request.name);
+  spdlog::info("rented {} of {} {} in {}{} ({})", count, request.how_many, request.machine_type, request.zone,
+               request.spot ? ", spot" : "", request.name);
   market.backoff = count < request.how_many ? 10 : 0;
   market.refused_until = count < request.how_many ? now + market.backoff : 0;
 }
@@ -849,7 +849,7 @@
 void Fleet::drop_rental(const std::string& name) {
   rentals_.erase(name);
   Transaction txn;
-  txn.guard(keys::part(0), ctx_.baton);
+  txn.guard(keys::part(0), ctx_.fencing_token);
   txn.remove(keys::rental(name));
   ctx_.state->commit(Lane::kRest, txn, [](const StateReply&) {});
 }
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/fleet.hpp
@@ -27,8 +27,8 @@
     CloudClient* cloud = nullptr;
     const Settings* settings = nullptr;
     const MachineTypes* types = nullptr;
-    NameTable* halls = nullptr;
-    std::uint64_t baton = 0;  // of part 0
+    NameTable* zones = nullptr;
+    std::uint64_t fencing_token = 0;  // of part 0
     int parts = 1;
     std::function<bool()> exclusive_owner;
     std::function<void(MachineTypes)> new_types;
@@ -43,7 +43,7 @@
   struct Rented {
     std::string address;
     int type = 0;
-    int hall = 0;
+    int zone = 0;
     bool spot = false;
     double rented_at = 0;
     bool listed = false;
@@ -86,10 +86,10 @@
   [[nodiscard]] Resources as_unit(const DemandSummary& wanted) const;
   [[nodiscard]] std::vector<FleetPlan::Rent> rents_for_large_gangs() const;
   [[nodiscard]] std::optional<FleetPlan::Rent> rent_for(const DemandSummary& gang) const;
-  [[nodiscard]] std::vector<int> slots_by_part(const DemandSummary& gang, int hall) const;
-  [[nodiscard]] bool allows(const DemandSummary& wanted, int type, int hall, bool spot) const;
-  void wind_down(const std::vector<std::string>& names, const std::vector<FleetMachine>& machines,
-                 const std::vector<FleetType>& types);
+  [[nodiscard]] std::vector<int> slots_by_part(const DemandSummary& gang, int zone) const;
+  [[nodiscard]] bool allows(const DemandSummary& wanted, int type, int zone, bool spot) const;
+  void cordon_surplus(const std::vector<std::string>& names, const std::vector<FleetMachine>& machines,
+                      const std::vector<FleetType>& types);
   void rent(const std::vector<FleetPlan::Rent>& wanted);
   void record_rental(const std::string& name);
   void call_rental(const std::string& name, const RentalRequest& request);
@@ -116,7 +116,7 @@
   };
   std::map<int, Told> summaries_;                          // by part
   std::map<std::string, const MachineSummary*> machines_;  // those in the summaries
-  std::set<std::string> winding_;
+  std::set<std::string> cordoned_;
   std::map<std::string, double> start_wish_;  // by workload: tasks are wanted to start within
   int next_name_ = 0;
   std::map<std::string, Rented> rented_;
--- a/src/coordination/node.cpp
+++ b/src/coordination/node.cpp
@@ -42,7 +42,7 @@
       state_(env_, settings_, std::move(incarnation), monitor),
       cloud_(env_, settings_),
       ownership_(env_, state_, settings_, capabilities,
-                 {[this](int part, std::uint64_t baton) { gained(part, baton); },
+                 {[this](int part, std::uint64_t fencing_token) { gained(part, fencing_token); },
                   [this](int part) { lost(part); }, [] {}},
                  monitor),
       user_api_({&env_, &state_, &settings_, &types_, &ownership_,
@@ -178,18 +178,18 @@
   if (first) {
     const auto waiting = std::move(waiting_for_types_);
     waiting_for_types_.clear();
-    for (const auto& [part, baton] : waiting) {
-      if (ownership_.mine(part)) gained(part, baton);
+    for (const auto& [part, fencing_token] : waiting) {
+      if (ownership_.mine(part)) gained(part, fencing_token);
     }
   }
 }
 
 // ---------------------------------------------------------------- parts
 
-void Node::gained(int part, std::uint64_t baton) {
+void Node::gained(int part, std::uint64_t fencing_token) {
   share_calls();
   if (types_.empty()) {
-    waiting_for_types_[part] = baton;
+    waiting_for_types_[part] = fencing_token;
     return;
   }
   Part::Context context;
@@ -197,19 +197,20 @@
   context.state = &state_;
   context.settings = &settings_;
   context.types = &types_;
-  context.halls = &halls_;
+  context.zones = &zones_;
   context.parts = ownership_.parts();
   context.ask = [this](int other, const std::string& path, const Json& body,
                        std::function<void(Json)> answer) { ask(other, path, body, std::move(answer)); };
   context.exclusive_owner = [this, part] { return decides() && ownership_.exclusive(part); };
   context.may_renew = [this, part] { return ownership_.may_renew(part); };
-  context.owner_since = [this](int other) { return ownership_.owner(other).baton; };
+  context.owner_since = [this](int other) { return ownership_.owner(other).fencing_token; };
   // Both end the part that calls: they run after its own code has returned.
-  context.restart_shard = [this, part, baton](const std::string& why) {
-    env_.after(0, [this, part, baton, why] {
+  context.restart_shard = [this, part, fencing_token](const std::string& why) {
+    env_.after(0, [this, part, fencing_token, why] {
       if (monitor_ != nullptr && monitor_->lost()) return;
       const auto it = parts_.find(part);
-      if (it != parts_.end() && it->second->baton() == baton) ownership_.restart_shard(part, why);
+      if (it != parts_.end() && it->second->fencing_token() == fencing_token)
+        ownership_.restart_shard(part, why);
     });
   };
   context.deposed = [this, part](std::uint64_t newer) {
@@ -221,7 +222,7 @@
   context.ended = [this](const std::string& ref, const JobStatus& status) {
     user_api_.note_terminal(ref, status);
   };
-  auto fresh = std::make_unique<Part>(std::move(context), part, baton);
+  auto fresh = std::make_unique<Part>(std::move(context), part, fencing_token);
   Part* raw = fresh.get();
   parts_[part] = std::move(fresh);
   raw->load();
@@ -232,8 +233,8 @@
     fleet.cloud = &cloud_;
     fleet.settings = &settings_;
     fleet.types = &types_;
-    fleet.halls = &halls_;
-    fleet.baton = baton;
+    fleet.zones = &zones_;
+    fleet.fencing_token = fencing_token;
     fleet.parts = ownership_.parts();
     fleet.exclusive_owner = [this, part] { return decides() && ownership_.exclusive(part); };
     fleet.new_types = [this](MachineTypes types) {
@@ -296,10 +297,10 @@
     if (address.empty()) continue;
     const Json message = {{"to", 0}, {"body", part->summary().to_json()}};
     env_.call({address, "POST", "/peer/summary", dump_json(message), kAskSeconds},
-              [this, index = index, baton = part->baton()](const HttpReply& reply) {
+              [this, index = index, fencing_token = part->fencing_token()](const HttpReply& reply) {
                 if (reply.status != 200) return;
                 const auto found = parts_.find(index);
-                if (found == parts_.end() || found->second->baton() != baton) return;
+                if (found == parts_.end() || found->second->fencing_token() != fencing_token) return;
                 found->second->apply(FleetOrders::from_json(parse_json(reply.body)));
               });
   }
@@ -329,7 +330,8 @@
 
 void Node::tell_peers() {
   Json owned = Json::array();
-  for (const auto& [index, part] : parts_) owned.push_back({{"part", index}, {"baton", part->baton()}});
+  for (const auto& [index, part] : parts_)
+    owned.push_back({{"part", index}, {"baton", part->fencing_token()}});
   const double asked = env_.now();
   if (settings_.members.empty()) ownership_.note_unreplaced(asked);  // there is nobody who could replace us
   if (!owned.empty()) {
@@ -464,7 +466,7 @@
 void Node::serve_elsewhere(int index, const Report& report, const HttpRequest& request,
                            const Responder& responder) {
   const PartOwner& owner = ownership_.owner(index);
-  switch (relay_.route({report.host, report.baton, owner.node, owner.baton}, env_.now())) {
+  switch (relay_.route({report.host, report.fencing_token, owner.node, owner.fencing_token}, env_.now())) {
     case ReportRelay::Route::kRedirect:
       responder.send(421, dump_json({{"parent", owner.node}}));
       return;
@@ -509,7 +511,7 @@
   checking_token_ = true;
   state_.get(Lane::kLease, keys::kNone, [this, token](const StateReply& reply) {
     checking_token_ = false;
-    if (reply.outcome == Outcome::kMissing) monitor_->on_revision(token, reply.epoch());
+    if (reply.outcome == Outcome::kMissing) monitor_->on_revision(token, reply.revision());
   });
 }
 
@@ -522,7 +524,7 @@
     ShardMemory shard;
     if (part->active()) shard = part->memory();
     shard.shard = index;
-    shard.token = part->baton();
+    shard.token = part->fencing_token();
     shard.loaded = part->active();
     shard.lease_left_s = lease_left;
     shard.renew_left_s = ownership_.renew_deadline(index) - env_.now();
@@ -553,8 +555,8 @@
         "session {} return "
         "{}; journal writes {} with {} changes, blocks {}, allowance moves {}, endings {}",
         index, c.reports, c.launches, c.fetches, c.relaunches, c.completions, c.lent, c.borrowed,
-        c.given_back, c.errors, c.preempted, c.freed_by_lease, c.freed_by_tenure, c.freed_by_return, c.pages,
-        c.page_changes, c.blocks, c.moves, c.endings);
+        c.given_back, c.errors, c.preempted, c.freed_by_lease, c.freed_by_incarnation, c.freed_by_return,
+        c.pages, c.page_changes, c.blocks, c.moves, c.endings);
   }
   env_.after(kCountersEvery, [this] { log_counters(); });
 }
--- a/src/coordination/node.hpp
+++ b/src/coordination/node.hpp
@@ -60,7 +60,7 @@
   void fetch_types();
   void save_types();
   void take_types(MachineTypes types, bool save);
-  void gained(int part, std::uint64_t baton);
+  void gained(int part, std::uint64_t fencing_token);
   void lost(int part);
   void open_part(int part);
   void share_calls();
@@ -90,7 +90,7 @@
   bool checking_token_ = false;
   double decides_from_ = 0;
   MachineTypes types_;
-  NameTable halls_;
+  NameTable zones_;
   StateClient state_;
   CloudClient cloud_;
   Ownership ownership_;
--- a/src/coordination/ownership.cpp
+++ b/src/coordination/ownership.cpp
@@ -43,8 +43,8 @@
 }
 
 int Ownership::held_count() const {
-  return static_cast<int>(
-      std::count_if(held_.begin(), held_.end(), [](std::uint64_t baton) { return baton != 0; }));
+  return static_cast<int>(std::count_if(held_.begin(), held_.end(),
+                                        [](std::uint64_t fencing_token) { return fencing_token != 0; }));
 }
 
 void Ownership::read_meta() {
@@ -86,12 +86,12 @@
 void Ownership::open_lease() {
   const double asked = env_.now();
   state_.lease_create(kLeaseSeconds, [this, asked](const StateReply& reply) {
-    const std::uint64_t hold = reply.ok() ? reply.body.value("hold", std::uint64_t{0}) : 0;
-    if (hold == 0) {
+    const std::uint64_t lease_id = reply.ok() ? reply.body.value("hold", std::uint64_t{0}) : 0;
+    if (lease_id == 0) {
       env_.after(kRetry, [this] { open_lease(); });
       return;
     }
-    hold_ = hold;
+    lease_id_ = lease_id;
     renewed(asked);
     env_.after(kRenewEvery, [this] { renew(); });
     announce();
@@ -132,9 +132,9 @@
 }
 
 void Ownership::renew_lease(double asked) {
-  const std::uint64_t hold = hold_;
-  state_.lease_renew(hold, kRenewEvery * 1.5, [this, asked, hold](const StateReply& reply) {
-    if (hold != hold_) return;
+  const std::uint64_t lease_id = lease_id_;
+  state_.lease_renew(lease_id, kRenewEvery * 1.5, [this, asked, lease_id](const StateReply& reply) {
+    if (lease_id != lease_id_) return;
     if (reply.outcome == Outcome::kMissing) {
       lease_missing();
       return;
@@ -164,7 +164,7 @@
 }
 
 void Ownership::lease_lost(const char* why) {
-  hold_ = 0;
+  lease_id_ = 0;
   valid_until_ = lease_end_ = unreplaced_at_ = 0;
   for (int p = 0; p < parts(); p++) lose(p, why);
   open_lease();
@@ -183,7 +183,7 @@
   if (reading_) return;
   reading_ = true;
   state_.list(Lane::kLease, keys::kParts,
-              [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t epoch) {
+              [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t revision) {
                 reading_ = false;
                 if (outcome != Outcome::kOk) {
                   env_.after(kRetry, [this] { read_parts(); });
@@ -199,12 +199,12 @@
                   const int part = std::atoi(item.key.c_str() + keys::kParts.size());
                   if (part < 0 || part >= parts()) continue;
                   present[static_cast<std::size_t>(part)] = true;
-                  see(part, {item.data.value("node", ""), item.data.value("boot", ""), item.stamp});
+                  see(part, {item.data.value("node", ""), item.data.value("boot", ""), item.revision});
                 }
                 for (int p = 0; p < parts(); p++) {
-                  if (!present[static_cast<std::size_t>(p)]) see(p, {"", "", epoch});
+                  if (!present[static_cast<std::size_t>(p)]) see(p, {"", "", revision});
                 }
-                watched_ = epoch;
+                watched_ = revision;
                 if (!watching_) watch_parts();
                 if (!parts_read_) {
                   parts_read_ = true;
@@ -239,7 +239,7 @@
           }
         }
       }
-      watched_ = std::max(watched_, reply.epoch());
+      watched_ = std::max(watched_, reply.revision());
       watch_parts();
     } else if (reply.outcome == Outcome::kGone) {
       read_parts();
@@ -256,7 +256,7 @@
 // watch) must not take a fresh part away from us.
 void Ownership::see(int part, const Sight& sight) {
   const auto at = static_cast<std::size_t>(part);
-  if (sight.revision < owners_[at].baton) return;
+  if (sight.revision < owners_[at].fencing_token) return;
   const std::string& node = sight.node;
   if (monitor_ != nullptr && node == kRebuiltOwner) return monitor_->on_other_incarnation();
   if (held_[at] != 0) {
@@ -266,7 +266,7 @@
       lose(part, "another owner");
     }
   }
-  const bool changed = owners_[at].node != node || owners_[at].baton != sight.revision;
+  const bool changed = owners_[at].node != node || owners_[at].fencing_token != sight.revision;
   owners_[at] = {node, sight.revision};
   owner_boots_[at] = sight.boot;
   if (changed) {
@@ -276,13 +276,13 @@
 }
 
 void Ownership::announce() {
-  const std::uint64_t hold = hold_;
+  const std::uint64_t lease_id = lease_id_;
   Transaction txn;
   Json announced = {{"boot", boot_}};
   if (capabilities_.gangs) announced["gangs"] = true;
-  txn.put_held(keys::kParts + "@" + settings_.node, std::move(announced), hold);
-  state_.commit(Lane::kLease, txn, [this, hold](const StateReply& reply) {
-    if (!reply.ok() && hold == hold_ && hold != 0) env_.after(1.0, [this] { announce(); });
+  txn.put_with_lease(keys::kParts + "@" + settings_.node, std::move(announced), lease_id);
+  state_.commit(Lane::kLease, txn, [this, lease_id](const StateReply& reply) {
+    if (!reply.ok() && lease_id == lease_id_ && lease_id != 0) env_.after(1.0, [this] { announce(); });
   });
 }
 
@@ -333,13 +333,13 @@
     Transaction txn;
     txn.guard(keys::part(p), held_[at]);
     txn.remove(keys::part(p));
-    state_.commit(Lane::kLease, txn, [this, p, at, baton = held_[at]](const StateReply& reply) {
+    state_.commit(Lane::kLease, txn, [this, p, at, fencing_token = held_[at]](const StateReply& reply) {
       releasing_ = false;
       release_sent_[at] = 0;
-      if (held_[at] != baton || reply.outcome == Outcome::kRefused) return;
+      if (held_[at] != fencing_token || reply.outcome == Outcome::kRefused) return;
       // The key may be gone, or go at any later time, while our lease goes on: nothing would tell us.
       if (!reply.ok()) return restart_shard(p, "sending it home: nobody knows");
-      owners_[at] = {"", reply.epoch()};
+      owners_[at] = {"", reply.revision()};
       lose(p, "sent home");
       listener_.owners_changed();
       consider(p);
@@ -350,46 +350,46 @@
 
 void Ownership::consider(int part) {
   const auto at = static_cast<std::size_t>(part);
-  if (hold_ == 0 || !parts_read_ || held_[at] != 0 || claiming_[at]) return;
+  if (lease_id_ == 0 || !parts_read_ || held_[at] != 0 || claiming_[at]) return;
   if (owners_[at].node.empty()) {
     env_.after(claim_delay(part), [this, part, at] {
-      if (hold_ != 0 && held_[at] == 0 && !claiming_[at] && owners_[at].node.empty()) claim(part, 0);
+      if (lease_id_ != 0 && held_[at] == 0 && !claiming_[at] && owners_[at].node.empty()) claim(part, 0);
     });
   } else if (owners_[at].node == settings_.node) {
     // Held by an earlier process of this very node, which has ended: no need to wait for its lease. Or by a
     // late copy of a claim of ours, for a part that we gave away since: the others take it for ours.
-    claim(part, owners_[at].baton);
+    claim(part, owners_[at].fencing_token);
   }
 }
 
-void Ownership::claim(int part, std::uint64_t stamp) {
+void Ownership::claim(int part, std::uint64_t revision) {
   const auto at = static_cast<std::size_t>(part);
   claiming_[at] = true;
-  const std::uint64_t hold = hold_;
+  const std::uint64_t lease_id = lease_id_;
   Transaction txn;
-  txn.guard(keys::part(part), stamp);
-  txn.put_held(keys::part(part), {{"node", settings_.node}, {"boot", boot_}}, hold);
-  state_.commit(Lane::kLease, txn, [this, part, at, hold](const StateReply& reply) {
+  txn.guard(keys::part(part), revision);
+  txn.put_with_lease(keys::part(part), {{"node", settings_.node}, {"boot", boot_}}, lease_id);
+  state_.commit(Lane::kLease, txn, [this, part, at, lease_id](const StateReply& reply) {
     claiming_[at] = false;
-    if (reply.ok() && hold == hold_) {
-      held_[at] = reply.epoch();
-      owners_[at] = {settings_.node, reply.epoch()};
+    if (reply.ok() && lease_id == lease_id_) {
+      held_[at] = reply.revision();
+      owners_[at] = {settings_.node, reply.revision()};
       owner_boots_[at] = boot_;
-      spdlog::info("part {} gained, baton {}", part, reply.epoch());
-      listener_.gained(part, reply.epoch());
+      spdlog::info("part {} gained, baton {}", part, reply.revision());
+      listener_.gained(part, reply.revision());
       listener_.owners_changed();
       return;
     }
     // Lost the race, or nobody knows: look at the key itself.
     claiming_[at] = true;
-    state_.get(Lane::kLease, keys::part(part), [this, part, at, hold](const StateReply& now) {
+    state_.get(Lane::kLease, keys::part(part), [this, part, at, lease_id](const StateReply& now) {
       claiming_[at] = false;
       if (now.ok() && now.body.contains("data")) {
         const std::string node = now.body["data"].value("node", "");
         const std::string boot = now.body["data"].value("boot", "");
         const std::uint64_t found = now.body.value("stamp", std::uint64_t{0});
-        if (boot == boot_ && hold == hold_ && hold_ != 0 &&
-            now.body.value("hold", std::uint64_t{0}) == hold_) {
+        if (boot == boot_ && lease_id == lease_id_ && lease_id_ != 0 &&
+            now.body.value("hold", std::uint64_t{0}) == lease_id_) {
           if (held_[at] == found) return;
           held_[at] = found;
           owners_[at] = {node, found};
@@ -404,7 +404,7 @@
         }
         return;
       }
-      if (now.outcome == Outcome::kMissing) see(part, {"", "", now.epoch()});
+      if (now.outcome == Outcome::kMissing) see(part, {"", "", now.revision()});
       env_.after(kRetry, [this, part] { consider(part); });
     });
   });
@@ -415,32 +415,33 @@
   if (held_[at] == 0) return;
   if (monitor_ == nullptr) return give_up(part, held_[at], why);
   // What contradicts us may be that records were lost, or are being rebuilt. What we know is needed then.
-  state_.get(Lane::kLease, keys::kMeta, [this, part, baton = held_[at], why](const StateReply& reply) {
-    if (reply.outcome == Outcome::kMissing || (reply.ok() && !same_incarnation(reply)))
-      return monitor_->on_other_incarnation();
-    if (reply.ok()) return give_up(part, baton, why);
-    env_.after(kRetry, [this, part, why] { restart_shard(part, why); });
-  });
+  state_.get(Lane::kLease, keys::kMeta,
+             [this, part, fencing_token = held_[at], why](const StateReply& reply) {
+               if (reply.outcome == Outcome::kMissing || (reply.ok() && !same_incarnation(reply)))
+                 return monitor_->on_other_incarnation();
+               if (reply.ok()) return give_up(part, fencing_token, why);
+               env_.after(kRetry, [this, part, why] { restart_shard(part, why); });
+             });
 }
 
-void Ownership::give_up(int part, std::uint64_t baton, const std::string& why) {
+void Ownership::give_up(int part, std::uint64_t fencing_token, const std::string& why) {
   const auto at = static_cast<std::size_t>(part);
-  if (held_[at] != baton) return;
+  if (held_[at] != fencing_token) return;
   spdlog::warn("part {} given up: {}", part, why);
   lose(part, "given up");
   // The same node takes it again at once under a new baton; whatever is still on its way dies with the old
   // one.
   owner_boots_[at] = "given up";
-  owners_[at] = {settings_.node, baton};
+  owners_[at] = {settings_.node, fencing_token};
   consider(part);
 }
 
-void Ownership::heard(int part, const std::string& node, std::uint64_t baton) {
+void Ownership::heard(int part, const std::string& node, std::uint64_t fencing_token) {
   if (part < 0 || part >= parts()) return;
   const auto at = static_cast<std::size_t>(part);
-  if (baton <= owners_[at].baton) return;
+  if (fencing_token <= owners_[at].fencing_token) return;
   if (held_[at] != 0) lose(part, "a newer owner was heard of");
-  owners_[at] = {node, baton};
+  owners_[at] = {node, fencing_token};
   owner_boots_[at] = "heard";
   listener_.owners_changed();
 }
--- a/src/coordination/ownership.hpp
+++ b/src/coordination/ownership.hpp
@@ -17,7 +17,7 @@
 
 struct PartOwner {
   std::string node;  // empty: nobody known
-  std::uint64_t baton = 0;
+  std::uint64_t fencing_token = 0;
 };
 
 // What a node can do that earlier versions can't. Tests have nodes behave like an earlier version.
@@ -29,7 +29,7 @@
  public:
   static constexpr double kLeaseSeconds = 4.0;  // a node's lease in the state service
   struct Listener {
-    std::function<void(int part, std::uint64_t baton)> gained;
+    std::function<void(int part, std::uint64_t fencing_token)> gained;
     std::function<void(int part)> lost;
     std::function<void()> owners_changed;
   };
@@ -65,7 +65,7 @@
   // Anything unexpected about a part's records: give it up and load it anew under a new baton.
   void restart_shard(int part, const std::string& why);
   // Another node was heard of holding the part with this baton.
-  void heard(int part, const std::string& node, std::uint64_t baton);
+  void heard(int part, const std::string& node, std::uint64_t fencing_token);
 
  private:
   void read_meta();
@@ -74,7 +74,7 @@
   void renew();
   void renew_lease(double asked);
   void lease_missing();
-  void give_up(int part, std::uint64_t baton, const std::string& why);
+  void give_up(int part, std::uint64_t fencing_token, const std::string& why);
   [[nodiscard]] bool same_incarnation(const StateReply& meta);
   void renewed(double asked);
   void lease_lost(const char* why);
@@ -91,7 +91,7 @@
   void see_node(const std::string& node, const Json& announced);
   void send_home();
   [[nodiscard]] std::vector<std::string> order_of(int part) const;
-  void claim(int part, std::uint64_t stamp);
+  void claim(int part, std::uint64_t revision);
   void lose(int part, const char* why);
   [[nodiscard]] double claim_delay(int part) const;
 
@@ -111,7 +111,7 @@
     bool gangs = false;  // it can run them
   };
   std::map<std::string, LiveNode> live_nodes_;  // those whose announcement is there
-  std::uint64_t hold_ = 0;                      // 0: no lease
+  std::uint64_t lease_id_ = 0;                  // 0: no lease
   double valid_until_ = 0;
   double lease_end_ = 0;
   double unreplaced_at_ = 0;          // nobody had replaced us at this moment of our clock
--- a/src/coordination/part.cpp
+++ b/src/coordination/part.cpp
@@ -32,8 +32,8 @@
 constexpr double kRaiseEvery = 3.5;
 }  // namespace
 
-Part::Part(Context context, int id, std::uint64_t baton)
-    : ctx_(std::move(context)), id_(id), baton_(baton), teams_(ctx_.settings->teams) {
+Part::Part(Context context, int id, std::uint64_t fencing_token)
+    : ctx_(std::move(context)), id_(id), fencing_token_(fencing_token), teams_(ctx_.settings->teams) {
   const Tuning& tuning = ctx_.settings->tuning;
   weights_.fitness = tuning.weight_fitness;
   weights_.urgency = tuning.weight_urgency;
@@ -96,8 +96,8 @@
 // ---------------------------------------------------------------- reports
 
 void Part::shape_machine(Machine& machine) {
-  machine.type = ctx_.types->find(machine.record.flavour);
-  machine.hall = ctx_.halls->intern(machine.record.hall);
+  machine.type = ctx_.types->find(machine.record.machine_type);
+  machine.zone = ctx_.zones->intern(machine.record.zone);
   if (machine.type >= 0) {
     const MachineType& type = ctx_.types->at(machine.type);
     machine.capacity = {type.cores, type.memory_gb, type.accelerators};
@@ -110,11 +110,12 @@
   if (!slot) {
     slot = std::make_unique<Machine>();
     slot->name = report.host;
-    slot->record = {report.address, report.flavour, report.hall, report.loaner, report.tenure, {}, {}};
+    slot->record = {
+        report.address, report.machine_type, report.zone, report.spot, report.worker_incarnation, {}, {}};
     slot->first_heard = slot->busy_at = ctx_.env->now();
     shape_machine(*slot);
-    spdlog::info("{} reports: {} in {}{}", report.host, report.flavour, report.hall,
-                 report.loaner ? ", spot" : "");
+    spdlog::info("{} reports: {} in {}{}", report.host, report.machine_type, report.zone,
+                 report.spot ? ", spot" : "");
   }
   return *slot;
 }
@@ -129,10 +130,10 @@
     return;
   }
   counters_.reports++;
-  if (report.baton > baton_) {
+  if (report.fencing_token > fencing_token_) {
     // The worker obeys a newer owner: we were deposed and have not heard it yet.
     responder.send(503, R"({"error":"not the owner"})", 1);
-    ctx_.deposed(report.baton);
+    ctx_.deposed(report.fencing_token);
     return;
   }
   // Late copies of reports, even of machines long returned, are evidence of nothing. Without a token the
@@ -158,8 +159,9 @@
   const bool idle = nothing_to_say && machine.placements.empty();
   const bool roomy =
       nothing_to_say && machine.room[0] >= 1 &&
-      std::all_of(machine.placements.begin(), machine.placements.end(),
-                  [&machine](const Placement& p) { return p.seen_tick == machine.tick && !p.job->over(); });
+      std::all_of(machine.placements.begin(), machine.placements.end(), [&machine](const Placement& p) {
+        return p.seen_sequence == machine.sequence && !p.job->over();
+      });
   if (!waits && !relayed && (idle || roomy)) {
     machine.held = true;
     machine.answer_by = ctx_.env->now() + (idle ? std::min(kHold, ctx_.settings->lease_s / 4) : kRoomyHold);
@@ -181,7 +183,7 @@
                       if (!machine->held || machine->answer.answered()) continue;
                       const bool local =
                           std::any_of(jobs_.begin(), jobs_.end(), [&machine = *machine](const auto& item) {
-                            return !item.second->waiting.empty() && machine.has_image(item.second->bundle);
+                            return !item.second->waiting.empty() && machine.has_image(item.second->image);
                           });
                       held.emplace_back(!local, machine.get());
                     }
@@ -202,69 +204,70 @@
 // report may still be on its way, and what is missing proves nothing about launches we sent.
 bool Part::take_report(Machine& machine, const Report& report, bool direct) {
   const double now = ctx_.env->now();
-  if (machine.heard &&
-      std::pair(report.tenure, report.tick) <= std::pair(machine.record.tenure, machine.tick)) {
+  if (machine.heard && std::pair(report.worker_incarnation, report.sequence) <=
+                           std::pair(machine.record.worker_incarnation, machine.sequence)) {
     return false;
   }
-  if (report.tenure < machine.record.tenure) return false;  // older than the record we inherited
+  if (report.worker_incarnation < machine.record.worker_incarnation)
+    return false;  // older than the record we inherited
   if (!machine.heard) machine.first_heard = now;
   if (!machine.heard || now - machine.last_heard > ctx_.settings->lease_s / 2) machine.steady_since = now;
   machine.heard = true;
   machine.last_heard = now;
-  machine.tick = report.tick;
-  if (machine.session_since == 0) machine.session_since = now;
+  machine.sequence = report.sequence;
+  if (machine.incarnation_since == 0) machine.incarnation_since = now;
   if (machine.record.address != report.address) machine.record.address = report.address;
-  if (report.baton == baton_ && !machine.acked) {
+  if (report.fencing_token == fencing_token_ && !machine.acked) {
     machine.acked = true;
     machine.last_answer = std::max(machine.last_answer, now);
   }
-  if (report.warning_s) {
-    if (!machine.warned_at) {
-      spdlog::info("{} will be taken in {} s", machine.name, *report.warning_s);
-      machine.warned_at = now + *report.warning_s;
+  if (report.eviction_notice_s) {
+    if (!machine.evicted_at) {
+      spdlog::info("{} will be taken in {} s", machine.name, *report.eviction_notice_s);
+      machine.evicted_at = now + *report.eviction_notice_s;
     }
   } else {
-    machine.warned_at.reset();
+    machine.evicted_at.reset();
   }
-  if (report.tenure > machine.record.tenure) {
-    new_session(machine, report.tenure);
+  if (report.worker_incarnation > machine.record.worker_incarnation) {
+    begin_incarnation(machine, report.worker_incarnation);
   }
 
   // (The tasks of a gang share an attempt number.)
-  std::map<std::pair<std::uint64_t, int>, const PieceReport*> by_try;
-  for (const PieceReport& piece : report.pieces) by_try.emplace(std::pair(piece.try_no, piece.index), &piece);
+  std::map<std::pair<std::uint64_t, int>, const TaskReport*> by_attempt;
+  for (const TaskReport& task : report.tasks) by_attempt.emplace(std::pair(task.attempt, task.index), &task);
   machine.strays.clear();
-  std::vector<const PieceReport*> exits;
+  std::vector<const TaskReport*> exits;
   for (Placement& placement : machine.placements) {
-    const auto it = by_try.find({placement.try_no, placement.index});
-    if (it != by_try.end() && it->second->ref == placement.job->spec().ref &&
+    const auto it = by_attempt.find({placement.attempt, placement.index});
+    if (it != by_attempt.end() && it->second->ref == placement.job->spec().ref &&
         it->second->index == placement.index) {
-      const PieceReport& piece = *it->second;
-      by_try.erase(it);
-      placement.seen_tick = report.tick;
-      if (placement.sent_tick != 0) machine.unheard = 0;
-      if (placement.phase == PiecePhase::kPulling && piece.phase != PiecePhase::kPulling &&
-          piece.phase != PiecePhase::kExited) {
-        machine.use_image(placement.job->bundle, placement.job->spec().pull_gb,
+      const TaskReport& task = *it->second;
+      by_attempt.erase(it);
+      placement.seen_sequence = report.sequence;
+      if (placement.sent_sequence != 0) machine.unheard = 0;
+      if (placement.phase == TaskPhase::kFetchingImage && task.phase != TaskPhase::kFetchingImage &&
+          task.phase != TaskPhase::kExited) {
+        machine.use_image(placement.job->image, placement.job->spec().image_gb,
                           ctx_.types->at(std::max(0, machine.type)).cache_gb);
       }
-      if (placement.running_since == 0 && piece.phase == PiecePhase::kRunning) {
+      if (placement.running_since == 0 && task.phase == TaskPhase::kRunning) {
         placement.running_since = now;
         if (placement.job->is_gang()) placement.job->attempt.started = true;
       }
-      placement.phase = piece.phase;
-      if (piece.phase == PiecePhase::kExited) {
+      placement.phase = task.phase;
+      if (task.phase == TaskPhase::kExited) {
         if (placement.stage == Placement::Stage::kFreeing) {
-          machine.strays.push_back(piece);
+          machine.strays.push_back(task);
         } else {
-          exits.push_back(&piece);
-          machine.strays.push_back(piece);
+          exits.push_back(&task);
+          machine.strays.push_back(task);
         }
       }
-    } else if (placement.stage == Placement::Stage::kRecorded && report.baton == baton_) {
+    } else if (placement.stage == Placement::Stage::kRecorded && report.fencing_token == fencing_token_) {
       // (a) missing, and no launch of it can still be on its way.
-      const bool settled =
-          direct ? placement.inherited && placement.sent_tick == 0 : placement.sent_tick < report.tick;
+      const bool settled = direct ? placement.inherited && placement.sent_sequence == 0
+                                  : placement.sent_sequence < report.sequence;
       if (settled && (placement.job->over() || placement.job->cancelling || placement.preempted ||
                       attempt_over(*placement.job) || !machine.welcome() ||
                       placement.job->done.contains(placement.index))) {
@@ -272,25 +275,25 @@
       }
     }
   }
-  for (const auto& [try_no, piece] : by_try) machine.strays.push_back(*piece);
-  for (const PieceReport* piece : exits) {
+  for (const auto& [attempt, task] : by_attempt) machine.strays.push_back(*task);
+  for (const TaskReport* task : exits) {
     for (Placement& placement : machine.placements) {
-      if (placement.job == nullptr || placement.try_no != piece->try_no || placement.index != piece->index)
+      if (placement.job == nullptr || placement.attempt != task->attempt || placement.index != task->index)
         continue;
-      on_exit(machine, placement, piece->cause);
+      on_exit(machine, placement, task->cause);
       break;
     }
   }
   std::erase_if(machine.placements, [](const Placement& p) { return p.job == nullptr; });
-  if (!direct && report.baton == baton_) judge_hearing(machine);
-  if (report.baton == baton_) {
-    for (const auto& [try_no, piece] : by_try) {
+  if (!direct && report.fencing_token == fencing_token_) judge_hearing(machine);
+  if (report.fencing_token == fencing_token_) {
+    for (const auto& [attempt, task] : by_attempt) {
       // Completed under a record that is gone, or taken over before it was noted: the work is done all the
       // same.
-      if (piece->phase != PiecePhase::kExited || piece->cause != ExitCause::kDone) continue;
-      const JobPtr job = find_task(piece->ref, piece->index);
-      if (job == nullptr || job->over() || piece->index >= job->spec().pieces) continue;
-      mark_done(job, piece->index);
+      if (task->phase != TaskPhase::kExited || task->cause != ExitCause::kDone) continue;
+      const JobPtr job = find_task(task->ref, task->index);
+      if (job == nullptr || job->over() || task->index >= job->spec().task_count) continue;
+      mark_done(job, task->index);
     }
   }
   if (!machine.placements.empty()) machine.busy_at = now;
@@ -298,7 +301,7 @@
 }
 
 // (b) the session that the placements belonged to is over: all are gone, launched or not.
-void Part::new_session(Machine& machine, std::uint64_t tenure) {
+void Part::begin_incarnation(Machine& machine, std::uint64_t worker_incarnation) {
   const double now = ctx_.env->now();
   std::size_t freed = 0;
   for (Placement& placement : machine.placements) {
@@ -306,26 +309,27 @@
     free_placement(placement, 0);
     freed++;
   }
-  if (freed > 0) spdlog::info("{} is in session {}: {} placements freed", machine.name, tenure, freed);
-  counters_.freed_by_tenure += freed;
+  if (freed > 0)
+    spdlog::info("{} is in session {}: {} placements freed", machine.name, worker_incarnation, freed);
+  counters_.freed_by_incarnation += freed;
   // Its lease ran out although we had answered it. Once, that is a cut or a hang; while its reports came all
   // the time, or once more, the answers do not arrive. (A worker without answers goes from node to node: we
   // hear it seldom.)
   // Reports that a cut held back come all at once when it ends: they show nothing of the kind.
-  const bool answered = machine.last_answer >= machine.session_since;
-  const bool lasted = now - machine.session_since > ctx_.settings->lease_s / 2;
+  const bool answered = machine.last_answer >= machine.incarnation_since;
+  const bool lasted = now - machine.incarnation_since > ctx_.settings->lease_s / 2;
   const bool all_along = now - machine.steady_since > 0.8 * ctx_.settings->lease_s;
-  machine.vain_sessions = answered && lasted ? machine.vain_sessions + 1 : 0;
-  if ((answered && lasted && machine.acked && all_along) || machine.vain_sessions >= 2) {
+  machine.expired_incarnations = answered && lasted ? machine.expired_incarnations + 1 : 0;
+  if ((answered && lasted && machine.acked && all_along) || machine.expired_incarnations >= 2) {
     if (!machine.deaf) {
       machine.deaf_since = now;
       spdlog::info("{} does not hear us: its leases run out while it reports", machine.name);
     }
     machine.deaf = true;
   }
-  machine.record.tenure = tenure;
+  machine.record.worker_incarnation = worker_incarnation;
   machine.last_answer = std::max(machine.last_answer, now);  // its lease counts from its beginning
-  machine.session_since = now;
+  machine.incarnation_since = now;
   machine.unheard = 0;
   machine.images.clear();
 }
@@ -336,18 +340,20 @@
   const double now = ctx_.env->now();
   if (!machine.deaf && machine.unheard >= kUnheard) {
     machine.deaf = true;
-    machine.deaf_since = machine.session_since = now;
+    machine.deaf_since = machine.incarnation_since = now;
     machine.unheard = 0;
     // What it was sent in vain has not begun, and no answer to an older report can begin it any more (a).
     for (Placement& placement : machine.placements) {
-      const bool missing = placement.seen_tick != machine.tick && placement.sent_tick < machine.tick;
-      if (placement.stage == Placement::Stage::kRecorded && missing && placement.sent_tick != 0)
+      const bool missing =
+          placement.seen_sequence != machine.sequence && placement.sent_sequence < machine.sequence;
+      if (placement.stage == Placement::Stage::kRecorded && missing && placement.sent_sequence != 0)
         free_placement(placement, 0);
     }
     spdlog::info("{} does not hear us: {} launches had no effect", machine.name, kUnheard);
   }
-  if (machine.vain_sessions > 0 && now - machine.session_since > lease_over_s()) machine.vain_sessions = 0;
-  if (machine.deaf && now - machine.session_since > lease_over_s()) {
+  if (machine.expired_incarnations > 0 && now - machine.incarnation_since > lease_over_s())
+    machine.expired_incarnations = 0;
+  if (machine.deaf && now - machine.incarnation_since > lease_over_s()) {
     machine.deaf = false;
     spdlog::info("{} hears us again", machine.name);
   }
@@ -400,12 +406,12 @@
     }
     machine.no_fill_until = ctx_.env->now() + std::min(8.0, 1.0 * machine.error_streak);
     delay = machine.sick ? 0 : std::min(30.0, 0.5 * std::pow(2.0, std::min(job->error_streak, 6)));
-    spdlog::info("{} failed on {} (try {})", piece_name(job->spec().ref, placement.index), machine.name,
-                 placement.try_no);
-  } else if (cause == ExitCause::kMatesGone || cause == ExitCause::kAlone) {
+    spdlog::info("{} failed on {} (try {})", task_name(job->spec().ref, placement.index), machine.name,
+                 placement.attempt);
+  } else if (cause == ExitCause::kGangPeerLost || cause == ExitCause::kGangIncomplete) {
     job->fail_attempt();  // neither the machine's fault nor the job's
   } else if (cause != ExitCause::kHalted) {
-    spdlog::info("{} refused by {}: cause {}", piece_name(job->spec().ref, placement.index), machine.name,
+    spdlog::info("{} refused by {}: cause {}", task_name(job->spec().ref, placement.index), machine.name,
                  static_cast<int>(cause));
     machine.no_fill_until = ctx_.env->now() + 2;
     delay = 1;
@@ -420,9 +426,9 @@
   const std::string& ref = job.spec().ref;
   if (job.pause == 0) spdlog::info("{} fails on every machine: tried now and then", ref);
   // (What had started before it was found at fault fails within the first pause and does not lengthen it.)
-  if (ctx_.env->now() >= job.next_try) {
+  if (ctx_.env->now() >= job.next_trial_at) {
     job.pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
-    job.next_try = ctx_.env->now() + job.pause;
+    job.next_trial_at = ctx_.env->now() + job.pause;
   }
   for (const auto& [name, failing] : job.failing) {
     const auto it = machines_.find(name);
@@ -452,7 +458,7 @@
   if (job->done.contains(index)) return;
   // The tasks of a gang complete together.
   const int first = job->is_gang() ? 0 : index;
-  const int last = job->is_gang() ? job->spec().pieces : index + 1;
+  const int last = job->is_gang() ? job->spec().task_count : index + 1;
   job->done.insert(first, last);
   job->unsaved.insert(first, last);
   job->waiting.erase(job->waiting.slice(first, last));
@@ -474,7 +480,7 @@
 void Part::take_room(Machine& machine, Job& job) {
   teams_.add(job.team, job.demand);
   job.placed++;
-  job.placed_by_hall[machine.hall]++;
+  job.placed_by_zone[machine.zone]++;
   for (std::size_t r = 0; r < machine.room.size(); r++) machine.room[r] -= job.demand[r];
 }
 
@@ -482,7 +488,7 @@
   teams_.remove(job.team, job.demand);
   job.placed--;
   if (job.placed == 0) job.attempt = {};
-  job.placed_by_hall[machine.hall]--;
+  job.placed_by_zone[machine.zone]--;
   for (std::size_t r = 0; r < machine.room.size(); r++) machine.room[r] += job.demand[r];
 }
 
@@ -510,12 +516,12 @@
   machine.direct_inflight = true;
   raising_ += raise ? 1 : 0;
   HttpCall call{machine.record.address, "POST", "/commands",
-                orders_body(baton_, machine.record.tenure, orders), kDirectSeconds};
+                orders_body(fencing_token_, machine.record.worker_incarnation, orders), kDirectSeconds};
   call.keep_alive = false;
   ctx_.env->call(std::move(call), alive([this, name = machine.name, raise](const HttpReply& reply) {
                    if (raise) {
                      raising_--;
-                     raise_batons();
+                     raise_fencing_tokens();
                    }
                    const auto it = machines_.find(name);
                    if (it == machines_.end()) return;
@@ -525,8 +531,8 @@
                    if (reply.status != 200 && reply.status != 409) return;
                    auto report = parse_report(parse_json(reply.body));
                    if (!report || report->host != name) return;
-                   if (report->baton > baton_) {
-                     ctx_.deposed(report->baton);
+                   if (report->fencing_token > fencing_token_) {
+                     ctx_.deposed(report->fencing_token);
                      return;
                    }
                    if (take_report(found, *report, true)) pump();
@@ -535,7 +541,7 @@
 
 // Shows our token to machines with placements, a few at a time: a node that has taken over has leases to
 // renew and users to answer meanwhile. Machines that report go first; silent ones are tried now and then.
-void Part::raise_batons() {
+void Part::raise_fencing_tokens() {
   if (!active_ || raising_ >= kRaiseAtOnce) return;
   const double now = ctx_.env->now();
   std::vector<Machine*> due;
@@ -560,7 +566,7 @@
   if (job.called_off() || job.done.contains(placement.index) || job.attempt.failed) return 0;
   const bool gracefully = placement.preempted || (job.attempt.stopping && job.attempt.stop_recorded);
   // (Whether a second stop ends a task that is saving already is not said.)
-  if (!gracefully || placement.phase == PiecePhase::kSaving) return std::nullopt;
+  if (!gracefully || placement.phase == TaskPhase::kCheckpointing) return std::nullopt;
   return stop_grace_s(job.spec());
 }
 
@@ -583,7 +589,7 @@
     const auto grace = stop_wanted(placement);
     if (grace)
       orders.push_back(
-          {Order::Verb::kStop, piece_name(job.spec().ref, placement.index), placement.try_no, *grace});
+          {Order::Verb::kStop, task_name(job.spec().ref, placement.index), placement.attempt, *grace});
   }
   if (!orders.empty()) send_direct(machine, orders);
 }
@@ -634,7 +640,7 @@
       }
     }
   }
-  raise_batons();
+  raise_fencing_tokens();
   look_after_gangs();
   look_for_best_effort();
   preempt();
@@ -649,10 +655,10 @@
 
 void Part::apply(const FleetOrders& orders) {
   const std::set<std::string> draining(orders.draining.begin(), orders.draining.end());
-  const std::set<std::string> winding(orders.winding.begin(), orders.winding.end());
+  const std::set<std::string> cordoned(orders.cordoned.begin(), orders.cordoned.end());
   for (auto& [name, machine] : machines_) {
     machine->draining = draining.count(name) > 0;
-    machine->winding = winding.count(name) > 0;
+    machine->cordoned = cordoned.count(name) > 0;
   }
   headroom_share_ = orders.headroom_share;
   elsewhere_ = orders.waiting;
--- a/src/coordination/part.hpp
+++ b/src/coordination/part.hpp
@@ -36,7 +36,7 @@
     StateClient* state = nullptr;
     const Settings* settings = nullptr;
     const MachineTypes* types = nullptr;
-    NameTable* halls = nullptr;
+    NameTable* zones = nullptr;
     int parts = 1;
     std::function<bool()> exclusive_owner;  // nobody else can own this part (Ownership::exclusive)
     std::function<bool()> may_renew;        // the workers' leases (Ownership::may_renew)
@@ -47,24 +47,24 @@
     std::function<void(std::string why)> restart_shard;
     // The state service contradicts what it has answered us.
     std::function<void(const std::string& what)> contradicted;
-    std::function<void(std::uint64_t baton)> deposed;  // a worker has seen a higher token
+    std::function<void(std::uint64_t fencing_token)> deposed;  // a worker has seen a higher token
     // A job's terminal state is durable, and users may be told.
     std::function<void(const std::string& ref, const JobStatus& status)> ended;
   };
-  Part(Context context, int id, std::uint64_t baton);
+  Part(Context context, int id, std::uint64_t fencing_token);
   ~Part();
   Part(const Part&) = delete;
   Part& operator=(const Part&) = delete;
 
   void load();
   [[nodiscard]] bool active() const { return active_; }
-  [[nodiscard]] std::uint64_t baton() const { return baton_; }
+  [[nodiscard]] std::uint64_t fencing_token() const { return fencing_token_; }
   [[nodiscard]] int id() const { return id_; }
 
   // `relayed`: through another node, which waits only so long; such a report is not held for new work.
   void on_report(Report report, bool relayed, Responder responder);
   // A job that this node has accepted; the answer to that write may be older than what the watch has told.
-  void admit(HeadRecord head, std::uint64_t stamp);
+  void admit(HeadRecord head, std::uint64_t revision);
   // What may be told about a job of this part as long as nobody else can own the part.
   [[nodiscard]] JobFinding find(const std::string& ref) const;
   [[nodiscard]] bool knows(const std::string& ref) const { return jobs_.count(ref) > 0; }
@@ -89,9 +89,9 @@
 
   struct Counters {
     std::uint64_t reports = 0, launches = 0, completions = 0, fetches = 0, lent = 0, borrowed = 0,
-                  given_back = 0, errors = 0, freed_by_lease = 0, freed_by_tenure = 0, freed_by_return = 0,
-                  relaunches = 0, preempted = 0, pages = 0, page_changes = 0, blocks = 0, moves = 0,
-                  endings = 0;
+                  given_back = 0, errors = 0, freed_by_lease = 0, freed_by_incarnation = 0,
+                  freed_by_return = 0, relaunches = 0, preempted = 0, pages = 0, page_changes = 0, blocks = 0,
+                  moves = 0, endings = 0;
   };
   [[nodiscard]] const Counters& counters() const { return counters_; }
 
@@ -115,13 +115,13 @@
   void watch();
   void on_event(const Json& event);
   void on_head_event(const Json& event);
-  void add_job(HeadRecord head, std::uint64_t stamp);
-  JobPtr make_job(HeadRecord head, std::uint64_t stamp);
+  void add_job(HeadRecord head, std::uint64_t revision);
+  JobPtr make_job(HeadRecord head, std::uint64_t revision);
   [[nodiscard]] JobPtr find_task(const std::string& ref, int index) const;
   void machine_gone(Machine& machine);
 
   // part_lending.cpp
-  void add_block(const std::string& key, BlockRecord record, std::uint64_t stamp);
+  void add_block(const std::string& key, BlockRecord record, std::uint64_t revision);
   void on_block_event(const Json& event);
   void take_back(const JobPtr& job, const std::string& key, const RangeSet& range, const RangeSet& done);
   void borrow();
@@ -134,9 +134,9 @@
   [[nodiscard]] bool fit_block(Job& job) const;
   bool commit_blocks();
   void note_short(const Job& job);
-  void lend(const JobPtr& job, int to, std::uint64_t to_baton, int count);
+  void lend(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count);
   [[nodiscard]] Json even_split(int team) const;
-  void note_team(int team, const Json& data, std::uint64_t stamp);
+  void note_team(int team, const Json& data, std::uint64_t revision);
   void on_team_event(const Json& event);
   void want_allowance();
   [[nodiscard]] Resources could_start(int team) const;
@@ -145,14 +145,14 @@
   void commit_allowance(int team, const std::shared_ptr<std::string>& body, const Json& split);
   void reload_team(int team);
   void retry_load(void (Part::*step)());
-  void take_up(HeadRecord head, std::uint64_t stamp);
+  void take_up(HeadRecord head, std::uint64_t revision);
   void forget(const std::string& name);
   void watched_up_to(std::uint64_t revision);
 
   Machine& machine_for(const Report& report);
   void shape_machine(Machine& machine);
   bool take_report(Machine& machine, const Report& report, bool direct);
-  void new_session(Machine& machine, std::uint64_t tenure);
+  void begin_incarnation(Machine& machine, std::uint64_t worker_incarnation);
   void judge_hearing(Machine& machine);
   [[nodiscard]] double lease_over_s() const;
   void on_exit(Machine& machine, Placement& placement, ExitCause cause);
@@ -175,7 +175,7 @@
   [[nodiscard]] bool starving(const Job& job) const;
   [[nodiscard]] std::map<int, const Job*> saving() const;
   [[nodiscard]] static double age_bonus(const Job& job, double wall);
-  [[nodiscard]] double least_cores(const std::optional<std::vector<std::string>>& flavours,
+  [[nodiscard]] double least_cores(const std::optional<std::vector<std::string>>& machine_types,
                                    const Resources& demand) const;
   [[nodiscard]] bool needs_type(double least, int type) const;
   [[nodiscard]] bool small_on(const Job& job, int type) const;
@@ -232,15 +232,15 @@
   void measure_headroom();
   // A machine's room counts while its last report is no older. (An idle one's reports are held.)
   [[nodiscard]] double fresh_s() const { return 2 * ctx_.settings->report_s + 2; }
-  [[nodiscard]] static bool may_go(const JobSpec& spec, const std::string& flavour, const std::string& hall,
-                                   bool loaner);
+  [[nodiscard]] static bool may_go(const JobSpec& spec, const std::string& machine_type,
+                                   const std::string& zone, bool spot);
   [[nodiscard]] bool avoids(const Job& job, const Machine& machine) const;
   [[nodiscard]] bool allowed_on(const Job& job, const Machine& machine) const;
   [[nodiscard]] static bool flexible(const Job& job);
   [[nodiscard]] bool keeps_for_large(const Machine& machine) const;
   void answer(Machine& machine);
   std::vector<Order> orders_for(Machine& machine);
-  void raise_batons();
+  void raise_fencing_tokens();
   [[nodiscard]] static std::optional<double> stop_wanted(const Placement& placement);
   void stop_directly(const JobPtr& job);
   void send_stops(Machine& machine);
@@ -269,7 +269,7 @@
     JobPtr job;
     std::string key;
     int to = 0;
-    std::uint64_t to_baton = 0;
+    std::uint64_t to_fencing_token = 0;
   };
   void add_blocks(PageCommit& commit);
   void unlend(const NewBlock& block);
@@ -282,12 +282,12 @@
   PageRecord page_record(int number) const;
   std::size_t page_bytes(int number) const;
   [[nodiscard]] std::size_t page_limit() const;
-  void pages_written(const PageCommit& commit, std::uint64_t epoch);
+  void pages_written(const PageCommit& commit, std::uint64_t revision);
   bool pages_refused(const PageCommit& commit, const std::vector<std::string>& failed);
   [[nodiscard]] double page_gap(std::size_t changes) const;
   [[nodiscard]] bool notes_due();
   [[nodiscard]] bool can_note(const Job& job) const;
-  Placement* find_placement(const std::string& machine, std::uint64_t try_no, int index);
+  Placement* find_placement(const std::string& machine, std::uint64_t attempt, int index);
   void folded(const JobPtr& job, const std::string& name, const RangeSet& done);
   [[nodiscard]] std::vector<JobPtr> jobs_to_end() const;
   [[nodiscard]] std::size_t changes_to_end(const Job& job) const;
@@ -317,8 +317,8 @@
   void try_commit(const std::shared_ptr<Write>& write);
   bool shrink_writes();
   void on_refused(const std::shared_ptr<Write>& write, const StateReply& reply);
-  void find_stamp(const std::shared_ptr<Write>& write, std::size_t at, std::uint64_t epoch);
-  void settle(const Write& write, std::uint64_t epoch);
+  void find_revision(const std::shared_ptr<Write>& write, std::size_t at, std::uint64_t revision);
+  void settle(const Write& write, std::uint64_t revision);
   Transaction guarded() const;
   template <typename F>
   auto alive(F f) {
@@ -338,10 +338,10 @@
 
   Context ctx_;
   int id_;
-  std::uint64_t baton_;
+  std::uint64_t fencing_token_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   bool active_ = false;
-  std::uint64_t next_try_ = 0;
+  std::uint64_t attempt_counter_ = 0;
   std::uint64_t watched_ = 0;  // changes up to here are known
   std::map<std::string, JobPtr> jobs_;
   std::map<std::string, UnaccountedRecord> unaccounted_;  // since records were lost
@@ -363,7 +363,7 @@
   double notes_since_ = 0;    // the oldest completion that is not durable; 0: none
   std::string last_written_;  // machine whose new placements went last
   double value_bytes_ = 0;    // the state service takes no larger value
-  NameTable bundles_;
+  NameTable images_;
   PreferenceWeights weights_;
   struct EarlyReport {
     Report report;
--- a/src/coordination/part_cancel.cpp
+++ b/src/coordination/part_cancel.cpp
@@ -46,7 +46,7 @@
       const bool holds = std::any_of(job->lent.begin(), job->lent.end(), [part](const auto& item) {
         return keys::block_part(item.first) == part && !item.second.complete() && !item.second.noted;
       });
-      if (!holds || ctx_.owner_since(part) > job->head_stamp) {
+      if (!holds || ctx_.owner_since(part) > job->job_revision) {
         it = job->unaware.erase(it);
         continue;
       }
@@ -89,7 +89,7 @@
                     const auto found = reply.ok() ? reply.body.value("stamp", std::uint64_t{0}) : 0;
                     const bool knows =
                         reply.outcome == Outcome::kMissing ||
-                        (reply.ok() && (found > job->head_stamp || (noted != 0 && found == noted)));
+                        (reply.ok() && (found > job->job_revision || (noted != 0 && found == noted)));
                     if (!knows) return;
                     job->unaware.erase(part);
                     press_cancels();
@@ -118,7 +118,7 @@
     it->second->acknowledged = true;
   }
   pump();
-  return {{"noted", noted}, {"valid", ctx_.exclusive_owner()}, {"baton", baton_}};
+  return {{"noted", noted}, {"valid", ctx_.exclusive_owner()}, {"baton", fencing_token_}};
 }
 
 // Borrower: where the home does not reach us, it reads that we know. (A block without tasks on machines is
@@ -135,16 +135,16 @@
     if (txn.then.size() + 1 > most) break;
     Json record = block_record(*job).to_json();
     if (static_cast<double>(dump_json(record).size()) > value_bytes_) continue;  // it is only asked for then
-    txn.guard(key, job->block_stamp);
+    txn.guard(key, job->delegation_revision);
     txn.put(key, std::move(record));
     job->note_written = job->progress_inflight = true;
     noted.push_back(job);
   }
   if (noted.empty()) return false;
-  send_commit(Lane::kRest, kRestSlot, txn, [noted](std::uint64_t epoch) {
+  send_commit(Lane::kRest, kRestSlot, txn, [noted](std::uint64_t revision) {
     for (const JobPtr& job : noted) {
       job->progress_inflight = false;
-      job->block_stamp = epoch;
+      job->delegation_revision = revision;
     }
   });
   return true;
--- a/src/coordination/part_commit.cpp
+++ b/src/coordination/part_commit.cpp
@@ -17,7 +17,7 @@
 
 Transaction Part::guarded() const {
   Transaction txn;
-  txn.guard(keys::part(id_), baton_);
+  txn.guard(keys::part(id_), fencing_token_);
   return txn;
 }
 
@@ -81,7 +81,7 @@
 void Part::try_commit(const std::shared_ptr<Write>& write) {
   ctx_.state->commit_body(
       write->lane, write->body, write->changes, alive([this, write](const StateReply& reply) {
-        if (reply.ok()) return settle(*write, reply.epoch());
+        if (reply.ok()) return settle(*write, reply.revision());
         if (reply.outcome == Outcome::kRefused || reply.outcome == Outcome::kUnknown) {
           if (stuck_since_ == 0) stuck_since_ = ctx_.env->now();
           write->unanswered |= reply.outcome == Outcome::kUnknown;
@@ -108,7 +108,7 @@
   }
   if (owner && write->unanswered && maybe_done) {
     write->effects = write->visible_effects();
-    return find_stamp(write, 0, reply.epoch());
+    return find_revision(write, 0, reply.revision());
   }
   const bool page = std::any_of(failed.begin(), failed.end(), [this](const std::string& key) {
     return key.rfind(keys::pages(id_), 0) == 0;
@@ -138,29 +138,29 @@
 
 // Its answer is lost: the revision is read from the first of its puts that is still there. A block that it
 // put and that is gone was complete, which only we can have written, and its home has deleted it.
-void Part::find_stamp(const std::shared_ptr<Write>& write, std::size_t at, std::uint64_t epoch) {
-  if (at == write->effects.size()) return settle(*write, epoch);
-  ctx_.state->get(write->lane, write->effects[at].key,
-                  alive([this, write, at, epoch](const StateReply& reply) {
-                    const Write::Effect& effect = write->effects[at];
-                    if (reply.outcome == Outcome::kMissing) {
-                      return effect.data ? find_stamp(write, at + 1, epoch) : settle(*write, epoch);
-                    }
-                    if (!reply.ok() || !reply.body.contains("data")) {
-                      ctx_.env->after(0.3, alive([this, write, at, epoch] { find_stamp(write, at, epoch); }));
-                      return;
-                    }
-                    if (!is_block(effect.key) || (effect.data && reply.body["data"] == *effect.data)) {
-                      return settle(*write, reply.body.value("stamp", std::uint64_t{0}));
-                    }
-                    ctx_.restart_shard("a block that it writes was changed: " + effect.key);
-                  }));
+void Part::find_revision(const std::shared_ptr<Write>& write, std::size_t at, std::uint64_t revision) {
+  if (at == write->effects.size()) return settle(*write, revision);
+  ctx_.state->get(
+      write->lane, write->effects[at].key, alive([this, write, at, revision](const StateReply& reply) {
+        const Write::Effect& effect = write->effects[at];
+        if (reply.outcome == Outcome::kMissing) {
+          return effect.data ? find_revision(write, at + 1, revision) : settle(*write, revision);
+        }
+        if (!reply.ok() || !reply.body.contains("data")) {
+          ctx_.env->after(0.3, alive([this, write, at, revision] { find_revision(write, at, revision); }));
+          return;
+        }
+        if (!is_block(effect.key) || (effect.data && reply.body["data"] == *effect.data)) {
+          return settle(*write, reply.body.value("stamp", std::uint64_t{0}));
+        }
+        ctx_.restart_shard("a block that it writes was changed: " + effect.key);
+      }));
 }
 
-void Part::settle(const Write& write, std::uint64_t epoch) {
+void Part::settle(const Write& write, std::uint64_t revision) {
   stuck_since_ = 0;
   inflight_[write.slot]--;
-  write.done(epoch);
+  write.done(revision);
   pump();
 }
 
@@ -192,12 +192,12 @@
     head.aborted = true;
     head.spread = !job->lent_all_complete();
     Transaction txn = guarded();
-    txn.guard(keys::head(id_, ref), job->head_stamp);
+    txn.guard(keys::head(id_, ref), job->job_revision);
     txn.put(keys::head(id_, ref), head.to_json());
-    send_commit(Lane::kCancel, kCancelSlot, txn, [this, job = job, head](std::uint64_t epoch) {
+    send_commit(Lane::kCancel, kCancelSlot, txn, [this, job = job, head](std::uint64_t revision) {
       job->cancelling = false;
       job->head = head;
-      job->head_stamp = epoch;
+      job->job_revision = revision;
       job->waiting.clear();
       job->backoff.clear();
       spdlog::info("{} cancelled, {} tasks to stop", job->spec().ref, job->placed);
@@ -232,14 +232,14 @@
 
 void Part::add_ending(Transaction& txn, const Job& job, const char* phase) const {
   const std::string& ref = job.spec().ref;
-  txn.guard(keys::head(id_, ref), job.head_stamp);
-  txn.guard(keys::progress(id_, ref), job.progress_stamp);
-  txn.put(keys::ending(id_, ref), ending_json(phase, job.spec().pieces));
+  txn.guard(keys::head(id_, ref), job.job_revision);
+  txn.guard(keys::progress(id_, ref), job.progress_revision);
+  txn.put(keys::ending(id_, ref), ending_json(phase, job.spec().task_count));
   txn.remove(keys::head(id_, ref));
   if (unaccounted_.count(ref) > 0) txn.remove(keys::unaccounted(id_, ref));
-  if (job.progress_stamp != 0) txn.remove(keys::progress(id_, ref));
+  if (job.progress_revision != 0) txn.remove(keys::progress(id_, ref));
   for (const auto& [key, lent] : job.lent) {
-    txn.guard(key, lent.stamp);
+    txn.guard(key, lent.revision);
     txn.remove(key);
   }
 }
@@ -275,7 +275,7 @@
   for (const Job::CancelWaiter& waiter : job->cancel_waiters) {
     waiter.responder.send(200, cancellation_body(ref, JobPhase::kDone));
   }
-  ctx_.ended(ref, {JobPhase::kDone, job->spec().pieces, 0});
+  ctx_.ended(ref, {JobPhase::kDone, job->spec().task_count, 0});
   job->unsaved.clear();
   discard_progress_parts(*job);
   forget(ref);
@@ -295,7 +295,7 @@
   std::vector<std::string> removed;
   for (const auto& [key, lent] : job->lent) {
     if (removed.size() == most) break;
-    txn.guard(key, lent.stamp);
+    txn.guard(key, lent.revision);
     txn.remove(key);
     removed.push_back(key);
   }
@@ -318,7 +318,7 @@
       // A block whose record is complete is the home's to delete.
       if (job->complete() && job->unsaved.empty()) continue;
       if (txn.then.size() + 1 > most) break;
-      txn.guard(name, job->block_stamp);
+      txn.guard(name, job->delegation_revision);
       txn.remove(name);
     } else {
       if (!job->lent_all_complete()) continue;  // their borrowers delete them
--- a/src/coordination/part_fill.cpp
+++ b/src/coordination/part_fill.cpp
@@ -18,19 +18,21 @@
 
 // The machine will be taken away: what can save does so now and goes on elsewhere.
 bool saves_before_it_is_killed(const Machine& machine, const Placement& placement) {
-  const bool goes = machine.warned_at || (machine.draining && machine.sick);
+  const bool goes = machine.evicted_at || (machine.draining && machine.sick);
   // (A gang is stopped as a whole.)
-  return goes && placement.phase == PiecePhase::kRunning && placement.job->spec().saves() &&
+  return goes && placement.phase == TaskPhase::kRunning && placement.job->spec().can_checkpoint() &&
          !placement.job->is_gang();
 }
 }  // namespace
 
 // Cores of the smallest allowed type that can hold such a task; without one, of none.
-double Part::least_cores(const std::optional<std::vector<std::string>>& flavours,
+double Part::least_cores(const std::optional<std::vector<std::string>>& machine_types,
                          const Resources& demand) const {
   double least = std::numeric_limits<double>::infinity();
   for (const MachineType& type : ctx_.types->all()) {
-    if (flavours && std::find(flavours->begin(), flavours->end(), type.name) == flavours->end()) continue;
+    if (machine_types &&
+        std::find(machine_types->begin(), machine_types->end(), type.name) == machine_types->end())
+      continue;
     if (fits(demand, {type.cores, type.memory_gb, type.accelerators})) least = std::min(least, type.cores);
   }
   return least;
@@ -47,15 +49,15 @@
 // Could go to any machine that is large enough.
 bool Part::flexible(const Job& job) {
   const JobSpec& spec = job.spec();
-  return spec.loaner && !spec.hall && !spec.flavours && !spec.together && !spec.scatter;
+  return spec.allows_spot && !spec.zone && !spec.machine_types && !spec.together && !spec.scatter;
 }
 
 // What the job itself allows: kind, zone and type of machine.
-bool Part::may_go(const JobSpec& spec, const std::string& flavour, const std::string& hall, bool loaner) {
-  if (loaner && !spec.loaner) return false;
-  if (spec.hall && *spec.hall != hall) return false;
-  return !spec.flavours ||
-         std::find(spec.flavours->begin(), spec.flavours->end(), flavour) != spec.flavours->end();
+bool Part::may_go(const JobSpec& spec, const std::string& machine_type, const std::string& zone, bool spot) {
+  if (spot && !spec.allows_spot) return false;
+  if (spec.zone && *spec.zone != zone) return false;
+  return !spec.machine_types || std::find(spec.machine_types->begin(), spec.machine_types->end(),
+                                          machine_type) != spec.machine_types->end();
 }
 
 // A job that fails on a machine is tried elsewhere first, at other parts if need be: where the machine is at
@@ -69,13 +71,13 @@
 // Whether the rules let one more task of the job onto the machine now, room apart.
 bool Part::allowed_on(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
-  if (!may_go(spec, machine.record.flavour, machine.record.hall, machine.record.loaner)) return false;
+  if (!may_go(spec, machine.record.machine_type, machine.record.zone, machine.record.spot)) return false;
   if (avoids(job, machine)) return false;
-  const auto in_hall = job.placed_by_hall.find(machine.hall);
-  const int here = in_hall == job.placed_by_hall.end() ? 0 : in_hall->second;
+  const auto in_zone = job.placed_by_zone.find(machine.zone);
+  const int here = in_zone == job.placed_by_zone.end() ? 0 : in_zone->second;
   if (job.bound() && job.lent_open() > 0) return false;  // another part holds what is placed of it
   if (spec.together && job.placed > here) return false;
-  return !spec.scatter || here + 1 <= (spec.pieces + 1) / 2;
+  return !spec.scatter || here + 1 <= (spec.task_count + 1) / 2;
 }
 
 // Greedy filling of freed slices keeps room for large tasks from gathering (DESIGN names it for gangs; large
@@ -107,7 +109,7 @@
     }
   }
   for (const WaitingHint& hint : elsewhere_) {
-    if (machine.record.loaner && !hint.loaner) continue;
+    if (machine.record.spot && !hint.allows_spot) continue;
     if (!fits(hint.demand, machine.capacity) || !needs_type(hint.least_cores, machine.type)) continue;
     large = true;
     large_urgency = std::max(large_urgency, hint.urgency);
@@ -118,7 +120,7 @@
   const double now = ctx_.env->now();
   int slots = 0;
   for (const auto& [name, other] : machines_) {
-    if (other->type < 0 || !other->welcome() || other->winding || ctx_.types->at(other->type).cores >= cores)
+    if (other->type < 0 || !other->welcome() || other->cordoned || ctx_.types->at(other->type).cores >= cores)
       continue;
     if (now - other->last_heard > fresh_s() || now < other->no_fill_until) continue;
     double most = 1e6;
@@ -180,7 +182,7 @@
     if (!fits(job->demand, machine.room)) continue;
     if (machine.reserved_for && machine.reserved_for != job) continue;
     if (job->is_gang() && (now < job->next_gang_look || !gang_may_be_placed(*job))) continue;
-    if (job->at_fault() && (job->placed > 0 || now < job->next_try)) continue;
+    if (job->at_fault() && (job->placed > 0 || now < job->next_trial_at)) continue;
     if (!allowed_on(*job, machine)) continue;
     const auto saved = saved_for.find(job->team);
     if (!has_allowance(*job)) {
@@ -189,17 +191,17 @@
     }
     if (saved != saved_for.end()) continue;
     // Others have room for what can go anywhere; what cannot is still taken.
-    if (machine.winding && small_on(*job, machine.type)) continue;
+    if (machine.cordoned && small_on(*job, machine.type)) continue;
     if (keep_for_large && small_on(*job, machine.type)) continue;
     const bool yields = gives_way(*job);
     if (yields && !open_to_best_effort(*job, machine, room_for_best_effort)) continue;
     Request request;
     request.demand = job->demand;
-    request.local = machine.has_image(job->bundle);
+    request.local = machine.has_image(job->image);
     const double fetch = request.local ? 0 : fetch_seconds(spec, type);
-    if (spec.due_s) {
-      request.pressure = deadline_pressure(job->head.submitted + *spec.due_s - wall,
-                                           1.3 * std::max(1.0, spec.guess_s) + fetch);
+    if (spec.deadline_s) {
+      request.pressure = deadline_pressure(job->head.submitted + *spec.deadline_s - wall,
+                                           1.3 * std::max(1.0, spec.estimated_s) + fetch);
     }
     Candidates& candidates = yields ? best_effort : first;
     candidates.requests.push_back(request);
@@ -225,7 +227,7 @@
         continue;
       }
       Request& request = requests[i];
-      request.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.pieces;
+      request.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.task_count;
       for (std::size_t r = 0; r < 3; r++) request.held[r] = job.demand[r] * job.placed;
       request.nothing_placed = job.placed == 0 && job.done.empty();
       request.bonus = kUrgencyBonus * static_cast<int>(spec.urgency) +
@@ -249,8 +251,9 @@
 // Larger than those of every owner before. Where lost state is watched for it begins with the newest revision
 // that we know: a worker that shows it later is a witness that the state service has known that revision.
 std::uint64_t Part::next_attempt() {
-  const std::uint64_t revision = ctx_.settings->tuning.recovery ? std::max(baton_, watched_) : baton_;
-  return (revision << kAttemptShift) + ++next_try_;
+  const std::uint64_t revision =
+      ctx_.settings->tuning.recovery ? std::max(fencing_token_, watched_) : fencing_token_;
+  return (revision << kAttemptShift) + ++attempt_counter_;
 }
 
 void Part::place_task(Machine& machine, const JobPtr& job, std::uint64_t attempt) {
@@ -258,13 +261,13 @@
   Placement placement;
   placement.job = job;
   placement.index = *job->waiting.first();
-  placement.try_no = attempt;
+  placement.attempt = attempt;
   job->waiting.erase(placement.index);
   job->idle_since = now;
   take_room(machine, *job);
-  if (!machine.has_image(job->bundle)) {
+  if (!machine.has_image(job->image)) {
     counters_.fetches++;
-    machine.use_image(job->bundle, job->spec().pull_gb, ctx_.types->at(machine.type).cache_gb);
+    machine.use_image(job->image, job->spec().image_gb, ctx_.types->at(machine.type).cache_gb);
   }
   machine.placements.push_back(std::move(placement));
   if (gives_way(*job)) {
@@ -285,39 +288,39 @@
   for (Placement& placement : machine.placements) {
     if (placement.stage != Placement::Stage::kRecorded) continue;
     const Job& job = *placement.job;
-    const std::string piece = piece_name(job.spec().ref, placement.index);
+    const std::string task = task_name(job.spec().ref, placement.index);
     const bool unwanted = job.called_off() || job.done.contains(placement.index) || attempt_over(job);
-    if (placement.seen_tick == machine.tick && machine.tick != 0) {
+    if (placement.seen_sequence == machine.sequence && machine.sequence != 0) {
       auto grace = stop_wanted(placement);
       if (!grace && !placement.preempted && saves_before_it_is_killed(machine, placement))
         grace = stop_grace_s(job.spec());
-      if (grace) orders.push_back({Order::Verb::kStop, piece, placement.try_no, *grace});
+      if (grace) orders.push_back({Order::Verb::kStop, task, placement.attempt, *grace});
     } else if (!unwanted && !placement.preempted && may_launch && machine.welcome() &&
                gang_may_be_launched(job)) {
-      if (placement.sent_tick != 0) {
+      if (placement.sent_sequence != 0) {
         counters_.relaunches++;
         if (!again) machine.unheard++;
         again = true;
       }
-      placement.sent_tick = machine.tick;
+      placement.sent_sequence = machine.sequence;
       counters_.launches++;
-      orders.push_back({Order::Verb::kLaunch, piece, placement.try_no, 0});
+      orders.push_back({Order::Verb::kLaunch, task, placement.attempt, 0});
     }
   }
-  for (const PieceReport& stray : machine.strays) {
-    const std::string piece = piece_name(stray.ref, stray.index);
+  for (const TaskReport& stray : machine.strays) {
+    const std::string task = task_name(stray.ref, stray.index);
     const JobPtr job = find_task(stray.ref, stray.index);
-    if (stray.phase == PiecePhase::kExited) {
+    if (stray.phase == TaskPhase::kExited) {
       const bool held = std::any_of(
           machine.placements.begin(), machine.placements.end(),
-          [&stray](const Placement& p) { return p.try_no == stray.try_no && p.index == stray.index; });
-      const bool lost_if_reaped = stray.cause == ExitCause::kDone && job != nullptr && !job->head.aborted &&
-                                  !job->durable(stray.index);
-      if (!held && !lost_if_reaped) {
-        orders.push_back({Order::Verb::kReap, piece, stray.try_no, 0});
+          [&stray](const Placement& p) { return p.attempt == stray.attempt && p.index == stray.index; });
+      const bool lost_if_acknowledged = stray.cause == ExitCause::kDone && job != nullptr &&
+                                        !job->head.aborted && !job->durable(stray.index);
+      if (!held && !lost_if_acknowledged) {
+        orders.push_back({Order::Verb::kAcknowledgeExit, task, stray.attempt, 0});
       }
     } else {
-      orders.push_back({Order::Verb::kStop, piece, stray.try_no, 0});
+      orders.push_back({Order::Verb::kStop, task, stray.attempt, 0});
     }
   }
   return orders;
@@ -334,7 +337,7 @@
   }
   const std::vector<Order> orders = orders_for(machine);
   machine.last_answer = ctx_.env->now();
-  machine.answer.send(200, orders_body(baton_, std::nullopt, orders));
+  machine.answer.send(200, orders_body(fencing_token_, std::nullopt, orders));
   machine.answer = Responder();
 }
 
--- a/src/coordination/part_gang.cpp
+++ b/src/coordination/part_gang.cpp
@@ -39,7 +39,7 @@
 // Users are told that a gang runs only while all its tasks do.
 int Part::gang_tasks_running(const Job& job) const {
   const bool lent_runs = job.lent_open() > 0 && job.lent_runs && ctx_.env->now() - job.lent_heard < kToldGood;
-  return job.gang_runs() || lent_runs ? job.spec().pieces : 0;
+  return job.gang_runs() || lent_runs ? job.spec().task_count : 0;
 }
 
 bool Part::has_allowance(const Job& job) const {
@@ -48,7 +48,7 @@
 }
 
 bool Part::gang_may_be_placed(const Job& job) const {
-  if (job.attempt.number == 0) return job.placed == 0 && job.waiting.size() == job.spec().pieces;
+  if (job.attempt.number == 0) return job.placed == 0 && job.waiting.size() == job.spec().task_count;
   if (attempt_over(job) || job.attempt.started) return false;
   const double since = job.attempt.launched_at;
   return since == 0 || ctx_.env->now() - since < kReplaceShare * ctx_.settings->gang_wait_s;
@@ -67,8 +67,8 @@
   out.demand = job.demand;
   out.tasks = job.waiting.size();
   out.together = job.spec().together;
-  if (job.spec().scatter) out.most_in_zone = (job.spec().pieces + 1) / 2;
-  out.placed_in_zone = job.placed_by_hall;
+  if (job.spec().scatter) out.most_in_zone = (job.spec().task_count + 1) / 2;
+  out.placed_in_zone = job.placed_by_zone;
   return out;
 }
 
@@ -77,11 +77,11 @@
   if (machine.type < 0 || !machine.welcome() || !machine.acked || !machine.heard) return false;
   if (now < machine.no_fill_until || now - machine.last_heard > fresh_s()) return false;
   if (machine.reserved_for && machine.reserved_for.get() != &job) return false;
-  return !(machine.winding && small_on(job, machine.type)) && allowed_on(job, machine);
+  return !(machine.cordoned && small_on(job, machine.type)) && allowed_on(job, machine);
 }
 
 double Part::fetch_s(const Job& job, const Machine& machine) const {
-  if (machine.has_image(job.bundle)) return 0;
+  if (machine.has_image(job.image)) return 0;
   return fetch_seconds(job.spec(), ctx_.types->at(machine.type));
 }
 
@@ -92,7 +92,7 @@
   for (auto& [name, machine] : machines_) {
     if (!open_to_gang(*job, *machine)) continue;
     open.push_back(machine.get());
-    rooms.push_back({machine->room, machine->hall, fetch_s(*job, *machine)});
+    rooms.push_back({machine->room, machine->zone, fetch_s(*job, *machine)});
   }
   const std::vector<GangShare> shares = find_gang_places(gang_needs(*job), rooms);
   const double now = ctx_.env->now();
@@ -104,8 +104,9 @@
   if (attempt.number == 0) {
     // Larger than that of any attempt before, also at another part: what ended that one, and brought the gang
     // here, are revisions that we know.
-    const std::uint64_t revision = std::max({baton_, watched_, job->head_stamp, job->block_stamp});
-    attempt.number = (revision << kAttemptShift) + ++next_try_;
+    const std::uint64_t revision =
+        std::max({fencing_token_, watched_, job->job_revision, job->delegation_revision});
+    attempt.number = (revision << kAttemptShift) + ++attempt_counter_;
     attempt.placed_at = now;
   }
   const std::uint64_t number = attempt.number;
@@ -131,7 +132,7 @@
 // New placements of these gangs are durable. Once all are, they may be launched.
 void Part::gangs_written(const std::set<JobPtr>& gangs) {
   for (const JobPtr& job : gangs) {
-    if (job->attempt.launched_at != 0 || job->placed < job->spec().pieces) continue;
+    if (job->attempt.launched_at != 0 || job->placed < job->spec().task_count) continue;
     const auto placements = placements_of(*job);
     const bool all = std::all_of(placements.begin(), placements.end(), [](const auto& item) {
       return item.second->stage == Placement::Stage::kRecorded;
@@ -185,7 +186,7 @@
   const JobSpec& spec = job->spec();
   const double now = ctx_.env->now();
   if (attempt.stopping &&
-      now - attempt.stopping_since > spec.snapshot_cost_s + 2 * ctx_.settings->gang_peer_s + kStopMargin)
+      now - attempt.stopping_since > spec.checkpoint_cost_s + 2 * ctx_.settings->gang_peer_s + kStopMargin)
     attempt.failed = true;  // whoever is left has nothing to save any more
   if (attempt.launched_at == 0 && now - attempt.placed_at > kIncomplete) attempt.failed = true;
   if (attempt.failed) {
@@ -199,12 +200,12 @@
   const auto placements = placements_of(*job);
   const bool goes = std::any_of(placements.begin(), placements.end(), [](const auto& item) {
     const Machine& machine = *item.first;
-    return machine.warned_at || (machine.draining && machine.sick);
+    return machine.evicted_at || (machine.draining && machine.sick);
   });
   if (!goes) return;
   if (!attempt.started) {
     attempt.failed = true;
-  } else if (spec.saves()) {
+  } else if (spec.can_checkpoint()) {
     stop_gang(job, "a machine of it will be taken");
   }
 }
@@ -258,7 +259,7 @@
     const double all = std::max(1e-9, total(machine->capacity, weights_.resource));
     const double busy = 1 - total(machine->room, weights_.resource) / all;
     machines.push_back(machine.get());
-    rooms.push_back({capacity, machine->hall, std::round(busy * 4)});
+    rooms.push_back({capacity, machine->zone, std::round(busy * 4)});
   }
   std::vector<Machine*> out;
   for (const GangShare& share : find_gang_places(gang_needs(job), rooms))
@@ -305,8 +306,8 @@
   HeadRecord head;
   head.spec = *spec;
   const JobPtr job = make_job(std::move(head), 0);
-  job->waiting.insert(0, spec->pieces);
-  return {{"capacity", !capacity_for(*job).empty()}, {"baton", baton_}};
+  job->waiting.insert(0, spec->task_count);
+  return {{"capacity", !capacity_for(*job).empty()}, {"baton", fencing_token_}};
 }
 
 // ---------------------------------------------------------------- gangs that are lent
@@ -343,7 +344,7 @@
       for (std::size_t r = 0; r < needs.size(); r++) rooms[share.machine][r] -= share.tasks * job->demand[r];
     }
     lend(job, to, body.at("baton").get<std::uint64_t>(), job->waiting.size());
-    lent += job->spec().pieces;
+    lent += job->spec().task_count;
   }
   return lent;
 }
@@ -352,7 +353,7 @@
   if (!has_allowance(job)) return false;
   std::vector<GangMachine> rooms;
   for (const auto& [name, machine] : machines_) {
-    if (open_to_gang(job, *machine)) rooms.push_back({machine->room, machine->hall, 0});
+    if (open_to_gang(job, *machine)) rooms.push_back({machine->room, machine->zone, 0});
   }
   return !find_gang_places(gang_needs(job), rooms).empty();
 }
@@ -362,15 +363,15 @@
   std::vector<GangMachine> machines;
   for (std::size_t i = 0; i < rooms.size(); i++) {
     const Json& offer = offers.at(i);
-    const auto flavour = offer.at(0).get<std::string>();
+    const auto machine_type = offer.at(0).get<std::string>();
     const auto zone = offer.at(1).get<std::string>();
-    const int type = ctx_.types->find(flavour);
-    const bool open = type >= 0 && may_go(job.spec(), flavour, zone, offer.at(2).get<bool>()) &&
+    const int type = ctx_.types->find(machine_type);
+    const bool open = type >= 0 && may_go(job.spec(), machine_type, zone, offer.at(2).get<bool>()) &&
                       !(offer.at(6).get<bool>() && small_on(job, type));
     const auto& images = offer.at(7);
-    const bool local = std::find(images.begin(), images.end(), Json(job.spec().bundle)) != images.end();
+    const bool local = std::find(images.begin(), images.end(), Json(job.spec().image)) != images.end();
     const double fetch = local || type < 0 ? 0 : fetch_seconds(job.spec(), ctx_.types->at(type));
-    machines.push_back({open ? rooms[i] : Resources{}, ctx_.halls->intern(zone), fetch});
+    machines.push_back({open ? rooms[i] : Resources{}, ctx_.zones->intern(zone), fetch});
   }
   return find_gang_places(gang_needs(job), machines);
 }
--- a/src/coordination/part_journal.cpp
+++ b/src/coordination/part_journal.cpp
@@ -17,12 +17,12 @@
 
 // Upper bounds for the text of a machine's entry and of one placement in it.
 std::size_t host_bytes(const Machine& machine) {
-  return 70 + machine.name.size() + machine.record.address.size() + machine.record.flavour.size() +
-         machine.record.hall.size();
+  return 70 + machine.name.size() + machine.record.address.size() + machine.record.machine_type.size() +
+         machine.record.zone.size();
 }
 std::size_t placement_bytes(const Placement& placement) {
   constexpr std::size_t kFrame = 12;  // with the index
-  const std::size_t attempt = std::to_string(placement.try_no).size();
+  const std::size_t attempt = std::to_string(placement.attempt).size();
   // A gang's attempt may have to be named once more, as being stopped.
   return kFrame + placement.job->spec().ref.size() + attempt * (placement.job->is_gang() ? 2 : 1);
 }
@@ -41,7 +41,7 @@
   std::map<int, std::size_t> bytes;
   struct Ref {
     std::string machine;
-    std::uint64_t try_no = 0;
+    std::uint64_t attempt = 0;
     int index = 0;
     int page = 0;  // moved: where it was before
   };
@@ -155,23 +155,23 @@
 
 void Part::send_page_commit(PageCommit commit) {
   for (const int number : commit.puts) {
-    commit.txn.guard(keys::page(id_, number), pages_[number].stamp);
+    commit.txn.guard(keys::page(id_, number), pages_[number].revision);
     commit.txn.put(keys::page(id_, number), page_record(number).to_json());
   }
   for (const int number : commit.removes) {
-    commit.txn.guard(keys::page(id_, number), pages_[number].stamp);
+    commit.txn.guard(keys::page(id_, number), pages_[number].revision);
     commit.txn.remove(keys::page(id_, number));
   }
   for (const auto& [block, record] : commit.blocks) {
     commit.txn.guard(block.key, 0);
     commit.txn.put(block.key, record);
   }
-  for (const auto& [key, stamp] : commit.heads) commit.txn.guard(key, stamp);
-  for (const auto& [key, stamp] : commit.owners) commit.txn.guard(key, stamp);
+  for (const auto& [key, revision] : commit.heads) commit.txn.guard(key, revision);
+  for (const auto& [key, revision] : commit.owners) commit.txn.guard(key, revision);
   for (const auto& [name, machine] : machines_) {
     for (const Placement& placement : machine->placements) {
       if (commit.puts.count(placement.page) == 0) continue;
-      const PageCommit::Ref ref{name, placement.try_no, placement.index, placement.page};
+      const PageCommit::Ref ref{name, placement.attempt, placement.index, placement.page};
       if (placement.stage == Placement::Stage::kFreeing) {
         commit.removed.push_back(ref);
       } else if (placement.job->attempt.stopping) {
@@ -185,7 +185,7 @@
   const auto shared = std::make_shared<PageCommit>(std::move(commit));
   send_commit(
       Lane::kLaunch, kPageSlot, shared->txn,
-      [this, shared](std::uint64_t epoch) { pages_written(*shared, epoch); },
+      [this, shared](std::uint64_t revision) { pages_written(*shared, revision); },
       [this, shared](const std::vector<std::string>& failed) { return pages_refused(*shared, failed); });
 }
 
@@ -209,7 +209,7 @@
     }
     for (const auto& [ref, at] : split.placements) {
       if (at == 0) continue;
-      find_placement(ref.machine, ref.try_no, ref.index)->page = numbers[at];
+      find_placement(ref.machine, ref.attempt, ref.index)->page = numbers[at];
       commit.moved.push_back(ref);
     }
     for (const auto& [name, at] : split.notes) {
@@ -241,7 +241,7 @@
       const std::size_t bytes = placement_bytes(placement);
       if (take(bytes + (entered ? 0 : host_bytes(*machine))) && entered) used += host_bytes(*machine);
       entered = true;
-      out.placements.emplace_back(PageCommit::Ref{name, placement.try_no, placement.index, number},
+      out.placements.emplace_back(PageCommit::Ref{name, placement.attempt, placement.index, number},
                                   out.pages - 1);
     }
   }
@@ -276,10 +276,10 @@
       if (placement.page != number || placement.stage == Placement::Stage::kFreeing) continue;
       const auto [it, fresh] = out.hosts.try_emplace(name);
       if (fresh) it->second = machine->record;
-      it->second.placements.push_back({placement.job->spec().ref, placement.index, placement.try_no});
+      it->second.placements.push_back({placement.job->spec().ref, placement.index, placement.attempt});
       std::vector<std::uint64_t>& stopping = it->second.stopping;
-      if (placement.job->attempt.stopping && (stopping.empty() || stopping.back() != placement.try_no))
-        stopping.push_back(placement.try_no);
+      if (placement.job->attempt.stopping && (stopping.empty() || stopping.back() != placement.attempt))
+        stopping.push_back(placement.attempt);
     }
   }
   for (const auto& [name, done] : pages_.at(number).done) out.done.emplace(name, done.to_text());
@@ -298,7 +298,7 @@
     for (Placement& placement : machine->placements) {
       if (placement.page != kNewest) continue;
       placement.page = turned;
-      commit.moved.push_back({name, placement.try_no, placement.index, kNewest});
+      commit.moved.push_back({name, placement.attempt, placement.index, kNewest});
     }
   }
   commit.bytes[kNewest] = kPageFrame;
@@ -339,10 +339,10 @@
       fresh_ = true;
       continue;
     }
-    commit.heads[keys::head(job->home, job->spec().ref)] = job->head_stamp;
+    commit.heads[keys::head(job->home, job->spec().ref)] = job->job_revision;
     for (const auto& [machine, placement] : placements) {
       placement->page = kNewest;
-      commit.added.push_back({machine->name, placement->try_no, placement->index, 0});
+      commit.added.push_back({machine->name, placement->attempt, placement->index, 0});
     }
   }
   return whole;
@@ -379,10 +379,10 @@
         return;
       }
       if (entered && commit.created.size() != created) commit.bytes[kNewest] += host_bytes(*machine);
-      commit.heads[head] = placement.job->head_stamp;
+      commit.heads[head] = placement.job->job_revision;
       entered = true;
       placement.page = kNewest;
-      commit.added.push_back({machine->name, placement.try_no, placement.index, 0});
+      commit.added.push_back({machine->name, placement.attempt, placement.index, 0});
     }
     last_written_ = machine->name;
   }
@@ -402,12 +402,12 @@
     }
     BlockRecord record;
     record.home = id_;
-    record.head_stamp = job.head_stamp;
+    record.job_revision = job.job_revision;
     record.head = job.head;
     record.works = !job.done.empty();
     record.range = lent->second.range;
-    commit.heads[keys::head(id_, job.spec().ref)] = job.head_stamp;
-    commit.owners[keys::part(block.to)] = block.to_baton;
+    commit.heads[keys::head(id_, job.spec().ref)] = job.job_revision;
+    commit.owners[keys::part(block.to)] = block.to_fencing_token;
     commit.blocks.emplace_back(std::move(block), record.to_json());
   }
 }
@@ -486,7 +486,7 @@
     for (Placement& placement : machine->placements) {
       if (placement.page != emptiest) continue;
       placement.page = kNewest;
-      commit.moved.push_back({name, placement.try_no, placement.index, emptiest});
+      commit.moved.push_back({name, placement.attempt, placement.index, emptiest});
     }
   }
   for (const auto& [name, done] : pages_[emptiest].done) {
@@ -496,26 +496,26 @@
 }
 
 // (The tasks of a gang share an attempt number, and some of them a machine.)
-Placement* Part::find_placement(const std::string& machine, std::uint64_t try_no, int index) {
+Placement* Part::find_placement(const std::string& machine, std::uint64_t attempt, int index) {
   const auto it = machines_.find(machine);
   if (it == machines_.end()) return nullptr;
   for (Placement& placement : it->second->placements) {
-    if (placement.try_no == try_no && placement.index == index) return &placement;
+    if (placement.attempt == attempt && placement.index == index) return &placement;
   }
   return nullptr;
 }
 
-void Part::pages_written(const PageCommit& commit, std::uint64_t epoch) {
-  for (const int number : commit.puts) pages_[number].stamp = epoch;
+void Part::pages_written(const PageCommit& commit, std::uint64_t revision) {
+  for (const int number : commit.puts) pages_[number].revision = revision;
   for (const int number : commit.removes) pages_.erase(number);
   for (const auto& [block, record] : commit.blocks) {
     const auto lent = block.job->lent.find(block.key);
-    if (lent != block.job->lent.end()) lent->second.stamp = std::max(lent->second.stamp, epoch);
+    if (lent != block.job->lent.end()) lent->second.revision = std::max(lent->second.revision, revision);
   }
   for (const auto& [job, indices] : commit.saved) job->saved(indices);
   std::set<JobPtr> gangs;
   for (const auto& ref : commit.added) {
-    Placement* placement = find_placement(ref.machine, ref.try_no, ref.index);
+    Placement* placement = find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     if (placement->stage == Placement::Stage::kNew) placement->stage = Placement::Stage::kRecorded;
     if (placement->job->is_gang()) gangs.insert(placement->job);
@@ -523,7 +523,7 @@
   gangs_written(gangs);
   std::set<JobPtr> stopped;
   for (const auto& ref : commit.stops) {
-    Placement* placement = find_placement(ref.machine, ref.try_no, ref.index);
+    Placement* placement = find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     placement->stop_recorded = true;
     stopped.insert(placement->job);
@@ -533,7 +533,7 @@
     if (it == machines_.end()) continue;
     auto& placements = it->second->placements;
     for (std::size_t i = 0; i < placements.size(); i++) {
-      if (placements[i].try_no != ref.try_no || placements[i].index != ref.index) continue;
+      if (placements[i].attempt != ref.attempt || placements[i].index != ref.index) continue;
       drop_placement(*it->second, i);
       break;
     }
@@ -580,10 +580,11 @@
   // (Backwards: one that was moved twice goes to where it was at first.)
   for (auto it = commit.moved.rbegin(); it != commit.moved.rend(); ++it) {
     const PageCommit::Ref& ref = *it;
-    if (Placement* placement = find_placement(ref.machine, ref.try_no, ref.index)) placement->page = ref.page;
+    if (Placement* placement = find_placement(ref.machine, ref.attempt, ref.index))
+      placement->page = ref.page;
   }
   for (const auto& ref : commit.added) {
-    Placement* placement = find_placement(ref.machine, ref.try_no, ref.index);
+    Placement* placement = find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     placement->page = 0;
     if (over.count(keys::head(placement->job->home, placement->job->spec().ref)) > 0) {
--- a/src/coordination/part_lending.cpp
+++ b/src/coordination/part_lending.cpp
@@ -36,33 +36,34 @@
 // ---------------------------------------------------------------- blocks: loading and watching
 
 void Part::load_blocks() {
-  ctx_.state->list(Lane::kLease, keys::kBlocks,
-                   alive([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
-                     if (outcome != Outcome::kOk) return retry_load(&Part::load_blocks);
-                     const std::string own = keys::kBlocks + std::to_string(id_) + "/";
-                     for (StateItem& item : items) {
-                       auto record = BlockRecord::from_json(item.data);
-                       if (!record) {
-                         spdlog::error("record {} cannot be read", item.key);
-                         continue;
-                       }
-                       if (record->home == id_) {
-                         const auto it = jobs_.find(record->head.spec.ref);
-                         if (it == jobs_.end()) continue;
-                         Job& job = *it->second;
-                         job.lent[item.key] = {record->range, record->done, item.stamp, record->head.aborted};
-                         job.waiting.erase(record->range);
-                         job.done.insert(record->done);
-                       } else if (item.key.compare(0, own.size(), own) == 0) {
-                         add_block(item.key, std::move(*record), item.stamp);
-                       }
-                     }
-                     std::set<int> homes;
-                     for (const auto& [name, job] : jobs_) {
-                       if (job->borrowed()) homes.insert(job->home);
-                     }
-                     check_borrowed(std::move(homes));
-                   }));
+  ctx_.state->list(
+      Lane::kLease, keys::kBlocks,
+      alive([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
+        if (outcome != Outcome::kOk) return retry_load(&Part::load_blocks);
+        const std::string own = keys::kBlocks + std::to_string(id_) + "/";
+        for (StateItem& item : items) {
+          auto record = BlockRecord::from_json(item.data);
+          if (!record) {
+            spdlog::error("record {} cannot be read", item.key);
+            continue;
+          }
+          if (record->home == id_) {
+            const auto it = jobs_.find(record->head.spec.ref);
+            if (it == jobs_.end()) continue;
+            Job& job = *it->second;
+            job.lent[item.key] = {record->range, record->done, item.revision, record->head.aborted};
+            job.waiting.erase(record->range);
+            job.done.insert(record->done);
+          } else if (item.key.compare(0, own.size(), own) == 0) {
+            add_block(item.key, std::move(*record), item.revision);
+          }
+        }
+        std::set<int> homes;
+        for (const auto& [name, job] : jobs_) {
+          if (job->borrowed()) homes.insert(job->home);
+        }
+        check_borrowed(std::move(homes));
+      }));
 }
 
 // A job can have been cancelled while nobody owned this part. One list a home: asked for one by one, a
@@ -96,11 +97,11 @@
                    }));
 }
 
-void Part::add_block(const std::string& key, BlockRecord record, std::uint64_t stamp) {
-  const JobPtr job = make_job(std::move(record.head), record.head_stamp);
+void Part::add_block(const std::string& key, BlockRecord record, std::uint64_t revision) {
+  const JobPtr job = make_job(std::move(record.head), record.job_revision);
   job->home = record.home;
   job->block = key;
-  job->block_stamp = stamp;
+  job->delegation_revision = revision;
   job->works = record.works;
   job->range = std::move(record.range);
   job->done = std::move(record.done);
@@ -132,7 +133,7 @@
 void Part::on_block_event(const Json& event) {
   const bool put = event.contains("put");
   const std::string key = event.value(put ? "put" : "delete", "");
-  const auto stamp = event.value("stamp", std::uint64_t{0});
+  const auto revision = event.value("stamp", std::uint64_t{0});
   const std::string own = keys::kBlocks + std::to_string(id_) + "/";
   if (key.compare(0, own.size(), own) == 0) {
     const auto it = jobs_.find(key);
@@ -141,8 +142,8 @@
       auto record = BlockRecord::from_json(event["data"]);
       if (!record || record->complete()) return;
       counters_.borrowed += static_cast<std::uint64_t>(record->range.size());
-      add_block(key, std::move(*record), stamp);
-    } else if (!put && it != jobs_.end() && stamp > it->second->block_stamp) {
+      add_block(key, std::move(*record), revision);
+    } else if (!put && it != jobs_.end() && revision > it->second->delegation_revision) {
       // Deleted by its home: every task in it is done.
       if (it->second->placed == 0) forget(key);
     }
@@ -155,8 +156,8 @@
   if (it == jobs_.end()) return;
   const JobPtr job = it->second;
   const auto lent = job->lent.find(key);
-  if (lent == job->lent.end() || stamp <= lent->second.stamp) return;
-  lent->second.stamp = stamp;
+  if (lent == job->lent.end() || revision <= lent->second.revision) return;
+  lent->second.revision = revision;
   if (put) {
     const auto record = BlockRecord::from_json(event["data"]);
     if (record) {
@@ -173,7 +174,7 @@
 BlockRecord Part::block_record(const Job& job) {
   BlockRecord out;
   out.home = job.home;
-  out.head_stamp = job.head_stamp;
+  out.job_revision = job.job_revision;
   out.head = job.head;
   out.works = job.works;
   out.fails = job.at_fault();
@@ -249,7 +250,7 @@
       job->range = item.range;
     }
     item.erase = item.range.empty();
-    txn.guard(key, job->block_stamp);
+    txn.guard(key, job->delegation_revision);
     if (item.erase) {
       txn.remove(key);
     } else {
@@ -259,10 +260,10 @@
     batch.push_back(std::move(item));
   }
   if (batch.empty()) return false;
-  send_commit(Lane::kDone, kDoneSlot, txn, [this, batch](std::uint64_t epoch) {
+  send_commit(Lane::kDone, kDoneSlot, txn, [this, batch](std::uint64_t revision) {
     for (const Item& item : batch) {
       item.job->progress_inflight = false;
-      item.job->block_stamp = epoch;
+      item.job->delegation_revision = revision;
       folded(item.job, item.job->block, item.done);
       if (item.erase) forget(item.job->block);
     }
@@ -315,9 +316,10 @@
   for (const auto& [machine, room] : rooms) {
     if (room[0] < 0.5 || offers.size() >= kMaxOffers) continue;
     Json images = Json::array();
-    for (const auto& [image, gb] : machine->images) images.push_back(bundles_.name(image));
-    offers.push_back({machine->record.flavour, machine->record.hall, machine->record.loaner, room[0], room[1],
-                      room[2], machine->winding || machine->keeping, std::move(images), others_wait});
+    for (const auto& [image, gb] : machine->images) images.push_back(images_.name(image));
+    offers.push_back({machine->record.machine_type, machine->record.zone, machine->record.spot, room[0],
+                      room[1], room[2], machine->cordoned || machine->keeping, std::move(images),
+                      others_wait});
   }
   if (offers.empty()) return;
   Json spare = Json::array();
@@ -328,7 +330,7 @@
   borrowing_ = true;
   ctx_.ask(asked_for_tasks_, "/peer/borrow",
            {{"part", id_},
-            {"baton", baton_},
+            {"baton", fencing_token_},
             {"rooms", std::move(offers)},
             {"spare", std::move(spare)},
             {"gangs", true}},
@@ -359,7 +361,7 @@
 // Lends what our own machines have no room for, by the same preference as if the offered room were ours.
 int Part::on_borrow(const Json& body) {
   const int to = body.at("part").get<int>();
-  const auto to_baton = body.at("baton").get<std::uint64_t>();
+  const auto to_fencing_token = body.at("baton").get<std::uint64_t>();
   if (to < 0 || to >= ctx_.parts || to == id_ || new_blocks_.size() >= kMaxNewBlocks) return 0;
   const int gang_tasks = lend_gangs(body);
   const double now = ctx_.env->now();
@@ -386,7 +388,7 @@
     int left = job->waiting.size();
     int here = std::min(left, teams_.tasks_within(job->team, job->demand));
     for (auto& [machine, room] : rooms) {
-      if ((machine->keeping || machine->winding) && small_on(*job, machine->type)) continue;
+      if ((machine->keeping || machine->cordoned) && small_on(*job, machine->type)) continue;
       while (here > 0 && allowed_on(*job, *machine) && take(room, job->demand)) {
         here--;
         left--;
@@ -395,12 +397,12 @@
     if (left <= 0) continue;
     Request request;
     request.demand = job->demand;
-    request.assigned_share = static_cast<double>(job->placed + job->done.size()) / spec.pieces;
+    request.assigned_share = static_cast<double>(job->placed + job->done.size()) / spec.task_count;
     request.nothing_placed = job->placed == 0 && job->done.empty() && job->lent.empty();
     request.bonus = kUrgencyBonus * static_cast<int>(spec.urgency) + age_bonus(*job, wall);
-    if (spec.due_s) {
-      request.pressure =
-          deadline_pressure(job->head.submitted + *spec.due_s - wall, 1.3 * std::max(1.0, spec.guess_s));
+    if (spec.deadline_s) {
+      request.pressure = deadline_pressure(job->head.submitted + *spec.deadline_s - wall,
+                                           1.3 * std::max(1.0, spec.estimated_s));
     }
     requests.push_back(request);
     jobs.push_back(job);
@@ -416,26 +418,27 @@
     spare.emplace_back(item.at(0).get<double>(), item.at(1).get<double>());
   std::map<int, Resources> lacking;
   for (const Json& offer : body.at("rooms")) {
-    const auto flavour = offer.at(0).get<std::string>();
-    const auto hall = offer.at(1).get<std::string>();
-    const bool loaner = offer.at(2).get<bool>();
+    const auto machine_type = offer.at(0).get<std::string>();
+    const auto zone = offer.at(1).get<std::string>();
+    const bool spot = offer.at(2).get<bool>();
     const bool choosy = offer.at(6).get<bool>();
     const auto images = offer.at(7).get<std::vector<std::string>>();
     const bool before_best_effort = offer.size() > 8 && offer.at(8).get<bool>();
-    const int type = ctx_.types->find(flavour);
+    const int type = ctx_.types->find(machine_type);
     Resources room = {offer.at(3).get<double>(), offer.at(4).get<double>(), offer.at(5).get<double>()};
     std::vector<Request> listed;
     std::vector<std::size_t> index;
     for (std::size_t i = 0; i < jobs.size(); i++) {
       const JobSpec& spec = jobs[i]->spec();
-      if (!may_go(spec, flavour, hall, loaner)) continue;
+      if (!may_go(spec, machine_type, zone, spot)) continue;
       // Winding down or kept for large tasks, it takes only what cannot go anywhere else.
       if (choosy && type >= 0 && small_on(*jobs[i], type)) continue;
       // Best-effort work does not travel where it would not be started, or where other work is to go.
-      if (gives_way(*jobs[i]) && ((before_best_effort || (!loaner && spec.loaner)) && !overlooked(*jobs[i])))
+      if (gives_way(*jobs[i]) &&
+          ((before_best_effort || (!spot && spec.allows_spot)) && !overlooked(*jobs[i])))
         continue;
       listed.push_back(requests[i]);
-      listed.back().local = std::find(images.begin(), images.end(), spec.bundle) != images.end();
+      listed.back().local = std::find(images.begin(), images.end(), spec.image) != images.end();
       index.push_back(i);
     }
     while (!listed.empty()) {
@@ -471,7 +474,7 @@
   for (std::size_t i = 0; i < jobs.size() && blocks < kMaxBlocks; i++) {
     if (counts[i] == 0) continue;
     if (jobs[i]->bound()) counts[i] = jobs[i]->waiting.size();
-    lend(jobs[i], to, to_baton, counts[i]);
+    lend(jobs[i], to, to_fencing_token, counts[i]);
     lent += counts[i];
     blocks++;
   }
@@ -495,7 +498,7 @@
 // open. It rides in the journal's next write: a copy of that write which comes late finds the newest page
 // changed and fails. (Its own key would not tell: a block that was lent, given back and deleted left no
 // trace, and a late copy brought it back while its tasks ran elsewhere.)
-void Part::lend(const JobPtr& job, int to, std::uint64_t to_baton, int count) {
+void Part::lend(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count) {
   Lent lent;
   const double budget = block_budget(*job);
   for (int i = 0; i < count && !job->waiting.empty(); i++) {
@@ -506,12 +509,13 @@
     lent.range.insert(index);
   }
   const std::string& ref = job->spec().ref;
-  const std::string key = keys::blocks(to, ref) + std::to_string(baton_) + "." + std::to_string(++next_try_);
+  const std::string key =
+      keys::blocks(to, ref) + std::to_string(fencing_token_) + "." + std::to_string(++attempt_counter_);
   counters_.blocks++;
   counters_.lent += static_cast<std::uint64_t>(lent.range.size());
   spdlog::debug("{}: {} tasks lent to part {}", ref, lent.range.size(), to);
   job->lent[key] = std::move(lent);
-  new_blocks_.push_back({job, key, to, to_baton});
+  new_blocks_.push_back({job, key, to, to_fencing_token});
 }
 
 }  // namespace mothslip
--- a/src/coordination/part_load.cpp
+++ b/src/coordination/part_load.cpp
@@ -28,13 +28,13 @@
 
 void Part::load_heads() {
   ctx_.state->list(Lane::kLease, keys::heads(id_),
-                   alive([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t epoch) {
+                   alive([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t revision) {
                      if (outcome != Outcome::kOk) return retry_load(&Part::load_heads);
-                     watched_ = epoch;
+                     watched_ = revision;
                      for (StateItem& item : items) {
                        auto head = HeadRecord::from_json(item.data);
                        if (head) {
-                         add_job(std::move(*head), item.stamp);
+                         add_job(std::move(*head), item.revision);
                        } else {
                          spdlog::error("record {} cannot be read", item.key);
                        }
@@ -58,11 +58,11 @@
   const std::string ref = name.substr(0, tilde);
   const auto it = jobs_.find(ref);
   if (it == jobs_.end()) {
-    if (tilde != std::string::npos) discarded_.push_back({item.key, ref, item.stamp});
+    if (tilde != std::string::npos) discarded_.push_back({item.key, ref, item.revision});
     return;
   }
   Job& job = *it->second;
-  auto done = RangeSet::from_text(item.data.value("done", ""), job.spec().pieces);
+  auto done = RangeSet::from_text(item.data.value("done", ""), job.spec().task_count);
   if (!done) {
     spdlog::error("record {} cannot be read", item.key);
     return;
@@ -70,9 +70,9 @@
   job.done.insert(*done);
   job.waiting.erase(*done);
   if (tilde == std::string::npos) {
-    job.progress_stamp = item.stamp;
+    job.progress_revision = item.revision;
   } else {
-    job.progress_parts[std::atoi(name.c_str() + tilde + 1)] = {item.stamp, std::move(*done)};
+    job.progress_parts[std::atoi(name.c_str() + tilde + 1)] = {item.revision, std::move(*done)};
   }
 }
 
@@ -91,7 +91,7 @@
                          return;
                        }
                        Page& page = pages_[number];
-                       page.stamp = item.stamp;
+                       page.revision = item.revision;
                        page.oversized = static_cast<double>(dump_json(item.data).size()) > value_bytes_;
                        read.emplace_back(number, std::move(*record));
                      }
@@ -107,7 +107,7 @@
     const auto it = jobs_.find(name);
     if (it == jobs_.end()) continue;  // ended since
     Job& job = *it->second;
-    auto done = RangeSet::from_text(text, job.spec().pieces);
+    auto done = RangeSet::from_text(text, job.spec().task_count);
     if (!done) {
       spdlog::error("completions of {} in page {} cannot be read", name, number);
       continue;
@@ -137,18 +137,19 @@
         shape_machine(*slot);
       }
       Machine& machine = *slot;
-      machine.record.tenure = std::max(machine.record.tenure, record.tenure);
+      machine.record.worker_incarnation =
+          std::max(machine.record.worker_incarnation, record.worker_incarnation);
       Placement placement;
       placement.job = job;
       placement.index = from.index;
-      placement.try_no = from.try_no;
+      placement.attempt = from.attempt;
       placement.stage = Placement::Stage::kRecorded;
       placement.page = number;
       placement.inherited = true;
       if (job->is_gang()) {
-        job->attempt.number = from.try_no;
+        job->attempt.number = from.attempt;
         placement.stop_recorded =
-            std::find(record.stopping.begin(), record.stopping.end(), from.try_no) != record.stopping.end();
+            std::find(record.stopping.begin(), record.stopping.end(), from.attempt) != record.stopping.end();
         job->attempt.stopping |= placement.stop_recorded;
       }
       job->waiting.erase(from.index);
@@ -162,7 +163,7 @@
   active_ = true;
   std::size_t placed = 0;
   for (const auto& [name, machine] : machines_) placed += machine->placements.size();
-  spdlog::info("part {} active, baton {}: {} open jobs, {} machines, {} placements", id_, baton_,
+  spdlog::info("part {} active, baton {}: {} open jobs, {} machines, {} placements", id_, fencing_token_,
                jobs_.size(), machines_.size(), placed);
   watch();
   for (const auto& [name, job] : jobs_) {
@@ -176,10 +177,10 @@
     if (!job->is_gang() || job->placed == 0) continue;
     GangAttempt& attempt = job->attempt;
     attempt.placed_at = attempt.launched_at = attempt.stopping_since = ctx_.env->now();
-    attempt.failed = job->placed < job->spec().pieces;
+    attempt.failed = job->placed < job->spec().task_count;
     attempt.stop_recorded = attempt.stopping;
   }
-  raise_batons();
+  raise_fencing_tokens();
   auto early = std::move(early_);
   early_.clear();
   for (EarlyReport& each : early) on_report(std::move(each.report), each.relayed, std::move(each.responder));
@@ -198,7 +199,7 @@
                         if (events != reply.body.end() && events->is_array()) {
                           for (const Json& event : *events) on_event(event);
                         }
-                        watched_up_to(reply.epoch());
+                        watched_up_to(reply.revision());
                         wait = std::max(0.0, kWatchGap - took);
                         pump();
                       } else if (reply.outcome == Outcome::kGone) {
@@ -244,39 +245,39 @@
 
 // The answer may come late. What the watch, or loading, has covered by then we know already, whatever became
 // of it since: the job may have run and ended.
-void Part::admit(HeadRecord head, std::uint64_t stamp) {
-  if (stamp > watched_) take_up(std::move(head), stamp);
+void Part::admit(HeadRecord head, std::uint64_t revision) {
+  if (revision > watched_) take_up(std::move(head), revision);
 }
 
-void Part::take_up(HeadRecord head, std::uint64_t stamp) {
+void Part::take_up(HeadRecord head, std::uint64_t revision) {
   const std::string& ref = head.spec.ref;
   if (jobs_.count(ref) > 0 || over_ahead_of_watch_.count(ref) > 0) return;
-  add_job(std::move(head), stamp);
+  add_job(std::move(head), revision);
   wake();
 }
 
-JobPtr Part::make_job(HeadRecord head, std::uint64_t stamp) {
+JobPtr Part::make_job(HeadRecord head, std::uint64_t revision) {
   auto job = std::make_shared<Job>();
   job->head = std::move(head);
-  job->head_stamp = stamp;
+  job->job_revision = revision;
   job->home = id_;
   job->idle_since = ctx_.env->now();
   const JobSpec& spec = job->spec();
-  job->team = std::max(0, ctx_.settings->team_index(spec.owner));
-  job->bundle = bundles_.intern(spec.bundle);
+  job->team = std::max(0, ctx_.settings->team_index(spec.team));
+  job->image = images_.intern(spec.image);
   job->demand = {spec.cores, spec.memory_gb, spec.accelerators};
-  job->least_cores = least_cores(spec.flavours, job->demand);
+  job->least_cores = least_cores(spec.machine_types, job->demand);
   return job;
 }
 
-void Part::add_job(HeadRecord head, std::uint64_t stamp) {
-  const JobPtr job = make_job(std::move(head), stamp);
+void Part::add_job(HeadRecord head, std::uint64_t revision) {
+  const JobPtr job = make_job(std::move(head), revision);
   const JobSpec& spec = job->spec();
-  job->waiting.insert(0, spec.pieces);
+  job->waiting.insert(0, spec.task_count);
   if (const auto found = unaccounted_.find(spec.ref); found != unaccounted_.end())
-    job->waiting.erase(found->second.held_of(spec.pieces));
-  spdlog::info("{} known: {} of {}, {} tasks of {} cores", spec.ref, spec.workload, spec.owner, spec.pieces,
-               spec.cores);
+    job->waiting.erase(found->second.held_of(spec.task_count));
+  spdlog::info("{} known: {} of {}, {} tasks of {} cores", spec.ref, spec.job_class, spec.team,
+               spec.task_count, spec.cores);
   jobs_.emplace(spec.ref, job);
 }
 
@@ -295,7 +296,7 @@
   const auto it = jobs_.find(name);
   if (it == jobs_.end()) return;
   const Job& job = *it->second;
-  const std::uint64_t known_at = job.borrowed() ? job.block_stamp : job.head_stamp;
+  const std::uint64_t known_at = job.borrowed() ? job.delegation_revision : job.job_revision;
   if (known_at > watched_) over_ahead_of_watch_[name] = known_at;
   jobs_.erase(it);
 }
--- a/src/coordination/part_memory.cpp
+++ b/src/coordination/part_memory.cpp
@@ -10,14 +10,14 @@
 ShardMemory Part::memory() const {
   ShardMemory out;
   out.shard = id_;
-  out.token = baton_;
+  out.token = fencing_token_;
   for (const auto& [name, job] : jobs_) {
     JobMemory item;
     item.head = job->head;
     item.done = job->done;
     item.borrowed = job->borrowed();
     if (const auto held = unaccounted_.find(name); held != unaccounted_.end()) {
-      item.held = held->second.held_of(job->spec().pieces);
+      item.held = held->second.held_of(job->spec().task_count);
       item.may_have_ended = held->second.silent();
     }
     for (const auto& [key, lent] : job->lent) {
@@ -35,7 +35,7 @@
     record.placements.clear();
     for (const Placement& placement : machine->placements) {
       if (placement.stage == Placement::Stage::kNew) continue;
-      record.placements.push_back({placement.job->spec().ref, placement.index, placement.try_no});
+      record.placements.push_back({placement.job->spec().ref, placement.index, placement.attempt});
     }
     if (!record.placements.empty()) out.machines.emplace(name, std::move(record));
   }
@@ -87,7 +87,7 @@
 
 // The ending that follows is what makes it durable: until then an operator may have to say it again.
 void Part::count_held_as_done(const JobPtr& job) {
-  const RangeSet held = unaccounted_.at(job->spec().ref).held_of(job->spec().pieces);
+  const RangeSet held = unaccounted_.at(job->spec().ref).held_of(job->spec().task_count);
   spdlog::info("{}: {} unaccounted tasks count as done, by an operator", job->spec().ref, held.size());
   for (const auto& [first, last] : held.ranges()) {
     for (int index = first; index < last; index++) mark_done(job, index);
@@ -102,7 +102,7 @@
   send_commit(Lane::kRest, kRestSlot, txn, [this, job](std::uint64_t) {
     const auto found = unaccounted_.find(job->spec().ref);
     if (found == unaccounted_.end()) return;  // said twice
-    RangeSet held = found->second.held_of(job->spec().pieces);
+    RangeSet held = found->second.held_of(job->spec().task_count);
     unaccounted_.erase(found);
     held.erase(job->done);
     spdlog::info("{}: {} unaccounted tasks start again, by an operator", job->spec().ref, held.size());
--- a/src/coordination/part_preempt.cpp
+++ b/src/coordination/part_preempt.cpp
@@ -39,7 +39,7 @@
 
 bool breaks_up(const Job& job, const Machine& machine) {
   const JobSpec& spec = job.spec();
-  return !spec.saves() && spec.guess_s > kLongTask && 2 * job.demand[0] <= machine.capacity[0];
+  return !spec.can_checkpoint() && spec.estimated_s > kLongTask && 2 * job.demand[0] <= machine.capacity[0];
 }
 }  // namespace
 
@@ -69,7 +69,7 @@
     }
   }
   const bool elsewhere = std::any_of(elsewhere_.begin(), elsewhere_.end(), [&machine](const auto& hint) {
-    return hint.startable && (hint.loaner || !machine.record.loaner) && fits(hint.demand, machine.room);
+    return hint.startable && (hint.allows_spot || !machine.record.spot) && fits(hint.demand, machine.room);
   });
   const double now = ctx_.env->now();
   if (!elsewhere) {
@@ -90,10 +90,10 @@
 bool Part::open_to_best_effort(const Job& job, const Machine& machine, bool is_quiet) const {
   if (overlooked(job)) return true;
   const bool wanted_now = machine.wanted_at == ctx_.env->now();
-  const bool short_task = job.spec().guess_s <= kShortTask;
+  const bool short_task = job.spec().estimated_s <= kShortTask;
   if (short_task ? wanted_now : !is_quiet || beyond_headroom_ < job.demand[0]) return false;
   // Ordinary machines are dear, and go back as soon as they are idle.
-  if (!machine.record.loaner && job.spec().loaner) return false;
+  if (!machine.record.spot && job.spec().allows_spot) return false;
   if (!breaks_up(job, machine)) return true;
   const bool broken_up = std::any_of(machine.placements.begin(), machine.placements.end(),
                                      [&machine](const Placement& p) { return breaks_up(*p.job, machine); });
@@ -117,14 +117,14 @@
     // (A gang would have to be stopped as a whole.)
     if (placement.stage != Placement::Stage::kRecorded || !gives_way(job) || job.is_gang()) continue;
     const double ran = placement.running_since == 0 ? 0 : now - placement.running_since;
-    const bool soon_over = placement.running_since != 0 && job.spec().guess_s - ran < kNearlyDone;
+    const bool soon_over = placement.running_since != 0 && job.spec().estimated_s - ran < kNearlyDone;
     const bool only_one = job.placed == 1 && job.done.empty();
     const auto stops = job.stops.find(placement.index);
-    if (soon_over || only_one || placement.phase == PiecePhase::kSaving ||
+    if (soon_over || only_one || placement.phase == TaskPhase::kCheckpointing ||
         (stops != job.stops.end() && stops->second >= kMostStops)) {
       continue;
     }
-    const double lost_s = kRestart + (job.spec().saves() ? job.spec().snapshot_cost_s : ran);
+    const double lost_s = kRestart + (job.spec().can_checkpoint() ? job.spec().checkpoint_cost_s : ran);
     out.candidates.push_back({i, job.demand, lost_s * job.demand[0]});
   }
   return out;
--- a/src/coordination/part_progress.cpp
+++ b/src/coordination/part_progress.cpp
@@ -30,7 +30,7 @@
 int Part::longest_part(const Job& job, const RangeSet& main) {
   int longest = 0;
   std::size_t most = 0;
-  const int count = (job.spec().pieces + kTasksPerPart - 1) / kTasksPerPart;
+  const int count = (job.spec().task_count + kTasksPerPart - 1) / kTasksPerPart;
   for (int number = 0; number < count; number++) {
     const std::size_t ranges = main.slice(number * kTasksPerPart, (number + 1) * kTasksPerPart).range_count();
     if (ranges <= most) continue;
@@ -44,11 +44,11 @@
 Part::ProgressWrite Part::add_progress(Transaction& txn, Job& job) const {
   const std::string& ref = job.spec().ref;
   // (The head, too: it ends with the job, so that no late copy of this leaves a record behind.)
-  txn.guard(keys::head(id_, ref), job.head_stamp);
+  txn.guard(keys::head(id_, ref), job.job_revision);
   const RangeSet main = main_progress(job);
   job.fold_due = false;
   if (static_cast<double>(main.text_bytes()) <= kProgressFill * value_bytes_) {
-    txn.guard(keys::progress(id_, ref), job.progress_stamp);
+    txn.guard(keys::progress(id_, ref), job.progress_revision);
     txn.put(keys::progress(id_, ref), {{"done", main.to_text()}});
     return {ProgressWrite::kMain, job.done};
   }
@@ -88,7 +88,7 @@
       RangeSet missing = lent.done;
       missing.erase(item.write.done);
       if (!lent.complete() || !missing.empty() || txn.then.size() + 1 > most) continue;
-      txn.guard(key, lent.stamp);
+      txn.guard(key, lent.revision);
       txn.remove(key);
       item.merged.push_back(key);
     }
@@ -96,15 +96,15 @@
     items.push_back(std::move(item));
   }
   if (items.empty()) return false;
-  const auto done = [this, items](std::uint64_t epoch) {
+  const auto done = [this, items](std::uint64_t revision) {
     for (const Item& item : items) {
       Job& job = *item.job;
       job.progress_inflight = false;
       for (const std::string& key : item.merged) job.lent.erase(key);
       if (item.write.part == ProgressWrite::kMain) {
-        job.progress_stamp = epoch;
+        job.progress_revision = revision;
       } else {
-        job.progress_parts[item.write.part] = {epoch, item.write.done};
+        job.progress_parts[item.write.part] = {revision, item.write.done};
       }
       folded(item.job, job.spec().ref, item.write.done);
     }
--- a/src/coordination/part_quota.cpp
+++ b/src/coordination/part_quota.cpp
@@ -21,7 +21,7 @@
                      for (const StateItem& item : items) {
                        const int team = std::atoi(item.key.c_str() + keys::kTeams.size());
                        if (team >= 0 && team < static_cast<int>(teams_.size()))
-                         note_team(team, item.data, item.stamp);
+                         note_team(team, item.data, item.revision);
                      }
                      // One that never moved is split evenly, without a record.
                      for (int t = 0; t < static_cast<int>(teams_.size()); t++) {
@@ -44,10 +44,10 @@
   return {{"c", std::move(cores)}, {"g", std::move(gpus)}};
 }
 
-void Part::note_team(int team, const Json& data, std::uint64_t stamp) {
+void Part::note_team(int team, const Json& data, std::uint64_t revision) {
   try {
     const auto at = static_cast<std::size_t>(id_);
-    teams_.allow(team, data.at("c").at(at).get<double>(), data.at("g").at(at).get<double>(), stamp);
+    teams_.allow(team, data.at("c").at(at).get<double>(), data.at("g").at(at).get<double>(), revision);
     splits_[team] = data;
   } catch (const Json::exception&) {
     spdlog::error("record {} cannot be read", keys::team(team));
@@ -57,10 +57,10 @@
 void Part::on_team_event(const Json& event) {
   if (!event.contains("put") || !event.contains("data")) return;
   const int team = std::atoi(event["put"].get_ref<const std::string&>().c_str() + keys::kTeams.size());
-  const auto stamp = event.value("stamp", std::uint64_t{0});
-  if (team < 0 || team >= static_cast<int>(teams_.size()) || stamp <= teams_.stamp(team)) return;
+  const auto revision = event.value("stamp", std::uint64_t{0});
+  if (team < 0 || team >= static_cast<int>(teams_.size()) || revision <= teams_.revision(team)) return;
   if (moving_.count(team) > 0) return;  // our own move finds out
-  note_team(team, event["data"], stamp);
+  note_team(team, event["data"], revision);
 }
 
 void Part::note_short(const Job& job) {
@@ -161,11 +161,11 @@
   split["g"][from_at] = split["g"][from_at].get<double>() - give_gpus;
   split["g"][to_at] = split["g"][to_at].get<double>() + give_gpus;
   Transaction txn = guarded();
-  txn.guard(keys::team(team), teams_.stamp(team));
+  txn.guard(keys::team(team), teams_.revision(team));
   txn.put(keys::team(team), split);
   // Given up before it is written: whenever the write takes effect, we do not use it any more.
   teams_.allow(team, split["c"][from_at].get<double>(), split["g"][from_at].get<double>(),
-               teams_.stamp(team));
+               teams_.revision(team));
   moving_.insert(team);
   counters_.moves++;
   commit_allowance(team, std::make_shared<std::string>(txn.body()), split);
@@ -177,7 +177,7 @@
       Lane::kRest, *body, 1, alive([this, team, body, split](const StateReply& reply) {
         if (reply.ok()) {
           moving_.erase(team);
-          note_team(team, split, reply.epoch());
+          note_team(team, split, reply.revision());
         } else if (reply.outcome == Outcome::kConflict) {
           // Another move came first, or an unanswered copy of this one: the key tells.
           reload_team(team);
--- a/src/coordination/part_summary.cpp
+++ b/src/coordination/part_summary.cpp
@@ -15,18 +15,19 @@
 namespace {
 // How long a placed task may still hold its room. Estimates are often too low: one that is overdue is taken
 // to need a part of what it has had.
-double remaining(const Placement& placement, double pull_gb_per_s, double now) {
+double remaining(const Placement& placement, double fetch_gb_per_s, double now) {
   const JobSpec& spec = placement.job->spec();
-  if (placement.running_since == 0) return spec.guess_s + 0.5 * spec.pull_gb / std::max(0.01, pull_gb_per_s);
+  if (placement.running_since == 0)
+    return spec.estimated_s + 0.5 * spec.image_gb / std::max(0.01, fetch_gb_per_s);
   const double ran = now - placement.running_since;
-  return std::max(spec.guess_s - ran, 0.25 * std::max(ran, 4.0));
+  return std::max(spec.estimated_s - ran, 0.25 * std::max(ran, 4.0));
 }
 }  // namespace
 
 void Part::note_ordinary_use(const Job& job, double cores, OrdinaryUse& use) {
   use.cores += cores;
   use.squares += cores * cores;
-  const double at_once = job.is_gang() ? job.spec().pieces : 1;
+  const double at_once = job.is_gang() ? job.spec().task_count : 1;
   for (std::size_t r = 0; r < use.largest.size(); r++)
     use.largest[r] = std::max(use.largest[r], at_once * job.demand[r]);
 }
@@ -36,14 +37,14 @@
   const double now = ctx_.env->now();
   PartSummary out;
   out.part = id_;
-  out.baton = baton_;
+  out.fencing_token = fencing_token_;
   for (const auto& [name, machine] : machines_) {
     MachineSummary item;
     item.name = name;
-    item.flavour = machine->record.flavour;
-    item.hall = machine->record.hall;
+    item.machine_type = machine->record.machine_type;
+    item.zone = machine->record.zone;
     item.address = machine->record.address;
-    item.spot = machine->record.loaner;
+    item.spot = machine->record.spot;
     item.welcome =
         machine->type >= 0 && machine->welcome() && now - machine->last_heard < ctx_.settings->lease_s / 2;
     // One that does not hear us for long is of no use either.
@@ -57,7 +58,7 @@
     std::map<int, Resources> yielding;  // likewise, held by best-effort work
     rooms[0] = machine->room;
     for (const Placement& placement : machine->placements) {
-      const double rate = machine->type >= 0 ? ctx_.types->at(machine->type).pull_gb_per_s : 1;
+      const double rate = machine->type >= 0 ? ctx_.types->at(machine->type).fetch_gb_per_s : 1;
       const int bucket = 1 + static_cast<int>(remaining(placement, rate, now) / kBucket);
       Resources& room = gives_way(*placement.job) ? yielding[bucket] : rooms[bucket];
       for (std::size_t r = 0; r < 3; r++) room[r] += placement.job->demand[r];
@@ -80,7 +81,7 @@
     out.used_by_team[job->team] += job->placed * job->demand[0];
     if (!job->borrowed() && !gives_way(*job)) {
       const double cores = (job->placed + count + job->lent_open()) * job->demand[0];
-      if (spec.loaner) {
+      if (spec.allows_spot) {
         out.squares += cores * cores;
       } else {
         note_ordinary_use(*job, cores, out.ordinary);
@@ -93,13 +94,13 @@
     demand.team = job->team;
     // (Promoted best-effort work is asked for like other work.)
     demand.urgency = gives_way(*job) ? 0 : std::max(1, static_cast<int>(spec.urgency));
-    demand.guess_s = spec.guess_s;
-    demand.pull_gb = spec.pull_gb;
-    if (spec.due_s) demand.time_left_s = job->head.submitted + *spec.due_s - wall;
-    demand.workload = spec.workload;
-    demand.loaner = spec.loaner;
-    if (spec.flavours) demand.flavours = *spec.flavours;
-    if (spec.hall) demand.hall = *spec.hall;
+    demand.estimated_s = spec.estimated_s;
+    demand.image_gb = spec.image_gb;
+    if (spec.deadline_s) demand.time_left_s = job->head.submitted + *spec.deadline_s - wall;
+    demand.job_class = spec.job_class;
+    demand.allows_spot = spec.allows_spot;
+    if (spec.machine_types) demand.machine_types = *spec.machine_types;
+    if (spec.zone) demand.zone = *spec.zone;
     demand.submitted = job->head.submitted;
     demand.starving = starving(*job);
     demand.gang = job->is_gang();
--- a/src/coordination/state_client.cpp
+++ b/src/coordination/state_client.cpp
@@ -40,7 +40,7 @@
 
 std::string Transaction::body() const {
   Json conditions = Json::array();
-  for (const auto& [key, stamp] : guards) conditions.push_back({{"k", key}, {"stamp", stamp}});
+  for (const auto& [key, revision] : guards) conditions.push_back({{"k", key}, {"stamp", revision}});
   return dump_json({{"guards", std::move(conditions)}, {"then", then}});
 }
 
@@ -129,10 +129,10 @@
   for (std::size_t lane = 0; lane < lanes_.size(); lane++) {
     auto& queue = lanes_[lane];
     while (!queue.empty()) {
-      Pending& head = queue.front();
-      if (now >= head.give_up) {
+      Pending& next = queue.front();
+      if (now >= next.give_up) {
         counters_.refused_here++;
-        env_.after(0, [handler = std::move(head.handler)] { handler({Outcome::kRefused, Json()}); });
+        env_.after(0, [handler = std::move(next.handler)] { handler({Outcome::kRefused, Json()}); });
         queue.pop_front();
         continue;
       }
@@ -144,17 +144,17 @@
       // they take is a debt that the other lanes pay.
       const bool urgent = lane == static_cast<std::size_t>(Lane::kLease);
       if (urgent || (calls_.can_take(1, reserve, now) &&
-                     (head.writes == 0 || writes_.can_take(head.writes, writes_reserve, now)))) {
+                     (next.writes == 0 || writes_.can_take(next.writes, writes_reserve, now)))) {
         calls_.take(1, now);
-        if (head.writes > 0) writes_.take(head.writes, now);
-        Pending taken = std::move(head);
+        if (next.writes > 0) writes_.take(next.writes, now);
+        Pending taken = std::move(next);
         queue.pop_front();
         send(static_cast<Lane>(lane), std::move(taken));
         continue;
       }
       const double need = std::max(calls_.wait_s(1, reserve, now),
-                                   head.writes == 0 ? 0.0 : writes_.wait_s(head.writes, writes_reserve, now));
-      const double until = std::clamp(std::min(need, head.give_up - now), 0.002, 0.5);
+                                   next.writes == 0 ? 0.0 : writes_.wait_s(next.writes, writes_reserve, now));
+      const double until = std::clamp(std::min(need, next.give_up - now), 0.002, 0.5);
       if (wait < 0 || until < wait) wait = until;
       break;
     }
@@ -221,7 +221,7 @@
   Lane lane = Lane::kRest;
   std::string prefix;
   std::string from;
-  std::uint64_t epoch = 0;
+  std::uint64_t revision = 0;
   PageHandler page;
   ScanEnd end;
 };
@@ -233,9 +233,9 @@
       [all](std::vector<StateItem> items) {
         std::move(items.begin(), items.end(), std::back_inserter(*all));
       },
-      [all, handler = std::move(handler)](Outcome outcome, std::uint64_t epoch) {
+      [all, handler = std::move(handler)](Outcome outcome, std::uint64_t revision) {
         if (outcome != Outcome::kOk) all->clear();
-        handler(outcome, std::move(*all), epoch);
+        handler(outcome, std::move(*all), revision);
       });
 }
 
@@ -256,7 +256,7 @@
       work->end(reply.outcome, 0);
       return;
     }
-    if (work->epoch == 0) work->epoch = reply.epoch();
+    if (work->revision == 0) work->revision = reply.revision();
     std::vector<StateItem> page;
     const auto items = reply.body.find("items");
     if (items != reply.body.end() && items->is_array()) {
@@ -269,7 +269,7 @@
     if (more) {
       scan_page(work);
     } else {
-      work->end(Outcome::kOk, work->epoch);
+      work->end(Outcome::kOk, work->revision);
     }
   });
 }
@@ -289,8 +289,8 @@
   submit(Lane::kLease, {"", "POST", "/leases", dump_json(body), kCallSeconds}, 0, std::move(handler));
 }
 
-void StateClient::lease_renew(std::uint64_t hold, double timeout_s, StateHandler handler) {
-  submit(Lane::kLease, {"", "POST", "/leases/" + std::to_string(hold) + "/renew", "{}", timeout_s}, 0,
+void StateClient::lease_renew(std::uint64_t lease_id, double timeout_s, StateHandler handler) {
+  submit(Lane::kLease, {"", "POST", "/leases/" + std::to_string(lease_id) + "/renew", "{}", timeout_s}, 0,
          std::move(handler));
 }
 
--- a/src/coordination/state_client.hpp
+++ b/src/coordination/state_client.hpp
@@ -34,7 +34,7 @@
   Outcome outcome = Outcome::kUnknown;
   Json body;
   [[nodiscard]] bool ok() const { return outcome == Outcome::kOk; }
-  [[nodiscard]] std::uint64_t epoch() const {
+  [[nodiscard]] std::uint64_t revision() const {
     return body.is_object() ? body.value("epoch", std::uint64_t{0}) : 0;
   }
 };
@@ -45,10 +45,10 @@
 struct Transaction {
   std::vector<std::pair<std::string, std::uint64_t>> guards;
   Json then = Json::array();
-  void guard(const std::string& key, std::uint64_t stamp) { guards.emplace_back(key, stamp); }
+  void guard(const std::string& key, std::uint64_t revision) { guards.emplace_back(key, revision); }
   void put(const std::string& key, Json data) { then.push_back({{"put", key}, {"data", std::move(data)}}); }
-  void put_held(const std::string& key, Json data, std::uint64_t hold) {
-    then.push_back({{"put", key}, {"data", std::move(data)}, {"hold", hold}});
+  void put_with_lease(const std::string& key, Json data, std::uint64_t lease_id) {
+    then.push_back({{"put", key}, {"data", std::move(data)}, {"hold", lease_id}});
   }
   void remove(const std::string& key) { then.push_back({{"delete", key}}); }
   [[nodiscard]] std::string body() const;
@@ -57,7 +57,7 @@
 struct StateItem {
   std::string key;
   Json data;
-  std::uint64_t stamp = 0;
+  std::uint64_t revision = 0;
 };
 
 class StateClient {
@@ -76,15 +76,15 @@
   void commit_body(Lane lane, std::string body, int writes, StateHandler handler);
   void get(Lane lane, const std::string& key, StateHandler handler);
   // All items under a prefix, page by page; the epoch is the first page's.
-  using ListHandler = std::function<void(Outcome, std::vector<StateItem>, std::uint64_t epoch)>;
+  using ListHandler = std::function<void(Outcome, std::vector<StateItem>, std::uint64_t revision)>;
   void list(Lane lane, const std::string& prefix, ListHandler handler);
   // Likewise, each page as it comes: for what is too much to be held at once.
   using PageHandler = std::function<void(std::vector<StateItem>)>;
-  using ScanEnd = std::function<void(Outcome, std::uint64_t epoch)>;
+  using ScanEnd = std::function<void(Outcome, std::uint64_t revision)>;
   void scan(Lane lane, const std::string& prefix, PageHandler page, ScanEnd end);
   void watch(const std::string& prefix, std::uint64_t from, double wait_s, StateHandler handler);
   void lease_create(double ttl_s, StateHandler handler);
-  void lease_renew(std::uint64_t hold, double timeout_s, StateHandler handler);
+  void lease_renew(std::uint64_t lease_id, double timeout_s, StateHandler handler);
 
   // So long ago it last said anything but 503, to any call; never: since the start. What happened there
   // before that start is not known, so a new process has been without it only since then.
--- a/src/coordination/summary.cpp
+++ b/src/coordination/summary.cpp
@@ -16,7 +16,7 @@
     for (const FleetRoom& room : machine.rooms) {
       rooms.push_back({room.at_s, room.room[0], room.room[1], room.room[2], room.yields});
     }
-    machine_list.push_back({machine.name, machine.flavour, machine.hall, machine.address, machine.spot,
+    machine_list.push_back({machine.name, machine.machine_type, machine.zone, machine.address, machine.spot,
                             machine.welcome, machine.sick, machine.draining, machine.empty, machine.silent_s,
                             machine.idle_s, std::move(rooms)});
   }
@@ -26,13 +26,13 @@
                            {"n", demand.count},
                            {"t", demand.team},
                            {"u", demand.urgency},
-                           {"g", demand.guess_s},
-                           {"p", demand.pull_gb},
+                           {"g", demand.estimated_s},
+                           {"p", demand.image_gb},
                            {"l", demand.time_left_s},
-                           {"w", demand.workload},
-                           {"s", demand.loaner},
-                           {"f", demand.flavours},
-                           {"h", demand.hall},
+                           {"w", demand.job_class},
+                           {"s", demand.allows_spot},
+                           {"f", demand.machine_types},
+                           {"h", demand.zone},
                            {"a", demand.submitted},
                            {"z", demand.starving}});
     if (demand.gang) demand_list.back()["k"] = true;
@@ -42,7 +42,7 @@
   Json wanted = Json::array();
   for (const auto& [team, cores] : wanted_by_team) wanted.push_back({team, cores});
   Json out = {{"part", part},
-              {"baton", baton},
+              {"baton", fencing_token},
               {"squares", squares},
               {"wanted", std::move(wanted)},
               {"teams", std::move(teams)},
@@ -56,7 +56,7 @@
   PartSummary out;
   try {
     out.part = value.at("part").get<int>();
-    out.baton = value.at("baton").get<std::uint64_t>();
+    out.fencing_token = value.at("baton").get<std::uint64_t>();
     for (const Json& item : value.at("wanted"))
       out.wanted_by_team[item.at(0).get<int>()] = item.at(1).get<double>();
     out.squares = value.value("squares", 0.0);
@@ -69,8 +69,8 @@
     for (const Json& item : value.at("machines")) {
       MachineSummary machine;
       machine.name = item.at(0).get<std::string>();
-      machine.flavour = item.at(1).get<std::string>();
-      machine.hall = item.at(2).get<std::string>();
+      machine.machine_type = item.at(1).get<std::string>();
+      machine.zone = item.at(2).get<std::string>();
       machine.address = item.at(3).get<std::string>();
       machine.spot = item.at(4).get<bool>();
       machine.welcome = item.at(5).get<bool>();
@@ -93,13 +93,13 @@
       demand.count = item.at("n").get<int>();
       demand.team = item.at("t").get<int>();
       demand.urgency = item.at("u").get<int>();
-      demand.guess_s = item.at("g").get<double>();
-      demand.pull_gb = item.at("p").get<double>();
+      demand.estimated_s = item.at("g").get<double>();
+      demand.image_gb = item.at("p").get<double>();
       demand.time_left_s = item.at("l").get<double>();
-      demand.workload = item.at("w").get<std::string>();
-      demand.loaner = item.at("s").get<bool>();
-      demand.flavours = item.at("f").get<std::vector<std::string>>();
-      demand.hall = item.at("h").get<std::string>();
+      demand.job_class = item.at("w").get<std::string>();
+      demand.allows_spot = item.at("s").get<bool>();
+      demand.machine_types = item.at("f").get<std::vector<std::string>>();
+      demand.zone = item.at("h").get<std::string>();
       demand.submitted = item.at("a").get<double>();
       demand.starving = item.value("z", false);
       demand.gang = item.value("k", false);
@@ -114,9 +114,9 @@
 Json FleetOrders::to_json() const {
   Json hints = Json::array();
   for (const WaitingHint& hint : waiting)
-    hints.push_back({to_list(hint.demand), hint.urgency, hint.loaner, hint.starving, hint.startable});
+    hints.push_back({to_list(hint.demand), hint.urgency, hint.allows_spot, hint.starving, hint.startable});
   return {{"draining", draining},
-          {"winding", winding},
+          {"winding", cordoned},
           {"gone", gone},
           {"waiting", std::move(hints)},
           {"headroom", headroom_share}};
@@ -126,7 +126,7 @@
   FleetOrders out;
   try {
     out.draining = value.at("draining").get<std::vector<std::string>>();
-    out.winding = value.at("winding").get<std::vector<std::string>>();
+    out.cordoned = value.at("winding").get<std::vector<std::string>>();
     out.headroom_share = value.value("headroom", 0.0);
     out.gone = value.at("gone").get<std::vector<std::string>>();
     for (const Json& hint : value.at("waiting")) {
--- a/src/coordination/summary.hpp
+++ b/src/coordination/summary.hpp
@@ -12,8 +12,8 @@
 
 struct MachineSummary {
   std::string name;
-  std::string flavour;
-  std::string hall;
+  std::string machine_type;
+  std::string zone;
   std::string address;
   bool spot = false;
   bool welcome = true;  // may anything new be started there
@@ -30,13 +30,13 @@
   int count = 0;
   int team = 0;
   int urgency = 0;
-  double guess_s = 0;
-  double pull_gb = 0;
+  double estimated_s = 0;
+  double image_gb = 0;
   double time_left_s = 1e9;
-  std::string workload;
-  bool loaner = false;
-  std::vector<std::string> flavours;  // empty: any
-  std::string hall;                   // empty: any
+  std::string job_class;
+  bool allows_spot = false;
+  std::vector<std::string> machine_types;  // empty: any
+  std::string zone;                        // empty: any
   double submitted = 0;
   bool starving = false;  // of its job nothing has begun for long
   bool gang = false;      // the tasks start together: they are asked for as one
@@ -53,7 +53,7 @@
 
 struct PartSummary {
   int part = 0;
-  std::uint64_t baton = 0;
+  std::uint64_t fencing_token = 0;
   std::map<int, double> wanted_by_team;  // cores placed and waiting
   std::map<int, double> used_by_team;
   double squares = 0;  // of the cores that each open job of this part's own has placed or waiting, summed
@@ -69,7 +69,7 @@
 struct WaitingHint {
   Resources demand{};
   int urgency = 0;
-  bool loaner = false;
+  bool allows_spot = false;
   bool starving = false;
   bool startable = false;  // goes before best-effort work, and lacks nothing but room
   double least_cores = 0;  // of the smallest machine type that can hold it; for the part to work out
@@ -77,7 +77,7 @@
 
 struct FleetOrders {
   std::vector<std::string> draining;
-  std::vector<std::string> winding;
+  std::vector<std::string> cordoned;
   std::vector<std::string> gone;  // the cloud confirmed it
   std::vector<WaitingHint> waiting;
   double headroom_share = 0;  // of the machines' cores, kept free of best-effort work
--- a/src/coordination/user_api.cpp
+++ b/src/coordination/user_api.cpp
@@ -166,7 +166,7 @@
   head.submitted = ctx_.env->wall();
   // A long list of machine types, most of them unknown here, must not keep the job from being recorded.
   const auto bytes = static_cast<double>(dump_json(head.to_json()).size());
-  if (bytes > kHeadFill * ctx_.settings->value_kb * 1024) keep_known_flavours(head.spec, *ctx_.types);
+  if (bytes > kHeadFill * ctx_.settings->value_kb * 1024) keep_known_machine_types(head.spec, *ctx_.types);
   Transaction txn;
   txn.guard(keys::head(part, ref), 0);
   for (const std::string& key : ctx_.state->key_space().ending_keys(part, ref)) txn.guard(key, 0);
@@ -182,7 +182,7 @@
           spdlog::info("{} accepted", ref);
           gangs_accepted_ |= head.spec.gang;
           note_accepted(head);
-          if (Part* ours = ctx_.part(part); ours != nullptr) ours->admit(head, reply.epoch());
+          if (Part* ours = ctx_.part(part); ours != nullptr) ours->admit(head, reply.revision());
           if (unaccounted) return poll(ref, false, responder);
           responder.send(201, dump_json({{"ref", ref}, {"phase", "queued"}}));
         } else if (reply.outcome == Outcome::kConflict && !unaccounted &&
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr int kMaxPieces = 100000;
+constexpr int kMaxTasks = 100000;
 constexpr std::size_t kMaxText = 256;
-constexpr std::size_t kMaxFlavours = 64;
+constexpr std::size_t kMaxMachineTypes = 64;
 constexpr const char* kArrayShape = "array";
 constexpr const char* kGangShape = "ensemble";
 
@@ -50,14 +50,14 @@
   return it != body.end() && !it->is_null();
 }
 
-bool split_piece(const std::string& piece, std::string& ref, int& index) {
-  const auto slash = piece.rfind('/');
+bool split_task_name(const std::string& task, std::string& ref, int& index) {
+  const auto slash = task.rfind('/');
   if (slash == std::string::npos) return false;
-  ref = piece.substr(0, slash);
-  const char* first = piece.data() + slash + 1;
-  const char* last = piece.data() + piece.size();
+  ref = task.substr(0, slash);
+  const char* first = task.data() + slash + 1;
+  const char* last = task.data() + task.size();
   const auto [end, error] = std::from_chars(first, last, index);
-  return error == std::errc() && end == last && index >= 0 && index < kMaxPieces && valid_ref(ref);
+  return error == std::errc() && end == last && index >= 0 && index < kMaxTasks && valid_ref(ref);
 }
 
 ExitCause parse_cause(const Json& item) {
@@ -70,8 +70,8 @@
   if (text == "no_room") return ExitCause::kNoRoom;
   if (text == "in_use") return ExitCause::kInUse;
   if (text == "no_such") return ExitCause::kNoSuch;
-  if (text == "mates_gone") return ExitCause::kMatesGone;
-  if (text == "alone") return ExitCause::kAlone;
+  if (text == "mates_gone") return ExitCause::kGangPeerLost;
+  if (text == "alone") return ExitCause::kGangIncomplete;
   return ExitCause::kOther;
 }
 
@@ -119,8 +119,8 @@
     return std::nullopt;
   };
   if (!get_text(body, "ref", spec.ref) || !valid_ref(spec.ref)) return bad("ref");
-  if (!get_text(body, "workload", spec.workload)) return bad("workload");
-  if (!get_text(body, "owner", spec.owner)) return bad("owner");
+  if (!get_text(body, "workload", spec.job_class)) return bad("workload");
+  if (!get_text(body, "owner", spec.team)) return bad("owner");
   std::string text;
   if (!get_text(body, "shape", text)) return bad("shape");
   spec.gang = text == kGangShape;
@@ -129,64 +129,65 @@
   const auto urgency = parse_urgency(text);
   if (!urgency) return bad("urgency");
   spec.urgency = *urgency;
-  std::uint64_t pieces = 0;
-  if (!get_count(body, "pieces", pieces) || pieces < 1 || pieces > kMaxPieces) return bad("pieces");
-  spec.pieces = static_cast<int>(pieces);
+  std::uint64_t task_count = 0;
+  if (!get_count(body, "pieces", task_count) || task_count < 1 || task_count > kMaxTasks)
+    return bad("pieces");
+  spec.task_count = static_cast<int>(task_count);
   if (!get_amount(body, "cores", spec.cores)) return bad("cores");
   if (!get_amount(body, "accelerators", spec.accelerators)) return bad("accelerators");
   if (!get_amount(body, "memory_gb", spec.memory_gb)) return bad("memory_gb");
   if (spec.cores <= 0 && spec.accelerators <= 0 && spec.memory_gb <= 0) return bad("cores");
-  if (!get_text(body, "bundle", spec.bundle)) return bad("bundle");
-  if (!get_amount(body, "pull_gb", spec.pull_gb)) return bad("pull_gb");
+  if (!get_text(body, "bundle", spec.image)) return bad("bundle");
+  if (!get_amount(body, "pull_gb", spec.image_gb)) return bad("pull_gb");
   if (present(body, "flavours")) {
     const Json& list = body["flavours"];
-    if (!list.is_array() || list.size() > kMaxFlavours) return bad("flavours");
-    std::vector<std::string> flavours;
+    if (!list.is_array() || list.size() > kMaxMachineTypes) return bad("flavours");
+    std::vector<std::string> machine_types;
     for (const Json& item : list) {
       if (!item.is_string() || item.get_ref<const std::string&>().size() > kMaxText) return bad("flavours");
-      flavours.push_back(item.get<std::string>());
+      machine_types.push_back(item.get<std::string>());
     }
-    spec.flavours = std::move(flavours);
+    spec.machine_types = std::move(machine_types);
   }
   if (present(body, "hall")) {
     if (!get_text(body, "hall", text)) return bad("hall");
-    spec.hall = text;
+    spec.zone = text;
   }
   if (!get_flag(body, "together", spec.together)) return bad("together");
   if (!get_flag(body, "scatter", spec.scatter)) return bad("scatter");
-  if (!get_flag(body, "loaner", spec.loaner)) return bad("loaner");
-  if (!get_amount(body, "guess_s", spec.guess_s)) return bad("guess_s");
-  if (!get_amount(body, "snapshot_every_s", spec.snapshot_every_s)) return bad("snapshot_every_s");
-  if (!get_amount(body, "snapshot_cost_s", spec.snapshot_cost_s)) return bad("snapshot_cost_s");
+  if (!get_flag(body, "loaner", spec.allows_spot)) return bad("loaner");
+  if (!get_amount(body, "guess_s", spec.estimated_s)) return bad("guess_s");
+  if (!get_amount(body, "snapshot_every_s", spec.checkpoint_interval_s)) return bad("snapshot_every_s");
+  if (!get_amount(body, "snapshot_cost_s", spec.checkpoint_cost_s)) return bad("snapshot_cost_s");
   if (present(body, "due_s")) {
     double due = 0;
     if (!get_amount(body, "due_s", due)) return bad("due_s");
-    spec.due_s = due;
+    spec.deadline_s = due;
   }
   return spec;
 }
 
 Json job_to_json(const JobSpec& spec) {
   Json out = {{"ref", spec.ref},
-              {"workload", spec.workload},
-              {"owner", spec.owner},
+              {"workload", spec.job_class},
+              {"owner", spec.team},
               {"shape", spec.gang ? kGangShape : kArrayShape},
               {"urgency", urgency_name(spec.urgency)},
-              {"pieces", spec.pieces},
+              {"pieces", spec.task_count},
               {"cores", spec.cores},
               {"accelerators", spec.accelerators},
               {"memory_gb", spec.memory_gb},
-              {"bundle", spec.bundle},
-              {"pull_gb", spec.pull_gb},
+              {"bundle", spec.image},
+              {"pull_gb", spec.image_gb},
               {"together", spec.together},
               {"scatter", spec.scatter},
-              {"loaner", spec.loaner},
-              {"guess_s", spec.guess_s},
-              {"snapshot_every_s", spec.snapshot_every_s},
-              {"snapshot_cost_s", spec.snapshot_cost_s}};
-  if (spec.flavours) out["flavours"] = *spec.flavours;
-  if (spec.hall) out["hall"] = *spec.hall;
-  if (spec.due_s) out["due_s"] = *spec.due_s;
+              {"loaner", spec.allows_spot},
+              {"guess_s", spec.estimated_s},
+              {"snapshot_every_s", spec.checkpoint_interval_s},
+              {"snapshot_cost_s", spec.checkpoint_cost_s}};
+  if (spec.machine_types) out["flavours"] = *spec.machine_types;
+  if (spec.zone) out["hall"] = *spec.zone;
+  if (spec.deadline_s) out["due_s"] = *spec.deadline_s;
   return out;
 }
 
@@ -204,14 +205,14 @@
     }
     get_amount(item, "accelerators", type.accelerators);
     get_amount(item, "local_gb", type.cache_gb);
-    get_amount(item, "pull_gb_per_s", type.pull_gb_per_s);
+    get_amount(item, "pull_gb_per_s", type.fetch_gb_per_s);
     get_amount(item, "hourly", type.hourly);
     get_amount(item, "spot_price", type.spot_price);
     get_amount(item, "boot_s", type.boot_s);
-    const auto halls = item.find("halls");
-    if (halls != item.end() && halls->is_array()) {
-      for (const Json& hall : *halls) {
-        if (hall.is_string()) type.halls.push_back(hall.get<std::string>());
+    const auto zones = item.find("halls");
+    if (zones != item.end() && zones->is_array()) {
+      for (const Json& zone : *zones) {
+        if (zone.is_string()) type.zones.push_back(zone.get<std::string>());
       }
     }
     out.types_.push_back(std::move(type));
@@ -227,17 +228,17 @@
                     {"accelerators", type.accelerators},
                     {"memory_gb", type.memory_gb},
                     {"local_gb", type.cache_gb},
-                    {"pull_gb_per_s", type.pull_gb_per_s},
+                    {"pull_gb_per_s", type.fetch_gb_per_s},
                     {"hourly", type.hourly},
                     {"spot_price", type.spot_price},
                     {"boot_s", type.boot_s},
-                    {"halls", type.halls}});
+                    {"halls", type.zones}});
   }
   return {{"flavours", list}};
 }
 
 double fetch_seconds(const JobSpec& spec, const MachineType& type) {
-  return spec.pull_gb / std::max(0.01, type.pull_gb_per_s);
+  return spec.image_gb / std::max(0.01, type.fetch_gb_per_s);
 }
 
 int MachineTypes::find(const std::string& name) const {
@@ -247,26 +248,27 @@
   return -1;
 }
 
-void keep_known_flavours(JobSpec& spec, const MachineTypes& types) {
-  if (!spec.flavours) return;
-  std::erase_if(*spec.flavours, [&types](const std::string& name) { return types.find(name) < 0; });
-  std::sort(spec.flavours->begin(), spec.flavours->end());
-  spec.flavours->erase(std::unique(spec.flavours->begin(), spec.flavours->end()), spec.flavours->end());
+void keep_known_machine_types(JobSpec& spec, const MachineTypes& types) {
+  if (!spec.machine_types) return;
+  std::erase_if(*spec.machine_types, [&types](const std::string& name) { return types.find(name) < 0; });
+  std::sort(spec.machine_types->begin(), spec.machine_types->end());
+  spec.machine_types->erase(std::unique(spec.machine_types->begin(), spec.machine_types->end()),
+                            spec.machine_types->end());
 }
 
 std::string never_runs(const JobSpec& spec, const Settings& settings, const MachineTypes& types) {
-  const int team = settings.team_index(spec.owner);
+  const int team = settings.team_index(spec.team);
   if (team < 0) return "unknown team";
   const Team& limits = settings.teams[static_cast<std::size_t>(team)];
-  const int at_once = spec.gang ? spec.pieces : 1;
+  const int at_once = spec.gang ? spec.task_count : 1;
   if (at_once * spec.cores > limits.cpus_max || at_once * spec.accelerators > limits.gpus_max)
     return "beyond the team's limit";
   for (const MachineType& type : types.all()) {
-    if (spec.flavours &&
-        std::find(spec.flavours->begin(), spec.flavours->end(), type.name) == spec.flavours->end()) {
+    if (spec.machine_types && std::find(spec.machine_types->begin(), spec.machine_types->end(), type.name) ==
+                                  spec.machine_types->end()) {
       continue;
     }
-    if (spec.hall && std::find(type.halls.begin(), type.halls.end(), *spec.hall) == type.halls.end())
+    if (spec.zone && std::find(type.zones.begin(), type.zones.end(), *spec.zone) == type.zones.end())
       continue;
     if (spec.cores <= type.cores && spec.accelerators <= type.accelerators &&
         spec.memory_gb <= type.memory_gb) {
@@ -280,9 +282,9 @@
   if (!body.is_object()) return std::nullopt;
   Report out;
   if (!get_text(body, "host", out.host) || !get_text(body, "address", out.address) ||
-      !get_text(body, "flavour", out.flavour) || !get_text(body, "hall", out.hall) ||
-      !get_flag(body, "loaner", out.loaner) || !get_count(body, "tenure", out.tenure) ||
-      !get_count(body, "tick", out.tick) || !get_count(body, "baton", out.baton)) {
+      !get_text(body, "flavour", out.machine_type) || !get_text(body, "hall", out.zone) ||
+      !get_flag(body, "loaner", out.spot) || !get_count(body, "tenure", out.worker_incarnation) ||
+      !get_count(body, "tick", out.sequence) || !get_count(body, "baton", out.fencing_token)) {
     return std::nullopt;
   }
   if (out.host.find_first_of(" /") != std::string::npos) return std::nullopt;
@@ -290,57 +292,57 @@
     double warning = 0;
     if (!body["warning_s"].is_number()) return std::nullopt;
     warning = body["warning_s"].get<double>();
-    out.warning_s = warning;
+    out.eviction_notice_s = warning;
   }
-  const auto pieces = body.find("pieces");
-  if (pieces == body.end() || pieces->is_null()) return out;
-  if (!pieces->is_array()) return std::nullopt;
-  out.pieces.reserve(pieces->size());
-  for (const Json& item : *pieces) {
-    PieceReport piece;
+  const auto task_count = body.find("pieces");
+  if (task_count == body.end() || task_count->is_null()) return out;
+  if (!task_count->is_array()) return std::nullopt;
+  out.tasks.reserve(task_count->size());
+  for (const Json& item : *task_count) {
+    TaskReport task;
     std::string text;
-    if (!item.is_object() || !get_text(item, "piece", text) || !split_piece(text, piece.ref, piece.index) ||
-        !get_count(item, "try_no", piece.try_no) || !get_text(item, "phase", text)) {
+    if (!item.is_object() || !get_text(item, "piece", text) || !split_task_name(text, task.ref, task.index) ||
+        !get_count(item, "try_no", task.attempt) || !get_text(item, "phase", text)) {
       return std::nullopt;
     }
     if (text == "pulling") {
-      piece.phase = PiecePhase::kPulling;
+      task.phase = TaskPhase::kFetchingImage;
     } else if (text == "waiting") {
-      piece.phase = PiecePhase::kWaiting;
+      task.phase = TaskPhase::kWaiting;
     } else if (text == "saving") {
-      piece.phase = PiecePhase::kSaving;
+      task.phase = TaskPhase::kCheckpointing;
     } else if (text == "exited") {
-      piece.phase = PiecePhase::kExited;
-      piece.cause = parse_cause(item);
+      task.phase = TaskPhase::kExited;
+      task.cause = parse_cause(item);
     }
-    out.pieces.push_back(std::move(piece));
+    out.tasks.push_back(std::move(task));
   }
   return out;
 }
 
-std::string piece_name(const std::string& ref, int index) { return ref + "/" + std::to_string(index); }
+std::string task_name(const std::string& ref, int index) { return ref + "/" + std::to_string(index); }
 
-std::string orders_body(std::uint64_t baton, std::optional<std::uint64_t> tenure,
+std::string orders_body(std::uint64_t fencing_token, std::optional<std::uint64_t> worker_incarnation,
                         const std::vector<Order>& orders) {
   Json list = Json::array();
   for (const Order& order : orders) {
-    Json item = {{"piece", order.piece}, {"try_no", order.try_no}};
+    Json item = {{"piece", order.task}, {"try_no", order.attempt}};
     switch (order.verb) {
       case Order::Verb::kLaunch:
         item["verb"] = "launch";
         break;
-      case Order::Verb::kReap:
+      case Order::Verb::kAcknowledgeExit:
         item["verb"] = "reap";
         break;
       case Order::Verb::kStop:
         item["verb"] = "stop";
-        item["wind_down_s"] = order.wind_down_s;
+        item["wind_down_s"] = order.grace_s;
         break;
     }
     list.push_back(std::move(item));
   }
-  Json body = {{"baton", baton}, {"orders", std::move(list)}};
-  if (tenure) body["tenure"] = *tenure;
+  Json body = {{"baton", fencing_token}, {"orders", std::move(list)}};
+  if (worker_incarnation) body["tenure"] = *worker_incarnation;
   return dump_json(body);
 }
 
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -24,28 +24,28 @@
 
 struct JobSpec {
   std::string ref;
-  std::string workload;
-  std::string owner;
+  std::string job_class;
+  std::string team;
   Urgency urgency = Urgency::kNormal;
   bool gang = false;  // all tasks run at the same time, or none does
-  int pieces = 1;
+  int task_count = 1;
   double cores = 0;
   double accelerators = 0;
   double memory_gb = 0;
-  std::string bundle;
-  double pull_gb = 0;
-  std::optional<std::vector<std::string>> flavours;
-  std::optional<std::string> hall;
+  std::string image;
+  double image_gb = 0;
+  std::optional<std::vector<std::string>> machine_types;
+  std::optional<std::string> zone;
   bool together = false;
   bool scatter = false;
-  bool loaner = false;
-  double guess_s = 0;
-  double snapshot_every_s = 0;
-  double snapshot_cost_s = 0;
-  std::optional<double> due_s;
+  bool allows_spot = false;
+  double estimated_s = 0;
+  double checkpoint_interval_s = 0;
+  double checkpoint_cost_s = 0;
+  std::optional<double> deadline_s;
 
   // Whether a task that is stopped can keep what it has done.
-  [[nodiscard]] bool saves() const { return snapshot_every_s > 0; }
+  [[nodiscard]] bool can_checkpoint() const { return checkpoint_interval_s > 0; }
 };
 
 bool valid_ref(const std::string& ref);
@@ -59,11 +59,11 @@
   double accelerators = 0;
   double memory_gb = 0;
   double cache_gb = 0;
-  double pull_gb_per_s = 1;
+  double fetch_gb_per_s = 1;
   double hourly = 0;
   double spot_price = 0;
   double boot_s = 30;
-  std::vector<std::string> halls;
+  std::vector<std::string> zones;
 };
 
 // How long a machine of the type fetches the job's image, as a rule.
@@ -84,48 +84,59 @@
 };
 
 // Drops the allowed machine types that do not exist.
-void keep_known_flavours(JobSpec& spec, const MachineTypes& types);
+void keep_known_machine_types(JobSpec& spec, const MachineTypes& types);
 
 // Empty when the job can run some day; else why it never can.
 std::string never_runs(const JobSpec& spec, const Settings& settings, const MachineTypes& types);
 
 // kWaiting: has its image, and waits for the other tasks of its gang.
-enum class PiecePhase { kPulling, kWaiting, kRunning, kSaving, kExited };
+enum class TaskPhase { kFetchingImage, kWaiting, kRunning, kCheckpointing, kExited };
 // kMatesGone: another task of the gang is gone; kAlone: the gang was not complete in time.
-enum class ExitCause { kNone, kDone, kHalted, kError, kNoRoom, kInUse, kNoSuch, kMatesGone, kAlone, kOther };
+enum class ExitCause {
+  kNone,
+  kDone,
+  kHalted,
+  kError,
+  kNoRoom,
+  kInUse,
+  kNoSuch,
+  kGangPeerLost,
+  kGangIncomplete,
+  kOther
+};
 
-struct PieceReport {
+struct TaskReport {
   std::string ref;
   int index = 0;
-  std::uint64_t try_no = 0;
-  PiecePhase phase = PiecePhase::kRunning;
+  std::uint64_t attempt = 0;
+  TaskPhase phase = TaskPhase::kRunning;
   ExitCause cause = ExitCause::kNone;
 };
 
 struct Report {
   std::string host;
   std::string address;
-  std::string flavour;
-  std::string hall;
-  bool loaner = false;
-  std::uint64_t tenure = 0;
-  std::uint64_t tick = 0;
-  std::uint64_t baton = 0;
-  std::optional<double> warning_s;
-  std::vector<PieceReport> pieces;
+  std::string machine_type;
+  std::string zone;
+  bool spot = false;
+  std::uint64_t worker_incarnation = 0;
+  std::uint64_t sequence = 0;  // of the heartbeat, rising within an incarnation
+  std::uint64_t fencing_token = 0;
+  std::optional<double> eviction_notice_s;
+  std::vector<TaskReport> tasks;
 };
 
 std::optional<Report> parse_report(const Json& body);
 
 struct Order {
-  enum class Verb { kLaunch, kStop, kReap };
+  enum class Verb { kLaunch, kStop, kAcknowledgeExit };
   Verb verb = Verb::kLaunch;
-  std::string piece;
-  std::uint64_t try_no = 0;
-  double wind_down_s = 0;
+  std::string task;
+  std::uint64_t attempt = 0;
+  double grace_s = 0;
 };
-std::string orders_body(std::uint64_t baton, std::optional<std::uint64_t> tenure,
+std::string orders_body(std::uint64_t fencing_token, std::optional<std::uint64_t> worker_incarnation,
                         const std::vector<Order>& orders);
-std::string piece_name(const std::string& ref, int index);
+std::string task_name(const std::string& ref, int index);
 
 }  // namespace mothslip
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -159,7 +159,7 @@
   for (const Reader& item : settings.tables("objectives")) {
     Objective goal;
     goal.kind = item.text("kind");
-    goal.workload = item.has("class") ? item.text("class") : "";
+    goal.job_class = item.has("class") ? item.text("class") : "";
     goal.share = item.number_or("share", 0, 0);
     goal.within_s = item.number_or("within_s", 0, 0);
     out.objectives.push_back(goal);
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -26,7 +26,7 @@
 
 struct Objective {
   std::string kind;
-  std::string workload;  // empty: for all
+  std::string job_class;  // empty: for all
   double share = 0;
   double within_s = 0;
 };
