--- a/src/recovery/controller.cpp
+++ b/src/recovery/controller.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr double kRetryEvery = 0.3;
-// Jobs and machines in one piece of evidence: a few hundred KiB.
+// Jobs and machines in one chunk of evidence: a few hundred KiB.
 constexpr std::size_t kPieceEntries = 400;
 constexpr double kPeerSeconds = 1.0;
 // The state service has lost nothing unless workers show otherwise within so long.
@@ -101,7 +101,7 @@
     if (reply.outcome != Outcome::kMissing) {
       recovery_env_->after(kRetryEvery, [this] { look_for_loss(); });
     } else {
-      compare_with_store(reply.epoch());
+      compare_with_store(reply.revision());
     }
   });
 }
@@ -154,7 +154,7 @@
   if (resumed_at_ > 0 && env_.now() - resumed_at_ < kKeepMemory) known.merge(earlier_memory());
   if (detector_) known.newest = std::max(known.newest, detector_->newest());
   if (suspended_) known.merge(suspended_->reported());
-  memory_pieces_ = cut(known, kPieceEntries);
+  memory_chunks_ = cut(known, kPieceEntries);
   unaccounted_.reset();
   node_.reset();
   node_env_.reset();
@@ -181,10 +181,10 @@
   serve(meta.incarnation, 0);
 }
 
-// The pieces of our memory, and last what workers have reported since.
-Evidence Controller::evidence_piece(std::size_t number) const {
-  if (number >= memory_pieces_.size()) return suspended_ ? suspended_->reported() : Evidence{};
-  Evidence out = memory_pieces_[number];
+// The chunks of our memory, and last what workers have reported since.
+Evidence Controller::evidence_chunk(std::size_t number) const {
+  if (number >= memory_chunks_.size()) return suspended_ ? suspended_->reported() : Evidence{};
+  Evidence out = memory_chunks_[number];
   for (auto& [shard, owner] : out.owners) owner.lease_left_s -= env_.now() - suspended_at_;
   return out;
 }
@@ -193,7 +193,7 @@
 // as good as surviving records.
 Evidence Controller::earlier_memory() const {
   Evidence out;
-  for (const Evidence& piece : memory_pieces_) out.merge(piece);
+  for (const Evidence& chunk : memory_chunks_) out.merge(chunk);
   forget_owners(out);
   out.machines.clear();
   for (auto& [ref, job] : out.jobs) {
@@ -208,7 +208,7 @@
 
 Evidence Controller::own_evidence() const {
   Evidence out;
-  for (std::size_t number = 0; number < evidence_pieces(); number++) out.merge(evidence_piece(number));
+  for (std::size_t number = 0; number < evidence_chunk_count(); number++) out.merge(evidence_chunk(number));
   return out;
 }
 
@@ -243,9 +243,9 @@
   if (node_ && asked->begun <= incarnation_.number) return responder.send(409, R"({"error":"it is over"})");
   if (!recovery_) suspend("another controller rebuilds the records");
   EvidenceReply reply;
-  reply.pieces = evidence_pieces();
+  reply.chunk_count = evidence_chunk_count();
   reply.uptime_s = env_.now() - started_;
-  reply.evidence = evidence_piece(asked->piece);
+  reply.evidence = evidence_chunk(asked->chunk);
   responder.send(200, dump_json(reply.to_json()));
 }
 
--- a/src/recovery/controller.hpp
+++ b/src/recovery/controller.hpp
@@ -44,8 +44,8 @@
   void serve(const Incarnation& incarnation, double doubt_s);
   void suspend(const std::string& why);
   void resume(const MetaRecord& meta);
-  [[nodiscard]] std::size_t evidence_pieces() const { return memory_pieces_.size() + 1; }
-  [[nodiscard]] Evidence evidence_piece(std::size_t number) const;
+  [[nodiscard]] std::size_t evidence_chunk_count() const { return memory_chunks_.size() + 1; }
+  [[nodiscard]] Evidence evidence_chunk(std::size_t number) const;
   [[nodiscard]] Evidence own_evidence() const;
   [[nodiscard]] Evidence earlier_memory() const;
   [[nodiscard]] double doubt_s() const;
@@ -78,7 +78,7 @@
   std::optional<double> least_doubt_s_;  // of the peers that serve
   std::unique_ptr<SuspendedService> suspended_;
   std::unique_ptr<Recovery> recovery_;
-  std::vector<Evidence> memory_pieces_;  // as of the moment when this controller stopped serving
+  std::vector<Evidence> memory_chunks_;  // as of the moment when this controller stopped serving
   double resumed_at_ = 0;                // when it served again after that
 };
 
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -25,7 +25,8 @@
 }
 
 void merge_machine(HostRecord& machine, const HostRecord& other) {
-  if (other.tenure > machine.tenure || (other.tenure == machine.tenure && other.address > machine.address))
+  if (other.worker_incarnation > machine.worker_incarnation ||
+      (other.worker_incarnation == machine.worker_incarnation && other.address > machine.address))
     machine = other;
 }
 
@@ -111,7 +112,7 @@
       HostRecord record = machine;
       record.placements.clear();
       for (const PlacementRecord& placed : machine.placements)
-        out.jobs[placed.ref].placements[placed.index] = {name, placed.try_no};
+        out.jobs[placed.ref].placements[placed.index] = {name, placed.attempt};
       out.machines.emplace(name, std::move(record));
     }
   }
@@ -141,7 +142,7 @@
 
 TaskSet all_tasks(const HeadRecord& head) {
   TaskSet out;
-  out.addRange(0, static_cast<std::uint64_t>(head.spec.pieces));
+  out.addRange(0, static_cast<std::uint64_t>(head.spec.task_count));
   return out;
 }
 
--- a/src/recovery/evidence.hpp
+++ b/src/recovery/evidence.hpp
@@ -80,7 +80,7 @@
 // The memory of a controller as evidence.
 [[nodiscard]] Evidence evidence_of(const NodeMemory& memory);
 
-// Cuts evidence into pieces of about so many jobs and machines, for messages of bounded size. Merged, they
+// Cuts evidence into chunks of about so many jobs and machines, for messages of bounded size. Merged, they
 // are the whole.
 [[nodiscard]] std::vector<Evidence> cut(const Evidence& evidence, std::size_t entries);
 
--- a/src/recovery/evidence_collector.cpp
+++ b/src/recovery/evidence_collector.cpp
@@ -11,7 +11,7 @@
 constexpr double kRetryEvery = 0.7;
 }  // namespace
 
-Json EvidenceRequest::to_json() const { return {{"begun", begun}, {"piece", piece}}; }
+Json EvidenceRequest::to_json() const { return {{"begun", begun}, {"piece", chunk}}; }
 
 std::optional<EvidenceRequest> EvidenceRequest::from_json(const Json& value) {
   if (!value.is_object() || !value.contains("begun") || !value["begun"].is_number_unsigned() ||
@@ -21,14 +21,14 @@
 }
 
 Json EvidenceReply::to_json() const {
-  return {{"pieces", pieces}, {"uptime_s", uptime_s}, {"evidence", evidence.to_json()}};
+  return {{"pieces", chunk_count}, {"uptime_s", uptime_s}, {"evidence", evidence.to_json()}};
 }
 
 std::optional<EvidenceReply> EvidenceReply::from_json(const Json& value) {
   if (!value.is_object()) return std::nullopt;
   EvidenceReply out;
   try {
-    out.pieces = value.at("pieces").get<std::size_t>();
+    out.chunk_count = value.at("pieces").get<std::size_t>();
     out.uptime_s = value.at("uptime_s").get<double>();
     auto evidence = Evidence::from_json(value.at("evidence"));
     if (!evidence) return std::nullopt;
@@ -49,17 +49,17 @@
   env_.after(0, [this] { finish_if_complete(); });
 }
 
-void EvidenceCollector::ask(const Member& member, std::size_t piece) {
-  const std::string body = dump_json(EvidenceRequest{begun_, piece}.to_json());
+void EvidenceCollector::ask(const Member& member, std::size_t chunk) {
+  const std::string body = dump_json(EvidenceRequest{begun_, chunk}.to_json());
   env_.call({member.address, "POST", kEvidencePath, body, kAskSeconds},
-            [this, &member, piece](const HttpReply& reply) { on_reply(member, piece, reply); });
+            [this, &member, chunk](const HttpReply& reply) { on_reply(member, chunk, reply); });
 }
 
-void EvidenceCollector::on_reply(const Member& member, std::size_t piece, const HttpReply& reply) {
+void EvidenceCollector::on_reply(const Member& member, std::size_t chunk, const HttpReply& reply) {
   auto answer = reply.status == 200 ? EvidenceReply::from_json(parse_json(reply.body)) : std::nullopt;
   if (!answer) {
     if (env_.now() < give_up_at_) {
-      env_.after(kRetryEvery, [this, &member, piece] { ask(member, piece); });
+      env_.after(kRetryEvery, [this, &member, chunk] { ask(member, chunk); });
       return;
     }
     spdlog::warn("recovery: {} has not answered, last with {}", member.node, reply.status);
@@ -69,8 +69,8 @@
     return;
   }
   result_.evidence.merge(answer->evidence);
-  if (piece + 1 < answer->pieces) {
-    ask(member, piece + 1);
+  if (chunk + 1 < answer->chunk_count) {
+    ask(member, chunk + 1);
     return;
   }
   result_.uptimes_s.push_back(answer->uptime_s);
--- a/src/recovery/evidence_collector.hpp
+++ b/src/recovery/evidence_collector.hpp
@@ -1,4 +1,4 @@
-// Asks all other controllers for what they know, piece by piece.
+// Asks all other controllers for what they know, chunk by chunk.
 #pragma once
 
 #include <functional>
@@ -13,17 +13,17 @@
 
 inline const std::string kEvidencePath = "/recovery/evidence";
 
-// The question: one piece of what the asked controller knows. Asked for a rebuilding that it has not heard
+// The question: one chunk of what the asked controller knows. Asked for a rebuilding that it has not heard
 // of, it stops serving before it answers, so that what it says stays true.
 struct EvidenceRequest {
   int begun = 0;  // the incarnation that is being rebuilt
-  std::size_t piece = 0;
+  std::size_t chunk = 0;
   [[nodiscard]] Json to_json() const;
   static std::optional<EvidenceRequest> from_json(const Json& value);
 };
 
 struct EvidenceReply {
-  std::size_t pieces = 0;
+  std::size_t chunk_count = 0;
   double uptime_s = 0;  // of the process
   Evidence evidence;
   [[nodiscard]] Json to_json() const;
@@ -45,8 +45,8 @@
   void collect(double patience_s, Handler handler);
 
  private:
-  void ask(const Member& member, std::size_t piece);
-  void on_reply(const Member& member, std::size_t piece, const HttpReply& reply);
+  void ask(const Member& member, std::size_t chunk);
+  void on_reply(const Member& member, std::size_t chunk, const HttpReply& reply);
   void finish_if_complete();
 
   Env& env_;
--- a/src/recovery/rebuilt_records.cpp
+++ b/src/recovery/rebuilt_records.cpp
@@ -68,8 +68,8 @@
     out_.counts.ended++;
     const auto number = job_number(ref);
     if (number && stored_endings_.contains(*number)) return;
-    const int pieces = job.head ? job.head->spec.pieces : 0;
-    out_.others.push_back({keys::ending(shard, ref), ending_json(wire_name(outcome.ending), pieces)});
+    const int task_count = job.head ? job.head->spec.task_count : 0;
+    out_.others.push_back({keys::ending(shard, ref), ending_json(wire_name(outcome.ending), task_count)});
   }
 
   void add_without_description(const std::string& ref, int shard, const JobEvidence& job) {
@@ -100,13 +100,13 @@
     UnaccountedRecord record;
     record.held = to_ranges(outcome.held);
     record.may_have_ended = outcome.may_have_ended;
-    // (Too many pieces for one record: all that neither ran nor is done is held then.)
+    // (Too many chunks for one record: all that neither ran nor is done is held then.)
     if (record.held.text_bytes() > value_bytes_ / 2) {
       record.held.clear();
       record.all = true;
     }
-    record.team = spec.owner;
-    record.workload = spec.workload;
+    record.team = spec.team;
+    record.job_class = spec.job_class;
     record.reason = "its tasks may have completed before records were lost";
     out_.others.push_back({keys::unaccounted(shard, spec.ref), record.to_json()});
   }
@@ -129,7 +129,7 @@
   // borrows.
   void add_placements(const std::string& ref, int home, const HeadRecord& head, const JobOutcome& outcome) {
     std::map<int, RangeSet> borrowed;
-    const int team = settings_.team_index(head.spec.owner);
+    const int team = settings_.team_index(head.spec.team);
     for (const auto& [task, placement] : outcome.placements) {
       const int shard = part_of(placement.machine, scope_.shards);
       placed_[placement.machine].push_back({ref, task, placement.attempt});
@@ -152,7 +152,7 @@
   // Tasks that may not be placed without regard to each other are lent whole.
   static RangeSet undone(const HeadRecord& head, const JobOutcome& outcome) {
     RangeSet out;
-    out.insert(0, head.spec.pieces);
+    out.insert(0, head.spec.task_count);
     out.erase(to_ranges(outcome.done | outcome.held));
     return out;
   }
--- a/src/recovery/record_writer.cpp
+++ b/src/recovery/record_writer.cpp
@@ -31,7 +31,7 @@
 
 void RecordWriter::add_blocks() {
   for (RebuiltRecords::Block& block : blocks_) {
-    block.record.head_stamp = head_revisions_[block.head_key];
+    block.record.job_revision = head_revisions_[block.head_key];
     queue_.push_back({std::move(block.key), block.record.to_json()});
   }
   blocks_.clear();
@@ -71,7 +71,7 @@
   store_.commit_body(Lane::kLaunch, body, static_cast<int>(batch.size()),
                      [this, batch, body](const StateReply& reply) {
                        if (reply.ok()) {
-                         settle(batch, reply.epoch());
+                         settle(batch, reply.revision());
                        } else if (reply.outcome == Outcome::kRefused || reply.outcome == Outcome::kUnknown) {
                          env_.after(kRetryEvery, [this, batch, body] { send(batch, body); });
                        } else {
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -80,13 +80,13 @@
   transaction.guard(keys::kMeta, meta_revision);
   transaction.guard(kLeaderKey, 0);
   transaction.put(keys::kMeta, next.to_json());
-  transaction.put_held(kLeaderKey, {{"node", ctx_.settings->node}, {"begun", next.begun}}, lease);
+  transaction.put_with_lease(kLeaderKey, {{"node", ctx_.settings->node}, {"begun", next.begun}}, lease);
   const auto most = static_cast<std::size_t>(ctx_.settings->txn_ops);
   for (int shard = 0; shard < meta.shards && transaction.then.size() < most; shard++)
     transaction.put(meta.incarnation.prefix + keys::part(shard), {{"node", kRebuiltOwner}});
   store_.commit(Lane::kLease, transaction, [this, lease, next](const StateReply& reply) {
     if (reply.ok()) {
-      lead(lease, next, reply.epoch());
+      lead(lease, next, reply.revision());
     } else {
       look_again();  // somebody else was first, or nobody knows: the lease of a lost claim runs out
     }
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -30,7 +30,7 @@
 }
 
 bool SuspendedService::shows_earlier_state(const Report& report) {
-  return report.baton > 0 || !report.pieces.empty();
+  return report.fencing_token > 0 || !report.tasks.empty();
 }
 
 void SuspendedService::on_front(const HttpRequest& request, const Responder& responder, double now) {
@@ -47,14 +47,15 @@
 
 void SuspendedService::on_report(const Report& report, const Responder& responder, double now) {
   reported_.newest = std::max(reported_.newest, newest_shown(report));
-  for (const PieceReport& piece : report.pieces) {
-    JobEvidence& job = reported_.jobs[piece.ref];
-    job.seen.add(static_cast<std::uint32_t>(piece.index));
-    if (piece.phase == PiecePhase::kExited && piece.cause == ExitCause::kDone)
-      job.done.add(static_cast<std::uint32_t>(piece.index));
+  for (const TaskReport& task : report.tasks) {
+    JobEvidence& job = reported_.jobs[task.ref];
+    job.seen.add(static_cast<std::uint32_t>(task.index));
+    if (task.phase == TaskPhase::kExited && task.cause == ExitCause::kDone)
+      job.done.add(static_cast<std::uint32_t>(task.index));
   }
   const auto renewal = shards_ > 0 ? renewals_.find(part_of(report.host, shards_)) : renewals_.end();
-  if (renewal != renewals_.end() && report.baton <= renewal->second.token && now < renewal->second.until) {
+  if (renewal != renewals_.end() && report.fencing_token <= renewal->second.token &&
+      now < renewal->second.until) {
     responder.send(200, orders_body(renewal->second.token, std::nullopt, {}));
   } else {
     responder.send(503, R"({"error":"records are being rebuilt"})", 1);
--- a/src/recovery/unaccounted_jobs.cpp
+++ b/src/recovery/unaccounted_jobs.cpp
@@ -30,7 +30,7 @@
     return out;
   }
   out["team"] = record->team;
-  out["class"] = record->workload;
+  out["class"] = record->job_class;
   out["reason"] = record->reason;
   out["may_have_ended"] = record->may_have_ended;
   out["decided"] = record->rerun ? "rerun" : "";
--- a/src/scheduling/sizing.cpp
+++ b/src/scheduling/sizing.cpp
@@ -19,10 +19,10 @@
 constexpr double kSlackShare = 0.5;
 constexpr double kWorthWaiting = 1.3;  // a new machine must start the task this much sooner
 
-bool allowed(const FleetDemand& demand, int type, int hall, bool spot) {
+bool allowed(const FleetDemand& demand, int type, int zone, bool spot) {
   if (spot ? !demand.spot_allowed : demand.spot_only) return false;
   if (!demand.types.empty() && demand.types[static_cast<std::size_t>(type)] == 0) return false;
-  return demand.hall < 0 || demand.hall == hall;
+  return demand.zone < 0 || demand.zone == zone;
 }
 
 double dominant(const Resources& demand, const Resources& capacity) {
@@ -113,7 +113,7 @@
   }
   void look(int machine) {
     const FleetMachine& each = machines_[static_cast<std::size_t>(machine)];
-    if (!each.usable || !allowed(demand_, each.type, each.hall, each.spot)) return;
+    if (!each.usable || !allowed(demand_, each.type, each.zone, each.spot)) return;
     const double at = earliest(each, demand_);
     if (at == kNever) return;
     heap_.push({at, dominant(demand_.demand, types_[static_cast<std::size_t>(each.type)].capacity), machine});
@@ -135,7 +135,7 @@
   for (std::size_t i = 0; i < markets.size(); i++) {
     const FleetMarket& market = markets[i];
     if (market.refused) continue;
-    if (!allowed(demand, market.type, market.hall, market.spot)) continue;
+    if (!allowed(demand, market.type, market.zone, market.spot)) continue;
     const FleetType& type = types[static_cast<std::size_t>(market.type)];
     if (!fits(demand.demand, type.capacity)) continue;
     const double share = std::max(dominant(demand.demand, type.capacity), 1e-6);
@@ -166,7 +166,7 @@
   const std::size_t known = machines.size();
   int at_once = 0;
   for (const FleetDemand& demand : demands) {
-    const double run = kGuessSlack * std::max(1.0, demand.guess_s);
+    const double run = kGuessSlack * std::max(1.0, demand.estimated_s);
     Starts starts(types, machines, demand);
     for (int left = std::min(demand.count, limits.most_tasks); left > 0; left--) {
       const Starts::Start here = starts.best();
@@ -177,15 +177,16 @@
         if (at >= 0) {
           FleetMarket& market = markets[static_cast<std::size_t>(at)];
           const FleetType& type = types[static_cast<std::size_t>(market.type)];
-          const double ready = kBootSlack * type.boot_s + demand.pull_gb / std::max(0.01, type.pull_gb_per_s);
+          const double ready =
+              kBootSlack * type.boot_s + demand.image_gb / std::max(0.01, type.fetch_gb_per_s);
           // Worth it when it comes in time, or when waiting here takes much longer than a new machine does.
           const bool in_time = ready <= demand.time_left_s - run && ready < here.at;
           if (in_time || kWorthWaiting * ready < here.at) {
             market.rented++;
-            rents[{market.type, market.hall, market.spot}]++;
+            rents[{market.type, market.zone, market.spot}]++;
             FleetMachine fresh;
             fresh.type = market.type;
-            fresh.hall = market.hall;
+            fresh.zone = market.zone;
             fresh.spot = market.spot;
             fresh.rooms.push_back({ready, type.capacity});
             take(fresh, demand, ready, ready + run);
--- a/src/scheduling/sizing.hpp
+++ b/src/scheduling/sizing.hpp
@@ -13,14 +13,14 @@
   double hourly = 0;
   double spot_price = 0;
   double boot_s = 30;
-  double pull_gb_per_s = 1;
-  std::vector<int> halls;
+  double fetch_gb_per_s = 1;
+  std::vector<int> zones;
 };
 
 // A place from which machines can be rented, and whether it refused lately.
 struct FleetMarket {
   int type = 0;
-  int hall = 0;
+  int zone = 0;
   bool spot = false;
   bool refused = false;
   int rented = 0;  // machines of ours from here
@@ -35,7 +35,7 @@
 
 struct FleetMachine {
   int type = 0;
-  int hall = 0;
+  int zone = 0;
   bool spot = false;
   bool usable = true;            // false: draining, sick or silent
   std::vector<FleetRoom> rooms;  // booting: everything, at the expected time
@@ -46,20 +46,20 @@
   Resources demand{};
   int count = 0;
   int rank = 0;
-  double guess_s = 30;
-  double pull_gb = 0;
+  double estimated_s = 30;
+  double image_gb = 0;
   double time_left_s = 1e9;     // until the deadline; huge: none
   double start_within_s = 1e9;  // tasks are wanted to start within this time; huge: does not matter
   bool spot_allowed = true;
   bool spot_only = false;   // not worth an ordinary machine
   std::vector<char> types;  // allowed types, by index; empty: all
-  int hall = -1;            // the only hall, or -1
+  int zone = -1;            // the only hall, or -1
 };
 
 struct FleetPlan {
   struct Rent {
     int type = 0;
-    int hall = 0;
+    int zone = 0;
     bool spot = false;
     int count = 0;
   };
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -110,7 +110,7 @@
     rented_before = world.cloud.rented;
     int count = 0;
     for (auto& [name, worker] : world.workers) {
-      if (worker->hall != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // some 15 % of all
+      if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // some 15 % of all
       if (!worker->tasks.empty()) cut.push_back(worker.get());
       world.cut_off(name);
     }
@@ -118,7 +118,7 @@
   world.at(75, [&world] {
     int count = 0;
     for (auto& [name, worker] : world.workers) {
-      if (worker->hall == "hall-0" || count++ % 10 != 0) continue;
+      if (worker->zone == "hall-0" || count++ % 10 != 0) continue;
       world.hang(*worker, world.uniform(10, 30));
     }
   });
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -46,7 +46,7 @@
       if (task.job == nullptr || !task.job->gang || task.phase != phase) continue;
       int here = 0;
       for (const Task& other : worker->tasks) here += other.ref == task.ref ? 1 : 0;
-      if (!apart || here < task.job->pieces) return worker.get();
+      if (!apart || here < task.job->task_count) return worker.get();
     }
   }
   return nullptr;
@@ -61,7 +61,7 @@
 
 // The cloud takes the machine away.
 void take_away(World& world, Worker& worker, double notice_s) {
-  worker.warning_s = notice_s;
+  worker.eviction_notice_s = notice_s;
   worker.note_change();
   world.in(notice_s, [&worker] { worker.dead = true; });
 }
@@ -356,7 +356,7 @@
 TEST_P(Gang, RoomGathersAmongSmallTasks) {
   Options day = options();
   day.market = 2;
-  day.halls = {"a"};
+  day.zones = {"a"};
   day.team_max = 400;
   World world(day);
   for (int i = 0; i < 30; i++) {
@@ -380,7 +380,7 @@
 TEST_P(Gang, TwoDoNotWaitForEachOther) {
   Options day = options();
   day.market = 1;
-  day.halls = {"a"};
+  day.zones = {"a"};
   day.team_max = 400;
   World world(day);
   for (int i = 0; i < 4; i++) {
@@ -499,8 +499,8 @@
 TEST(GangAdmission, ItsTasksTogetherStayWithinTheTeamsLimit) {
   JobSpec spec;
   spec.gang = true;
-  spec.owner = "red";
-  spec.pieces = 6;
+  spec.team = "red";
+  spec.task_count = 6;
   spec.cores = 8;
   Settings settings;
   settings.teams = {{"red", 20, 47, 0, kUnlimited}};
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -193,8 +193,8 @@
   Options day;
   day.loss = 0;
   day.market = 1;
-  day.halls.clear();
-  for (int i = 0; i < 30; i++) day.halls.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
+  day.zones.clear();
+  for (int i = 0; i < 30; i++) day.zones.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
   day.team_max = 2000;
   day.next_value_kb = 1;
   day.next_txn_ops = 4;
@@ -221,8 +221,8 @@
   set_up_log();
   Options day;
   day.loss = 0;
-  day.halls.clear();
-  for (int i = 0; i < 20; i++) day.halls.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
+  day.zones.clear();
+  for (int i = 0; i < 20; i++) day.zones.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
   day.next_value_kb = 1;
   day.next_txn_ops = 4;
   World world(day);
@@ -245,9 +245,9 @@
   JobSpec spec;
   MachineTypes types =
       *MachineTypes::parse(parse_json(R"({"flavours":[{"name":"c4","cores":4,"memory_gb":16}]})"));
-  spec.flavours = std::vector<std::string>{"none", "c4", "neither", "c4"};
-  keep_known_flavours(spec, types);
-  EXPECT_EQ(*spec.flavours, std::vector<std::string>{"c4"});
+  spec.machine_types = std::vector<std::string>{"none", "c4", "neither", "c4"};
+  keep_known_machine_types(spec, types);
+  EXPECT_EQ(*spec.machine_types, std::vector<std::string>{"c4"});
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Limits, ::testing::Range(1, 1 + seeds()));
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -132,11 +132,12 @@
 TEST_P(Meeting, OwnersChangeTenTimesInTwoMinutesAlsoInsideAnOutage) {
   World world(options());
   add_jobs(world, 2, 120);
-  std::set<std::uint64_t> batons;
+  std::set<std::uint64_t> fencing_tokens;
   for (int i = 0; i < 10; i++) {
     world.at(20 + i * 12, [&world, i] { world.crash_node(i % world.options.nodes, i % 3 == 0 ? 0.1 : 6); });
     world.at(19 + i * 12, [&] {
-      for (int p = 0; p < world.options.nodes; p++) batons.insert(world.state.stamp(keys::part(p)));
+      for (int p = 0; p < world.options.nodes; p++)
+        fencing_tokens.insert(world.state.revision(keys::part(p)));
     });
   }
   for (const double t : {50.0, 100.0}) {
@@ -146,7 +147,7 @@
   world.troubles_end = 145;
   world.run_until(600);
   expect_kept(world);
-  EXPECT_GE(batons.size(), 8u);
+  EXPECT_GE(fencing_tokens.size(), 8u);
 }
 
 // Arrays bound to one hall lose machines of that hall, again and again.
@@ -163,7 +164,7 @@
   for (double t = 25; t < 110; t += 8) {
     world.at(t, [&] {
       for (auto& [name, worker] : world.workers) {
-        if (!worker->up() || worker->hall != "b" || worker->tasks.empty()) continue;
+        if (!worker->up() || worker->zone != "b" || worker->tasks.empty()) continue;
         worker->dead = true;
         lost++;
         break;
@@ -194,7 +195,7 @@
   world.at(90, [&world] { world.state.slow_s = 0; });
   int waiting = 0;
   world.at(70, [&] {
-    for (const auto& [ref, job] : world.jobs) waiting += job.pieces - static_cast<int>(job.starts.size());
+    for (const auto& [ref, job] : world.jobs) waiting += job.task_count - static_cast<int>(job.starts.size());
   });
   world.troubles_end = 95;
   world.run_until(700);
@@ -282,7 +283,7 @@
     std::set<std::string> away;
     for (auto& [name, worker] : world.workers) {
       for (const Task& task : worker->tasks) {
-        if (!worker->on_machine(task) || task.job->owner != "red") continue;
+        if (!worker->on_machine(task) || task.job->team != "red") continue;
         used += task.job->cores;
         if (part_of(task.ref, 3) == part_of(name, 3)) continue;
         borrowed++;
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -26,8 +26,8 @@
     return out;
   }
   // A long job of blue's that can save what it has done.
-  static UserJob idle_work(World& world, int number, int pieces) {
-    UserJob job = plain_job(world, number, 2, pieces, 150, 4);
+  static UserJob idle_work(World& world, int number, int task_count) {
+    UserJob job = plain_job(world, number, 2, task_count, 150, 4);
     job.body["owner"] = "blue";
     job.body["workload"] = "idle";
     job.body["urgency"] = "best_effort";
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -137,7 +137,7 @@
   world.at(45, [&] {
     lost_before = world.lost_to_leases;
     for (auto& [name, worker] : world.workers) {
-      if (!worker->up() || worker->hall != "a") continue;
+      if (!worker->up() || worker->zone != "a") continue;
       world.cuts.insert({name, node_name(1)});
       cut += worker->tasks.empty() || world.owner_of(part_of(name, 5)) != 1 ? 0 : 1;
     }
--- a/tests/recovery_merge_test.cpp
+++ b/tests/recovery_merge_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr int kJobs = 6;
-constexpr int kPieces = 8;
+constexpr int kTaskCount = 8;
 constexpr int kShards = 3;
 
 std::string name_of(int number) { return "job-" + std::to_string(1000 + number); }
@@ -20,13 +20,13 @@
 HeadRecord head_of(int number) {
   HeadRecord head;
   head.spec.ref = name_of(number);
-  head.spec.workload = "w";
-  head.spec.owner = "red";
-  head.spec.pieces = kPieces;
+  head.spec.job_class = "w";
+  head.spec.team = "red";
+  head.spec.task_count = kTaskCount;
   head.spec.cores = 1;
   head.spec.memory_gb = 1;
-  head.spec.bundle = "img";
-  head.spec.guess_s = 5;
+  head.spec.image = "img";
+  head.spec.estimated_s = 5;
   return head;
 }
 
@@ -43,7 +43,7 @@
   out.accepted = *rc::gen::arbitrary<bool>();
   out.owner_knows_it = *rc::gen::arbitrary<bool>();
   out.may_have_ended = *rc::gen::inRange(0, 5) == 0;
-  for (std::uint32_t task = 0; task < kPieces; task++) {
+  for (std::uint32_t task = 0; task < kTaskCount; task++) {
     const int state = *rc::gen::inRange(0, 5);
     if (state == 0) out.done.add(task);
     if (state == 1) out.lent[*rc::gen::inRange(0, kShards)].add(task);
@@ -72,9 +72,9 @@
   for (int machine = 1; machine < 5; machine++) {
     HostRecord record;
     record.address = "10.1.0." + std::to_string(machine) + ":9000";
-    record.flavour = "c4";
-    record.hall = "a";
-    record.tenure = static_cast<std::uint64_t>(*rc::gen::inRange(1, 4));
+    record.machine_type = "c4";
+    record.zone = "a";
+    record.worker_incarnation = static_cast<std::uint64_t>(*rc::gen::inRange(1, 4));
     out.machines["host-" + std::to_string(machine)] = record;
   }
   return out;
@@ -110,10 +110,10 @@
 
 RC_GTEST_PROP(MergedEvidence, SurvivesTheWireInPieces, ()) {
   const Evidence whole = draw_evidence();
-  const std::vector<Evidence> pieces = cut(whole, static_cast<std::size_t>(*rc::gen::inRange(1, 5)));
+  const std::vector<Evidence> task_count = cut(whole, static_cast<std::size_t>(*rc::gen::inRange(1, 5)));
   Evidence joined;
-  for (const Evidence& piece : pieces) {
-    const auto read = Evidence::from_json(parse_json(text_of(piece)));
+  for (const Evidence& task : task_count) {
+    const auto read = Evidence::from_json(parse_json(text_of(task)));
     RC_ASSERT(read.has_value());
     joined.merge(*read);
   }
@@ -149,7 +149,7 @@
     const JobOutcome outcome = derive_outcome(ref, job, scope);
     if (outcome.kind != JobOutcome::Kind::kOpen || outcome.cancelled) continue;
     const bool home_heard = scope.owner_heard[static_cast<std::size_t>(part_of(ref, kShards))];
-    for (std::uint32_t task = 0; task < kPieces; task++) {
+    for (std::uint32_t task = 0; task < kTaskCount; task++) {
       const bool placed = outcome.placements.count(static_cast<int>(task)) > 0;
       const int ways =
           (placed ? 1 : 0) + (outcome.held.contains(task) ? 1 : 0) + (outcome.done.contains(task) ? 1 : 0);
@@ -170,7 +170,7 @@
 RC_GTEST_PROP(RebuiltRecords, HoldEveryPlacementOnceAndWithinItsTeamsLimit, ()) {
   Settings settings;
   settings.value_kb = 1;
-  settings.teams = {{"red", 8, kJobs * kPieces, 0, 0}};
+  settings.teams = {{"red", 8, kJobs * kTaskCount, 0, 0}};
   const Evidence all = merged({draw_evidence(), draw_evidence()});
   RebuildScope scope;
   scope.shards = kShards;
@@ -193,7 +193,7 @@
   }
   RC_ASSERT(placed == records.counts.placed_tasks);
   // (Without a record a limit is split evenly.)
-  RC_ASSERT(shared_out == kJobs * kPieces || (shared_out == 0 && placed == 0));
+  RC_ASSERT(shared_out == kJobs * kTaskCount || (shared_out == 0 && placed == 0));
 }
 
 TEST(LossDetector, IsNotMisledByWhatIsOnlyLate) {
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -21,7 +21,7 @@
   auto lost = std::make_shared<std::uint64_t>(0);
   world.at(copied_at, [&world, copy] { *copy = world.state.copy(); });
   world.at(lost_at, [&world, copy, lost, leases] {
-    *lost = world.state.copy().epoch - copy->epoch;
+    *lost = world.state.copy().revision - copy->revision;
     if (!leases) copy->leases.clear();
     world.state.restore(*copy);
   });
@@ -49,7 +49,7 @@
         for (const Json& entry : list.value("unaccounted", Json::array())) {
           const std::string ref = entry["job"];
           const UserJob& job = world.jobs.at(ref);
-          const bool done = static_cast<int>(job.completed.size()) == job.pieces;
+          const bool done = static_cast<int>(job.completed.size()) == job.task_count;
           const bool cancelled = job.told_aborted || (job.cancel_asked && !done);
           const Json decision = {{"job", ref}, {"as", cancelled ? "cancelled" : done ? "done" : "rerun"}};
           world.send("operator", {back_of(node), "POST", "/ops/recovery/resolve", dump_json(decision), 2.0},
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -19,7 +19,7 @@
   out.capacity = {cores, memory, 0};
   out.hourly = hourly;
   out.spot_price = spot;
-  out.halls = {0, 1};
+  out.zones = {0, 1};
   return out;
 }
 
@@ -115,9 +115,9 @@
   const std::vector<FleetType> types = {type(8, 64, 0.62, 0.19), type(32, 64, 1.71, 0.50)};
   std::vector<FleetMarket> markets;
   for (int t : {0, 1}) {
-    for (int hall : {0, 1}) {
-      markets.push_back({t, hall, true, false, 0});
-      markets.push_back({t, hall, false, false, 0});
+    for (int zone : {0, 1}) {
+      markets.push_back({t, zone, true, false, 0});
+      markets.push_back({t, zone, false, false, 0});
     }
   }
   auto plan = plan_fleet(types, markets, {}, {demand(16, 4)}, {});
@@ -163,7 +163,7 @@
   busy.rooms = {{0, {0, 60, 0}}, {20, {8, 0, 0}}};  // its cores come free in 20 s
   FleetDemand job = demand(8, 3);                   // one after the other: they start at 20, 50 and 80 s
   job.start_within_s = 1e9;
-  job.guess_s = 20;
+  job.estimated_s = 20;
   // Half the slack is for what comes after and goes first: a queue that only just met its deadlines never
   // did.
   job.time_left_s = 191;  // the last is to start by (191 - 30) / 2
--- a/tests/sim/checks.cpp
+++ b/tests/sim/checks.cpp
@@ -19,7 +19,7 @@
     for (const char* group : {"workload", "owner"}) {
       auto& [done, all] = served[job.body[group].get<std::string>()];
       done += static_cast<int>(job.completed.size());
-      all += job.pieces;
+      all += job.task_count;
     }
   }
   for (const auto& [group, counts] : served) EXPECT_GE(2 * counts.first, counts.second) << group;
@@ -30,9 +30,10 @@
     if (job.accepted && job.cancel_at < 0 && !job.cancel_asked && !job.mistaken)
       classes[job.body["workload"].get<std::string>()].push_back(&job);
   }
-  for (auto& [workload, jobs] : classes) {
-    std::sort(jobs.begin(), jobs.end(),
-              [](const UserJob* a, const UserJob* b) { return a->pieces * a->cores > b->pieces * b->cores; });
+  for (auto& [job_class, jobs] : classes) {
+    std::sort(jobs.begin(), jobs.end(), [](const UserJob* a, const UserJob* b) {
+      return a->task_count * a->cores > b->task_count * b->cores;
+    });
     jobs.resize(std::max<std::size_t>(1, jobs.size() / 5));
     for (const UserJob* job : jobs) {
       const bool troubled = world.troubles_end < 1e17 && job->submit_at < world.troubles_end;
--- a/tests/sim/days.cpp
+++ b/tests/sim/days.cpp
@@ -8,7 +8,7 @@
 UserJob make_job(World& world, int number, double from, double to) {
   UserJob job;
   job.ref = "job-" + std::to_string(100 + number * 7 % 1000) + std::to_string(number);
-  job.pieces = 1 + static_cast<int>(world.rng() % 12);
+  job.task_count = 1 + static_cast<int>(world.rng() % 12);
   job.run_s = world.uniform(2, 20);
   job.submit_at = world.uniform(from, to);
   if (world.rng() % 5 == 0) job.cancel_at = job.submit_at + world.uniform(0, 30);
@@ -19,7 +19,7 @@
               {"owner", world.rng() % 2 == 0 ? "red" : "blue"},
               {"shape", "array"},
               {"urgency", world.rng() % 2 == 0 ? "urgent" : "normal"},
-              {"pieces", job.pieces},
+              {"pieces", job.task_count},
               {"cores", cores},
               {"accelerators", 0},
               {"memory_gb", cores * 2},
@@ -43,8 +43,8 @@
   out.seed = seed;
   out.nodes = 5;
   out.market = market;
-  out.halls.clear();
-  for (int i = 0; i < kHalls; i++) out.halls.push_back("hall-" + std::to_string(i));
+  out.zones.clear();
+  for (int i = 0; i < kHalls; i++) out.zones.push_back("hall-" + std::to_string(i));
   out.report_s = 4;
   out.lease_s = 20;
   out.team_cpus = 4000;
@@ -64,7 +64,7 @@
     UserJob job;
     job.ref = "job-" + std::to_string(100000 + i * 7919 % 100000);
     const int kind = i % 4;
-    job.pieces = kind == 0 ? 10 : 40;
+    job.task_count = kind == 0 ? 10 : 40;
     job.run_s = world.uniform(15, 40);
     job.submit_at = i < jobs / 3 ? world.uniform(2, 12) : world.uniform(12, until);
     if (i % 20 == 19) job.cancel_at = job.submit_at + world.uniform(1, 40);
@@ -76,7 +76,7 @@
                 {"owner", i % 2 == 0 ? "red" : "blue"},
                 {"shape", "array"},
                 {"urgency", kind >= 2 ? "urgent" : "normal"},
-                {"pieces", job.pieces},
+                {"pieces", job.task_count},
                 {"cores", cores},
                 {"accelerators", 0},
                 {"memory_gb", cores * 2},
@@ -111,12 +111,12 @@
   return alive.empty() ? nullptr : alive[world.rng() % alive.size()];
 }
 
-UserJob plain_job(World& world, int number, double at, int pieces, double run_s, int cores) {
+UserJob plain_job(World& world, int number, double at, int task_count, double run_s, int cores) {
   UserJob job = make_job(world, number, at, at + 1);
   job.cancel_at = -1;
-  job.pieces = pieces;
+  job.task_count = task_count;
   job.run_s = run_s;
-  job.body["pieces"] = pieces;
+  job.body["pieces"] = task_count;
   job.body["cores"] = cores;
   job.body["memory_gb"] = 2 * cores;
   job.body["together"] = job.body["scatter"] = false;
@@ -126,8 +126,8 @@
   return job;
 }
 
-UserJob gang_job(World& world, int number, double at, int pieces, double run_s, int cores) {
-  UserJob job = plain_job(world, number, at, pieces, run_s, cores);
+UserJob gang_job(World& world, int number, double at, int task_count, double run_s, int cores) {
+  UserJob job = plain_job(world, number, at, task_count, run_s, cores);
   job.body["shape"] = "ensemble";
   job.body["workload"] = "g";
   job.body["together"] = true;
--- a/tests/sim/days.hpp
+++ b/tests/sim/days.hpp
@@ -7,9 +7,9 @@
 
 UserJob make_job(World& world, int number, double from, double to);
 // A plain array: nothing binds its tasks, and nobody cancels it. Submitted within a second of `at`.
-UserJob plain_job(World& world, int number, double at, int pieces, double run_s, int cores = 2);
+UserJob plain_job(World& world, int number, double at, int task_count, double run_s, int cores = 2);
 // Likewise, as a gang: all in one zone, on ordinary machines, saving every 10 s of progress.
-UserJob gang_job(World& world, int number, double at, int pieces, double run_s, int cores = 2);
+UserJob gang_job(World& world, int number, double at, int task_count, double run_s, int cores = 2);
 // As many as the options say, submitted between these times.
 void add_jobs(World& world, double from, double to);
 // Five nodes and up to sixteen times so many machines: two types, four halls, ordinary and spot.
--- a/tests/sim/gangs.cpp
+++ b/tests/sim/gangs.cpp
@@ -22,7 +22,7 @@
     if (worker->dead) continue;
     for (Task& task : worker->tasks) {
       if (task.job != nullptr && task.job->gang)
-        members[{task.ref, task.try_no}].push_back({worker.get(), &task});
+        members[{task.ref, task.attempt}].push_back({worker.get(), &task});
     }
   }
   for (auto& [key, attempt] : attempts_) members[key];  // also those of which every task has vanished
@@ -62,7 +62,7 @@
       waiting++;
     }
   }
-  if (waiting < job.pieces) return;
+  if (waiting < job.task_count) return;
   attempts++;
   replaced += attempt.lost_one ? 1 : 0;
   attempt.started = true;
@@ -95,7 +95,7 @@
     if (fails && member.task->phase == "running" && world_.now - attempt.begun_at > kFailsAfter)
       exit(member, "error");
   }
-  if (attempt.broken_at < 0 && running == job.pieces) {
+  if (attempt.broken_at < 0 && running == job.task_count) {
     if (world_.now < attempt.ends) return;
     for (Member& member : members) {
       if (!present(*member.task)) continue;
@@ -108,7 +108,7 @@
   }
   if (attempt.broken_at < 0) {
     attempt.broken_at = world_.now;
-    if (static_cast<int>(job.completed.size()) < job.pieces) failures++;
+    if (static_cast<int>(job.completed.size()) < job.task_count) failures++;
     fall_back(job, attempt);
   }
   if (world_.now - attempt.broken_at < world_.base_gang_peer_s()) return;
@@ -119,7 +119,7 @@
 
 void Gangs::stop(Task& task, double grace_s) {
   UserJob& job = *task.job;
-  Attempt& attempt = attempts_[{task.ref, task.try_no}];
+  Attempt& attempt = attempts_[{task.ref, task.attempt}];
   const bool can_save =
       job.body["snapshot_every_s"].get<double>() > 0 && grace_s >= job.body["snapshot_cost_s"].get<double>();
   if (task.phase == "running" && can_save && attempt.broken_at < 0) {
@@ -138,7 +138,7 @@
   const auto told = std::count_if(members.begin(), members.end(), [](const Member& each) {
     return each.task->phase == "saving" || (each.task->phase == "exited" && each.task->stored);
   });
-  if (told == job.pieces) {
+  if (told == job.task_count) {
     for (Member& member : members) {
       if (member.task->phase != "saving" || member.worker->hung || world_.now < member.task->until) continue;
       member.task->stored = true;
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -26,9 +26,9 @@
   });
 }
 
-std::uint64_t StateService::stamp(const std::string& key) const {
-  const auto it = stamps_.find(key);
-  return it == stamps_.end() ? 0 : it->second;
+std::uint64_t StateService::revision(const std::string& key) const {
+  const auto it = revisions_.find(key);
+  return it == revisions_.end() ? 0 : it->second;
 }
 
 void StateService::set_outage(bool out) {
@@ -42,12 +42,12 @@
 
 void StateService::erase(const std::string& key) {
   values_.erase(key);
-  stamps_.erase(key);
-  holds_.erase(key);
+  revisions_.erase(key);
+  lease_ids_.erase(key);
 }
 
 void StateService::changed(const std::string& key, Json event) {
-  changes_.push_back({epoch_, key, std::move(event)});
+  changes_.push_back({revision_, key, std::move(event)});
 }
 
 void StateService::expire() {
@@ -58,13 +58,13 @@
       continue;
     }
     std::vector<std::string> gone;
-    for (const auto& [key, hold] : holds_) {
-      if (hold == it->first) gone.push_back(key);
+    for (const auto& [key, lease_id] : lease_ids_) {
+      if (lease_id == it->first) gone.push_back(key);
     }
-    if (!gone.empty()) epoch_++;
+    if (!gone.empty()) revision_++;
     for (const std::string& key : gone) {
       erase(key);
-      changed(key, {{"delete", key}, {"stamp", epoch_}});
+      changed(key, {{"delete", key}, {"stamp", revision_}});
     }
     it = leases_.erase(it);
   }
@@ -72,7 +72,7 @@
 }
 
 StateService::Copy StateService::copy() const {
-  Copy out{values_, stamps_, holds_, {}, epoch_, next_lease_};
+  Copy out{values_, revisions_, lease_ids_, {}, revision_, next_lease_};
   for (const auto& [id, lease] : leases_) out.leases[id] = lease.ttl;
   return out;
 }
@@ -81,19 +81,19 @@
 // that they take for new.
 void StateService::restore(const Copy& copy) {
   values_ = copy.values;
-  stamps_ = copy.stamps;
-  holds_ = copy.holds;
-  epoch_ = copy.epoch;
+  revisions_ = copy.revisions;
+  lease_ids_ = copy.holds;
+  revision_ = copy.revision;
   next_lease_ = copy.next_lease;
   leases_.clear();
   for (const auto& [id, ttl] : copy.leases) leases_[id] = {ttl, world_.now + ttl};
-  std::erase_if(changes_, [this](const Change& change) { return change.revision > epoch_; });
+  std::erase_if(changes_, [this](const Change& change) { return change.revision > revision_; });
 }
 
 void StateService::write_again(const std::string& key) {
-  epoch_++;
-  stamps_[key] = epoch_;
-  changed(key, {{"put", key}, {"data", values_.at(key)}, {"stamp", epoch_}});
+  revision_++;
+  revisions_[key] = revision_;
+  changed(key, {{"put", key}, {"data", values_.at(key)}, {"stamp", revision_}});
   serve_watches();
 }
 
@@ -113,7 +113,7 @@
   }
   if (events.empty()) return false;
   watch.over = true;
-  watch.reply(200, {{"epoch", epoch_}, {"events", events}});
+  watch.reply(200, {{"epoch", revision_}, {"events", events}});
   return true;
 }
 
@@ -147,7 +147,7 @@
     world_.in(std::stod(query(target, "wait_ms")) / 1000, [this, watch] {
       if (watch->over || outage_ || hold_watches) return;
       watch->over = true;
-      watch->reply(200, {{"epoch", epoch_}, {"events", Json::array()}});
+      watch->reply(200, {{"epoch", revision_}, {"events", Json::array()}});
     });
     return;
   }
@@ -162,16 +162,16 @@
         more = true;
         break;
       }
-      items.push_back({{"k", it->first}, {"data", it->second}, {"stamp", stamps_[it->first]}});
+      items.push_back({{"k", it->first}, {"data", it->second}, {"stamp", revisions_[it->first]}});
     }
-    return reply(200, {{"items", items}, {"more", more}, {"epoch", epoch_}});
+    return reply(200, {{"items", items}, {"more", more}, {"epoch", revision_}});
   }
   if (starts_with(path, "/keys/")) {
     const std::string key = path.substr(6);
     const auto it = values_.find(key);
-    if (it == values_.end()) return reply(404, {{"epoch", epoch_}});
-    Json out = {{"k", key}, {"data", it->second}, {"stamp", stamps_[key]}};
-    if (holds_.count(key) > 0) out["hold"] = holds_[key];
+    if (it == values_.end()) return reply(404, {{"epoch", revision_}});
+    Json out = {{"k", key}, {"data", it->second}, {"stamp", revisions_[key]}};
+    if (lease_ids_.count(key) > 0) out["hold"] = lease_ids_[key];
     return reply(200, out);
   }
   const Json json = body.empty() ? Json::object() : parse_json(body);
@@ -193,31 +193,31 @@
     changes_made += static_cast<int>(changes);
     Json failed = Json::array();
     for (const Json& guard : json["guards"]) {
-      if (stamp(guard["k"]) != guard["stamp"].get<std::uint64_t>()) failed.push_back(guard["k"]);
+      if (revision(guard["k"]) != guard["stamp"].get<std::uint64_t>()) failed.push_back(guard["k"]);
     }
     for (const Json& change : json["then"]) {
       if (change.contains("hold") && leases_.count(change["hold"].get<std::uint64_t>()) == 0) {
         return reply(400, {{"error", "no such lease"}});
       }
     }
-    if (!failed.empty()) return reply(409, {{"failed", failed}, {"epoch", epoch_}});
-    if (!json["then"].empty()) epoch_++;
+    if (!failed.empty()) return reply(409, {{"failed", failed}, {"epoch", revision_}});
+    if (!json["then"].empty()) revision_++;
     for (const Json& change : json["then"]) {
       if (change.contains("put")) {
         const std::string key = change["put"];
         values_[key] = change["data"];
-        stamps_[key] = epoch_;
-        holds_.erase(key);
-        if (change.contains("hold")) holds_[key] = change["hold"].get<std::uint64_t>();
-        changed(key, {{"put", key}, {"data", change["data"]}, {"stamp", epoch_}});
+        revisions_[key] = revision_;
+        lease_ids_.erase(key);
+        if (change.contains("hold")) lease_ids_[key] = change["hold"].get<std::uint64_t>();
+        changed(key, {{"put", key}, {"data", change["data"]}, {"stamp", revision_}});
       } else {
         const std::string key = change["delete"];
         if (values_.count(key) == 0) continue;
         erase(key);
-        changed(key, {{"delete", key}, {"stamp", epoch_}});
+        changed(key, {{"delete", key}, {"stamp", revision_}});
       }
     }
-    reply(200, {{"epoch", epoch_}});
+    reply(200, {{"epoch", revision_}});
     serve_watches();
     return;
   }
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -51,7 +51,7 @@
   if (phase == "running" && job.gang && job.gang_began < 0)
     world_.broken("told that a gang runs that never started: " + ref);
   if (phase == "done") {
-    if (static_cast<int>(job.completed.size()) < job.pieces) world_.broken("not_done: " + ref);
+    if (static_cast<int>(job.completed.size()) < job.task_count) world_.broken("not_done: " + ref);
     job.told_done = true;
   } else if (phase == "aborted") {
     if (!job.cancel_asked) world_.broken("went_back: " + ref + " cancelled by nobody");
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -36,7 +36,7 @@
   }
   out.cloud = kCloud;
   out.state = kState;
-  out.zones = options.halls;
+  out.zones = options.zones;
   out.teams = {{"red", options.team_cpus, options.team_max, 0, 0},
                {"blue", options.team_cpus, options.team_max, 0, 0}};
   out.report_s = options.report_s;
@@ -113,7 +113,7 @@
        "spot_price":0.1,"boot_s":10},
       {"name":"c16","cores":16,"accelerators":0,"memory_gb":64,"local_gb":20,"pull_gb_per_s":1,"hourly":1.2,
        "spot_price":0.3,"boot_s":10}]})");
-    for (Json& type : types["flavours"]) type["halls"] = world_.options.halls;
+    for (Json& type : types["flavours"]) type["halls"] = world_.options.zones;
     return reply(200, types);
   }
   if (path == "/hosts/return") {
@@ -188,13 +188,13 @@
 
 // ---------------------------------------------------------------- workers
 
-Worker::Worker(World& world, std::string name_in, std::string address_in, std::string flavour_in,
-               std::string hall_in, bool loaner_in, double drift)
+Worker::Worker(World& world, std::string name_in, std::string address_in, std::string machine_type_in,
+               std::string zone_in, bool spot_in, double drift)
     : name(std::move(name_in)),
       address(std::move(address_in)),
-      flavour(std::move(flavour_in)),
-      hall(std::move(hall_in)),
-      loaner(loaner_in),
+      machine_type(std::move(machine_type_in)),
+      zone(std::move(zone_in)),
+      spot(spot_in),
       world_(world),
       drift_(drift) {}
 
@@ -230,35 +230,40 @@
   held_.clear();
   in_flight_ = false;
   flight_++;
-  baton_ = 0;
-  tenure_ = forgets ? 1 : tenure_ + 1;
-  if (forgets) tick_ = 0;
+  fencing_token_ = 0;
+  worker_incarnation_ = forgets ? 1 : worker_incarnation_ + 1;
+  if (forgets) heartbeat_sequence_ = 0;
   last_answered_sent_ = now();
   changed_ = true;
 }
 
 Json Worker::report() {
-  Json pieces = Json::array();
+  Json task_count = Json::array();
   for (const Task& task : tasks) {
     Json item = {{"piece", task.ref + "/" + std::to_string(task.index)},
-                 {"try_no", task.try_no},
+                 {"try_no", task.attempt},
                  {"phase", task.phase}};
     if (task.phase == "exited") item["exit_cause"] = task.cause;
     if (task.stored) item["stored"] = true;
-    pieces.push_back(item);
+    task_count.push_back(item);
   }
-  return {
-      {"host", name},    {"address", address}, {"flavour", flavour},
-      {"hall", hall},    {"loaner", loaner},   {"tenure", tenure_},
-      {"tick", ++tick_}, {"baton", baton_},    {"warning_s", warning_s < 0 ? Json(nullptr) : Json(warning_s)},
-      {"pieces", pieces}};
+  return {{"host", name},
+          {"address", address},
+          {"flavour", machine_type},
+          {"hall", zone},
+          {"loaner", spot},
+          {"tenure", worker_incarnation_},
+          {"tick", ++heartbeat_sequence_},
+          {"baton", fencing_token_},
+          {"warning_s", eviction_notice_s < 0 ? Json(nullptr) : Json(eviction_notice_s)},
+          {"pieces", task_count}};
 }
 
 void Worker::check_lease() {
   if (now() - last_answered_sent_ <= world_.options.lease_s) return;
   for (const Task& task : tasks) world_.lost_to_leases += on_machine(task) ? 1 : 0;
   tasks.clear();
-  tenure_++;
+  worker_incarnation_++;
   last_answered_sent_ = now();
   changed_ = true;
 }
@@ -310,7 +315,7 @@
   const double sent = now();
   last_report_ = sent;
   next_report_ = sent + world_.options.report_s * world_.uniform(0.75, 1.25);
-  const std::uint64_t tenure = tenure_;
+  const std::uint64_t worker_incarnation = worker_incarnation_;
   int index = node_.back() - '0';
   HttpCall call{front_of(index), "POST", "/hello", dump_json(report()), 4.0};
   world_.in(4.05, [this, flight] {
@@ -320,19 +325,20 @@
     next_report_ = now() + 1;
   });
   if (mute) return;
-  world_.send(name, call, [this, flight, sent, tenure, index](const HttpReply& reply) {
-    const auto act = [this, flight, sent, tenure, index, reply] {
+  world_.send(name, call, [this, flight, sent, worker_incarnation, index](const HttpReply& reply) {
+    const auto act = [this, flight, sent, worker_incarnation, index, reply] {
       if (dead || flight != flight_ || !in_flight_) return;
       if ((deaf || muffled) && reply.status != 0) return;  // the time-out comes instead
       in_flight_ = false;
       const int nodes = world_.options.nodes;
       if (reply.status == 200) {
         const Json body = parse_json(reply.body);
-        if (!body.is_object() || !body.contains("baton") || body["baton"].get<std::uint64_t>() < baton_)
+        if (!body.is_object() || !body.contains("baton") ||
+            body["baton"].get<std::uint64_t>() < fencing_token_)
           return;
-        if (now() - sent > 4 || tenure != tenure_) return;
-        if (body["baton"].get<std::uint64_t>() > baton_) {
-          baton_ = body["baton"];
+        if (now() - sent > 4 || worker_incarnation != worker_incarnation_) return;
+        if (body["baton"].get<std::uint64_t>() > fencing_token_) {
+          fencing_token_ = body["baton"];
           changed_ = true;
         }
         last_answered_sent_ = std::max(last_answered_sent_, sent);
@@ -366,11 +372,12 @@
     if (target == "/status") return reply(200, report());
     const Json json = parse_json(body);
     if (!json.contains("baton") || !json.contains("tenure")) return reply(400, Json::object());
-    if (json["baton"].get<std::uint64_t>() < baton_ || json["tenure"].get<std::uint64_t>() != tenure_) {
+    if (json["baton"].get<std::uint64_t>() < fencing_token_ ||
+        json["tenure"].get<std::uint64_t>() != worker_incarnation_) {
       return reply(409, report());
     }
-    if (json["baton"].get<std::uint64_t>() > baton_) {
-      baton_ = json["baton"];
+    if (json["baton"].get<std::uint64_t>() > fencing_token_) {
+      fencing_token_ = json["baton"];
       changed_ = true;
     }
     execute(json["orders"]);
@@ -386,13 +393,13 @@
 void Worker::execute(const Json& orders) {
   for (const Json& order : orders) {
     const std::string verb = order["verb"];
-    const std::string piece = order["piece"];
-    const std::uint64_t try_no = order["try_no"];
+    const std::string name_of_task = order["piece"];
+    const std::uint64_t attempt = order["try_no"];
     const auto it = std::find_if(tasks.begin(), tasks.end(), [&](const Task& task) {
-      return task.ref + "/" + std::to_string(task.index) == piece && task.try_no == try_no;
+      return task.ref + "/" + std::to_string(task.index) == name_of_task && task.attempt == attempt;
     });
     if (verb == "launch") {
-      if (it == tasks.end()) launch(piece, try_no);
+      if (it == tasks.end()) launch(name_of_task, attempt);
     } else if (it != tasks.end() && verb == "stop" && it->phase != "exited" && !stubborn && it->job->gang) {
       world_.gangs.stop(*it, order["wind_down_s"].get<double>());
       changed_ = true;
@@ -406,12 +413,12 @@
   }
 }
 
-void Worker::launch(const std::string& piece, std::uint64_t try_no) {
-  const auto slash = piece.rfind('/');
+void Worker::launch(const std::string& name_of_task, std::uint64_t attempt) {
+  const auto slash = name_of_task.rfind('/');
   Task task;
-  task.ref = piece.substr(0, slash);
-  task.index = std::stoi(piece.substr(slash + 1));
-  task.try_no = try_no;
+  task.ref = name_of_task.substr(0, slash);
+  task.index = std::stoi(name_of_task.substr(slash + 1));
+  task.attempt = attempt;
   changed_ = true;
   const auto refuse = [&](const char* cause) {
     task.phase = "exited";
@@ -419,7 +426,7 @@
     tasks.push_back(task);
   };
   const auto job = world_.jobs.find(task.ref);
-  if (job == world_.jobs.end() || task.index >= job->second.pieces) return refuse("no_such");
+  if (job == world_.jobs.end() || task.index >= job->second.task_count) return refuse("no_such");
   for (const Task& other : tasks) {
     if (other.phase == "exited") continue;
     if (other.ref == task.ref && other.index == task.index) return refuse("in_use");
@@ -748,7 +755,7 @@
   const double when = job.submit_at;
   const double cancel = job.cancel_at;
   job.cores = job.body["cores"];
-  job.owner = job.body["owner"];
+  job.team = job.body["owner"];
   job.gang = job.body["shape"] == "ensemble";
   jobs.emplace(ref, std::move(job));
   at(when, [this, ref] { users.submit(ref, now + 60); });
@@ -765,36 +772,36 @@
   if (job.first_start < 0 && !job.gang) job.first_start = now;
   job.starts[task.index]++;
   if (job.gang) {
-    if (task.try_no < job.last_attempt)
-      broken("attempt " + std::to_string(task.try_no) + " of " + task.ref + " after a newer one");
-    job.last_attempt = std::max(job.last_attempt, task.try_no);
+    if (task.attempt < job.last_attempt)
+      broken("attempt " + std::to_string(task.attempt) + " of " + task.ref + " after a newer one");
+    job.last_attempt = std::max(job.last_attempt, task.attempt);
   }
   if (job.told_aborted) {
     late_starts++;
     // Who has not heard of it by then has lost its lease.
     if (now - job.aborted_at > options.lease_s) broken("started after its cancellation: " + task.ref);
   }
-  std::map<std::string, int> in_hall;
+  std::map<std::string, int> in_zone;
   double used = 0;
   for (const auto& [name, other] : workers) {
     if (other->dead) continue;
     for (const Task& each : other->tasks) {
       if (!other->on_machine(each)) continue;
-      if (each.job->owner == job.owner) used += each.job->cores;
+      if (each.job->team == job.team) used += each.job->cores;
       if (each.job != &job) continue;
-      in_hall[other->hall]++;
-      if (each.index == task.index && !(other.get() == &worker && each.try_no == task.try_no)) {
+      in_zone[other->zone]++;
+      if (each.index == task.index && !(other.get() == &worker && each.attempt == task.attempt)) {
         broken("ran_twice: " + task.ref + "/" + std::to_string(task.index) + " on " + worker.name + " and " +
                name);
       }
     }
   }
-  if (used > options.team_max + 1e-6) broken("quota: " + job.owner + " uses " + std::to_string(used));
-  if (worker.loaner && !job.body["loaner"].get<bool>()) broken("wrong_place: " + task.ref + " on spot");
-  if (!job.body["hall"].is_null() && job.body["hall"] != worker.hall)
+  if (used > options.team_max + 1e-6) broken("quota: " + job.team + " uses " + std::to_string(used));
+  if (worker.spot && !job.body["loaner"].get<bool>()) broken("wrong_place: " + task.ref + " on spot");
+  if (!job.body["hall"].is_null() && job.body["hall"] != worker.zone)
     broken("wrong_place: " + task.ref + " hall");
-  if (job.body["together"].get<bool>() && in_hall.size() > 1) broken("wrong_place: " + task.ref + " apart");
-  if (job.body["scatter"].get<bool>() && in_hall[worker.hall] > (job.pieces + 1) / 2) {
+  if (job.body["together"].get<bool>() && in_zone.size() > 1) broken("wrong_place: " + task.ref + " apart");
+  if (job.body["scatter"].get<bool>() && in_zone[worker.zone] > (job.task_count + 1) / 2) {
     broken("wrong_place: " + task.ref + " not scattered");
   }
   if (job.told_aborted && now - job.aborted_at > kCancel) broken("ran_cancelled: " + task.ref + " starts");
@@ -803,7 +810,7 @@
 void World::on_done(const Task& task) {
   UserJob& job = *task.job;
   const bool last =
-      job.completed.insert(task.index).second && static_cast<int>(job.completed.size()) == job.pieces;
+      job.completed.insert(task.index).second && static_cast<int>(job.completed.size()) == job.task_count;
   if (!last) return;
   if (on_last_done) on_last_done(task.ref);
   if (options.close_looks) users.look_closely(task.ref, 40, 0.1);
@@ -835,7 +842,7 @@
   for (const auto& [name, worker] : workers) {
     if (!worker->up()) continue;
     for (const Task& task : worker->tasks) {
-      if (task.phase == "exited" || task.job->owner != job.owner) continue;
+      if (task.phase == "exited" || task.job->team != job.team) continue;
       if (task.job == &job) return std::nullopt;
       used += task.job->cores;
     }
@@ -847,25 +854,25 @@
 bool World::gang_could_run(const UserJob& job) const {
   const auto used = cores_of_team_without(job);
   if (!used) return false;
-  std::map<std::string, int> in_hall;
+  std::map<std::string, int> in_zone;
   for (const auto& [name, worker] : workers) {
     if (!worker->up()) continue;
     const bool well = !worker->hung && !worker->deaf && !worker->muffled && !worker->mute && !worker->sick &&
-                      worker->warning_s < 0;
-    const bool allowed = (!worker->loaner || job.body["loaner"].get<bool>()) &&
-                         (job.body["hall"].is_null() || job.body["hall"] == worker->hall);
-    if (well && allowed) in_hall[worker->hall] += static_cast<int>(worker->free_cores() / job.cores);
+                      worker->eviction_notice_s < 0;
+    const bool allowed = (!worker->spot || job.body["loaner"].get<bool>()) &&
+                         (job.body["hall"].is_null() || job.body["hall"] == worker->zone);
+    if (well && allowed) in_zone[worker->zone] += static_cast<int>(worker->free_cores() / job.cores);
   }
   int places = 0;
-  for (const auto& [hall, slots] : in_hall) {
+  for (const auto& [zone, slots] : in_zone) {
     if (job.body["together"].get<bool>()) {
       places = std::max(places, slots);
     } else {
-      places += job.body["scatter"].get<bool>() ? std::min(slots, (job.pieces + 1) / 2) : slots;
+      places += job.body["scatter"].get<bool>() ? std::min(slots, (job.task_count + 1) / 2) : slots;
     }
   }
-  return places >= job.pieces && *used + job.pieces * job.cores <= options.team_max &&
-         static_cast<int>(job.completed.size()) < job.pieces;
+  return places >= job.task_count && *used + job.task_count * job.cores <= options.team_max &&
+         static_cast<int>(job.completed.size()) < job.task_count;
 }
 
 // None of its tasks is on a machine, and one has room for it now, under its team's limit? (Where tasks are
@@ -880,12 +887,13 @@
     if (!worker->up()) continue;
     const bool well = !worker->hung && !worker->deaf && !worker->muffled && !worker->mute && !worker->sick;
     const bool fits = worker->free_cores() >= job.cores &&
-                      (!worker->loaner || job.body["loaner"].get<bool>()) &&
-                      (job.body["hall"].is_null() || job.body["hall"] == worker->hall);
+                      (!worker->spot || job.body["loaner"].get<bool>()) &&
+                      (job.body["hall"].is_null() || job.body["hall"] == worker->zone);
     room = room || (well && fits);
   }
   if (bound && !job.completed.empty()) return false;
-  return room && *used + job.cores <= options.team_max && static_cast<int>(job.completed.size()) < job.pieces;
+  return room && *used + job.cores <= options.team_max &&
+         static_cast<int>(job.completed.size()) < job.task_count;
 }
 
 // Once the troubles are over, no job waits for 90 s while a machine has room for it.
@@ -909,7 +917,7 @@
   for (const auto& [ref, job] : jobs) {
     if (job.accepted && !job.told_done && !job.told_aborted) {
       open++;
-      out << ref << " open: " << job.completed.size() << " of " << job.pieces << " completed; "
+      out << ref << " open: " << job.completed.size() << " of " << job.task_count << " completed; "
           << dump_json(job.body) << "\n";
     }
   }
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -72,10 +72,10 @@
   // What the service holds now, to be set back to later. It may forget the leases.
   struct Copy {
     std::map<std::string, Json> values;
-    std::map<std::string, std::uint64_t> stamps;
+    std::map<std::string, std::uint64_t> revisions;
     std::map<std::string, std::uint64_t> holds;
     std::map<std::uint64_t, double> leases;  // by id: seconds to live
-    std::uint64_t epoch = 1;
+    std::uint64_t revision = 1;
     std::uint64_t next_lease = 1;
   };
   [[nodiscard]] Copy copy() const;
@@ -85,7 +85,7 @@
   bool hold_watches = false;                 // open watches tell nothing
   void release_watches();
   [[nodiscard]] const std::map<std::string, Json>& values() const { return values_; }
-  [[nodiscard]] std::uint64_t stamp(const std::string& key) const;
+  [[nodiscard]] std::uint64_t revision(const std::string& key) const;
 
  private:
   struct Watch {
@@ -111,12 +111,12 @@
 
   World& world_;
   std::map<std::string, Json> values_;
-  std::map<std::string, std::uint64_t> stamps_;
-  std::map<std::string, std::uint64_t> holds_;
+  std::map<std::string, std::uint64_t> revisions_;
+  std::map<std::string, std::uint64_t> lease_ids_;
   std::map<std::uint64_t, Lease> leases_;
   std::vector<Change> changes_;
   std::vector<std::shared_ptr<Watch>> watches_;
-  std::uint64_t epoch_ = 1;
+  std::uint64_t revision_ = 1;
   std::uint64_t next_lease_ = 1;
   bool outage_ = false;
   [[nodiscard]] bool over_size(const Json& changes, std::size_t conditions) const;
@@ -132,7 +132,7 @@
   UserJob* job = nullptr;  // null: nobody submitted it
   std::string ref;
   int index = 0;
-  std::uint64_t try_no = 0;
+  std::uint64_t attempt = 0;
   std::string phase = "pulling";
   std::string cause;
   double until = 0;
@@ -141,8 +141,8 @@
 
 class Worker {
  public:
-  Worker(World& world, std::string name, std::string address, std::string flavour, std::string hall,
-         bool loaner, double drift);
+  Worker(World& world, std::string name, std::string address, std::string machine_type, std::string zone,
+         bool spot, double drift);
   void boot();
   void handle(const std::string& target, const std::string& body,
               const std::function<void(int, Json)>& reply);
@@ -151,20 +151,20 @@
   }
   void note_change() { changed_ = true; }
 
-  std::string name, address, flavour, hall;
-  bool loaner;
+  std::string name, address, machine_type, zone;
+  bool spot;
   bool dead = false;
   bool hung = false;
   bool sick = false;
-  double warning_s = -1;  // the cloud takes it away in so long; negative: it does not
-  bool deaf = false;      // its reports arrive; answers and commands do not reach it
-  bool muffled = false;   // only the answers to its reports are lost; commands arrive
-  bool stubborn = false;  // it takes no notice of stops
-  bool mute = false;      // its reports reach nobody; commands arrive
+  double eviction_notice_s = -1;  // the cloud takes it away in so long; negative: it does not
+  bool deaf = false;              // its reports arrive; answers and commands do not reach it
+  bool muffled = false;           // only the answers to its reports are lost; commands arrive
+  bool stubborn = false;          // it takes no notice of stops
+  bool mute = false;              // its reports reach nobody; commands arrive
   std::vector<Task> tasks;
   void unhang();
   [[nodiscard]] bool up() const { return !dead && booted_; }
-  [[nodiscard]] double capacity() const { return flavour == "c4" ? 4.0 : 16.0; }
+  [[nodiscard]] double capacity() const { return machine_type == "c4" ? 4.0 : 16.0; }
   [[nodiscard]] double free_cores() const;
   // The machine is back at once after losing power: all on it is gone. It may have forgotten which session
   // it was in.
@@ -175,15 +175,15 @@
   void step();
   void send_report();
   void execute(const Json& orders);
-  void launch(const std::string& piece, std::uint64_t try_no);
+  void launch(const std::string& name_of_task, std::uint64_t attempt);
   void check_lease();
   [[nodiscard]] double now() const;
 
   World& world_;
   double drift_;
-  std::uint64_t tenure_ = 1;
-  std::uint64_t tick_ = 0;
-  std::uint64_t baton_ = 0;
+  std::uint64_t worker_incarnation_ = 1;
+  std::uint64_t heartbeat_sequence_ = 0;
+  std::uint64_t fencing_token_ = 0;
   double last_answered_sent_ = 0;
   double next_report_ = 0;
   double last_report_ = -10;
@@ -222,9 +222,9 @@
 struct UserJob {
   Json body;
   std::string ref;
-  std::string owner;
+  std::string team;
   double cores = 0;
-  int pieces = 1;
+  int task_count = 1;
   double run_s = 5;
   bool gang = false;
   double progress = 0;             // of a gang, saved
@@ -259,7 +259,7 @@
   int parts = 0;  // as recorded before the first start; 0: the nodes decide
   // The deployment.
   int market = 2;  // machines of each type, hall and kind
-  std::vector<std::string> halls = {"a", "b"};
+  std::vector<std::string> zones = {"a", "b"};
   double report_s = 1.5;
   double lease_s = 12;
   double gang_wait_s = 35;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -167,7 +167,7 @@
   for (int i = 0; i < 10; i++) {
     UserJob job = make_job(world, i, 2, 20);
     job.run_s = 60;
-    job.pieces = 3;
+    job.task_count = 3;
     job.body["pieces"] = 3;
     job.cancel_at = -1;
     world.submit(job);
@@ -413,10 +413,10 @@
   set_up_log();
   World world(Options{});
   UserJob job = make_job(world, 1, 2, 3);
-  job.pieces = 100000;
+  job.task_count = 100000;
   job.run_s = 3;
   job.cancel_at = 90;
-  job.body["pieces"] = job.pieces;
+  job.body["pieces"] = job.task_count;
   job.body["cores"] = 1;
   job.body["memory_gb"] = 1;
   job.body["together"] = job.body["scatter"] = false;
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -87,28 +87,28 @@
   // hello HOST FLAVOUR HALL tenure=N tick=N baton=B [REF/I:T:PHASE[:CAUSE]]...
   void hello(std::istringstream& in) {
     std::string host;
-    std::string flavour;
-    std::string hall;
+    std::string machine_type;
+    std::string zone;
     std::string word;
-    in >> host >> flavour >> hall;
-    Json report = {{"host", host},    {"address", host + ":9000"}, {"flavour", flavour},     {"hall", hall},
+    in >> host >> machine_type >> zone;
+    Json report = {{"host", host},    {"address", host + ":9000"}, {"flavour", machine_type}, {"hall", zone},
                    {"loaner", false}, {"warning_s", nullptr},      {"pieces", Json::array()}};
     while (in >> word) {
       const auto eq = word.find('=');
       if (eq != std::string::npos) {
         const std::string value = word.substr(eq + 1);
-        report[word.substr(0, eq)] = value[0] == 'B' ? batons_.at(value) : std::stoull(value);
+        report[word.substr(0, eq)] = value[0] == 'B' ? fencing_tokens_.at(value) : std::stoull(value);
         continue;
       }
       std::istringstream parts(word);
-      std::string piece;
+      std::string task;
       std::string attempt;
       std::string phase;
       std::string cause;
-      std::getline(parts, piece, ':');
+      std::getline(parts, task, ':');
       std::getline(parts, attempt, ':');
       std::getline(parts, phase, ':');
-      Json item = {{"piece", piece}, {"try_no", tries_.at(attempt)}, {"phase", phase}};
+      Json item = {{"piece", task}, {"try_no", tries_.at(attempt)}, {"phase", phase}};
       if (std::getline(parts, cause, ':')) item["exit_cause"] = cause;
       report["pieces"].push_back(item);
     }
@@ -152,7 +152,7 @@
 
   std::string orders(const Json& body) {
     if (!body.is_object() || !body.contains("baton")) return body.is_object() ? body.value("error", "") : "";
-    std::string out = alias(batons_, "B", body["baton"].get<std::uint64_t>());
+    std::string out = alias(fencing_tokens_, "B", body["baton"].get<std::uint64_t>());
     for (const Json& order : body["orders"]) {
       out += " " + order["verb"].get<std::string>() + " " + order["piece"].get<std::string>() + ":" +
              alias(tries_, "T", order["try_no"].get<std::uint64_t>());
@@ -172,7 +172,7 @@
   }
 
   World world_;
-  std::map<std::string, std::uint64_t> batons_;
+  std::map<std::string, std::uint64_t> fencing_tokens_;
   std::map<std::string, std::uint64_t> tries_;
   std::vector<std::string> said_;
 };
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -133,11 +133,11 @@
   std::string why;
   const auto spec = parse_job(good_job(), why);
   ASSERT_TRUE(spec.has_value()) << why;
-  EXPECT_EQ(spec->pieces, 16);
+  EXPECT_EQ(spec->task_count, 16);
   EXPECT_EQ(spec->urgency, Urgency::kUrgent);
-  EXPECT_EQ(spec->flavours->front(), "g8");
-  EXPECT_FALSE(spec->hall.has_value());
-  EXPECT_DOUBLE_EQ(*spec->due_s, 900);
+  EXPECT_EQ(spec->machine_types->front(), "g8");
+  EXPECT_FALSE(spec->zone.has_value());
+  EXPECT_DOUBLE_EQ(*spec->deadline_s, 900);
 }
 
 TEST(Submission, EachBadFieldIsNamed) {
@@ -202,8 +202,8 @@
               {"piece":"job-000398/0","try_no":1,"phase":"exited","exit_cause":"done"}]})";
   const auto report = parse_report(parse_json(good));
   ASSERT_TRUE(report.has_value());
-  EXPECT_EQ(report->pieces[0].index, 3);
-  EXPECT_EQ(report->pieces[1].cause, ExitCause::kDone);
+  EXPECT_EQ(report->tasks[0].index, 3);
+  EXPECT_EQ(report->tasks[1].cause, ExitCause::kDone);
   for (const auto& [field, value] :
        std::vector<std::pair<std::string, Json>>{{"host", "a b"},
                                                  {"tick", -1},
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -199,11 +199,11 @@
     return 1.45;
   };
   std::uint64_t token = 0;
-  world.at(39, [&] { token = world.state.stamp(keys::part(0)); });
+  world.at(39, [&] { token = world.state.revision(keys::part(0)); });
   world.run_until(200);
   expect_kept(world);
   EXPECT_GT(slow, 10);
-  EXPECT_EQ(world.state.stamp(keys::part(0)), token) << "a job that had ended made the shard start over";
+  EXPECT_EQ(world.state.revision(keys::part(0)), token) << "a job that had ended made the shard start over";
 }
 
 // More jobs are accepted and end while the watch tells nothing than any short memory would hold.
@@ -223,7 +223,7 @@
   world.at(49, [&world] { world.state.hold_watches = true; });
   world.at(58.5, [&world] { world.state.release_watches(); });
   std::uint64_t token = 0;
-  world.at(48, [&] { token = world.state.stamp(keys::part(0)); });
+  world.at(48, [&] { token = world.state.revision(keys::part(0)); });
   std::size_t ended = 0;
   world.at(58, [&] {
     for (const auto& [key, value] : world.state.values()) ended += key.rfind("e/", 0) == 0 ? 1 : 0;
@@ -231,7 +231,7 @@
   world.run_until(200);
   expect_kept(world);
   EXPECT_GT(ended, 300u) << "too few ended behind the watch";
-  EXPECT_EQ(world.state.stamp(keys::part(0)), token) << "a job that had ended made the shard start over";
+  EXPECT_EQ(world.state.revision(keys::part(0)), token) << "a job that had ended made the shard start over";
 }
 
 // What the watch tells comes after the answers to newer writes: blocks that were given back, and jobs that
