--- a/src/bookkeeping/ledger.hpp
+++ b/src/bookkeeping/ledger.hpp
@@ -1,4 +1,4 @@
-// What a part knows in memory of its jobs and machines, and what each team uses.
+// What a shard knows in memory of its jobs and machines, and what each team uses.
 #pragma once
 
 #include <algorithm>
@@ -17,12 +17,12 @@
 
 namespace mothslip {
 
-// A block of a job's tasks, as its home sees it.
-struct Lent {
+// Tasks of a job that are delegated to another shard, as its home shard sees them.
+struct DelegatedTasks {
   RangeSet range;
   RangeSet done;
   std::uint64_t revision = 0;
-  bool noted = false;  // its record shows that the borrower knows of the cancellation
+  bool noted = false;  // its record shows that the delegate knows of the cancellation
   [[nodiscard]] bool complete() const { return done.size() == range.size(); }
 };
 
@@ -46,17 +46,17 @@
   bool failure_told = false;  // its tasks were told to stop
 };
 
-// A job at its home part, or a block of one that this part has borrowed.
+// A job at its home shard, or a delegation of one of which tasks were delegated to this shard.
 struct Job {
-  HeadRecord head;
+  JobRecord record;
   std::uint64_t job_revision = 0;
-  int home = 0;
-  std::string block;  // the block's key when borrowed
-  RangeSet range;     // borrowed: the tasks in the block
+  int home_shard = 0;
+  std::string delegation;  // the delegation's key, where its tasks were delegated to this shard
+  RangeSet range;          // delegate: the tasks in the delegation
   std::uint64_t delegation_revision = 0;
-  bool works = false;                // borrowed: tasks of the job have completed elsewhere
-  double idle_since = 0;             // nothing was placed since
-  std::map<std::string, Lent> lent;  // home: by block key
+  bool works = false;                               // delegate: tasks of the job have completed elsewhere
+  double idle_since = 0;                            // nothing was placed since
+  std::map<std::string, DelegatedTasks> delegated;  // home: by delegation key
   int team = 0;
   int image = 0;
   Resources demand{};
@@ -64,23 +64,23 @@
   RangeSet waiting;
   RangeSet done;
   RangeSet unsaved;        // done, but not yet durable: must not be reaped
-  bool fold_due = false;   // what the journal's pages hold of its completions has grown long
+  bool fold_due = false;   // what the journal's segments hold of its completions has grown long
   double least_cores = 0;  // of the smallest machine type that can hold a task
   std::uint64_t progress_revision = 0;
   // Completions that do not fit into one record: in further ones, by the hundreds of tasks that each covers.
-  struct ProgressPart {
+  struct ProgressChunk {
     std::uint64_t revision = 0;
     RangeSet done;
   };
-  std::map<int, ProgressPart> progress_parts;
+  std::map<int, ProgressChunk> progress_chunks;
   bool progress_inflight = false;
 
   GangAttempt attempt;        // of a gang
   double next_gang_look = 0;  // places for it are not looked for before
   double reserved_since = 0;  // machines are kept for it since; 0: none are
   double next_reservation = 0;
-  bool lent_runs = false;  // a gang that is lent: the borrower says that it runs
-  double lent_heard = 0;   // when it said so
+  bool delegated_gang_runs = false;    // a gang that is delegated: the delegate says that it runs
+  double delegated_gang_heard_at = 0;  // when it said so
   int placed = 0;
   std::map<int, int> stops;  // by task: how often it was stopped for other work
   std::map<int, int> placed_by_zone;
@@ -92,13 +92,13 @@
     double answer_by = 0;
   };
   std::vector<CancelWaiter> cancel_waiters;
-  // Cancelled durably. Nobody is told before every part that may hold tasks of it has taken note.
+  // Cancelled durably. Nobody is told before every shard that may hold tasks of it has taken note.
   double aborted_at = 0;      // when we knew of it, by our clock
-  std::set<int> unaware;      // home: parts that have not taken note yet
+  std::set<int> unaware;      // home: shards that have not taken note yet
   std::set<int> asking;       // home: of these, a question is under way
   bool confirmed = false;     // home: users may be told
-  bool acknowledged = false;  // borrowed: the home has heard from us
-  bool note_written = false;  // borrowed: or can read it in the block's record
+  bool acknowledged = false;  // delegate: the home has heard from us
+  bool note_written = false;  // delegate: or can read it in the delegation's record
 
   int error_streak = 0;
   struct Failing {
@@ -107,7 +107,7 @@
   };
   std::map<std::string, Failing> failing;       // by machine: is it the job's fault or the machine's?
   std::vector<std::pair<double, int>> backoff;  // when, which task
-  bool fails_elsewhere = false;                 // a part that borrowed tasks of it found it at fault
+  bool fails_elsewhere = false;                 // a delegate of it found it at fault
   double next_trial_at = 0;                     // at fault: when one task of it is tried again
   double pause = 0;                             // and how long after it, should that fail too
   static constexpr std::size_t kSeveral = 3;
@@ -116,14 +116,14 @@
     return !works && done.empty() && (fails_elsewhere || failing.size() >= kSeveral);
   }
 
-  [[nodiscard]] const JobSpec& spec() const { return head.spec; }
-  [[nodiscard]] bool over() const { return head.aborted || complete(); }
+  [[nodiscard]] const JobSpec& spec() const { return record.spec; }
+  [[nodiscard]] bool over() const { return record.aborted || complete(); }
   // Its user has asked to cancel it. (The write may have been carried out without our knowing, and others may
   // say so: its tasks are stopped from the moment the write is sent.)
-  [[nodiscard]] bool called_off() const { return head.aborted || cancelling; }
+  [[nodiscard]] bool cancel_requested() const { return record.aborted || cancelling; }
   // Its tasks may not be placed without regard to each other.
-  [[nodiscard]] bool bound() const { return head.spec.gang || head.spec.together || head.spec.scatter; }
-  [[nodiscard]] bool is_gang() const { return head.spec.gang; }
+  [[nodiscard]] bool bound() const { return record.spec.gang || record.spec.together || record.spec.scatter; }
+  [[nodiscard]] bool is_gang() const { return record.spec.gang; }
   // What has to be free at once for anything of it to start: of a gang all that waits, else one task.
   [[nodiscard]] Resources start_demand() const {
     Resources out = demand;
@@ -139,21 +139,21 @@
   }
   // All its tasks run, as far as is known here.
   [[nodiscard]] bool gang_runs() const {
-    return attempt.started && !attempt.failed && placed == head.spec.task_count;
+    return attempt.started && !attempt.failed && placed == record.spec.task_count;
   }
-  [[nodiscard]] bool borrowed() const { return !block.empty(); }
+  [[nodiscard]] bool delegated_here() const { return !delegation.empty(); }
   [[nodiscard]] bool complete() const {
-    return done.size() >= (borrowed() ? range.size() : head.spec.task_count);
+    return done.size() >= (delegated_here() ? range.size() : record.spec.task_count);
   }
-  [[nodiscard]] bool lent_all_complete() const {
-    for (const auto& [key, each] : lent) {
+  [[nodiscard]] bool all_delegated_complete() const {
+    for (const auto& [key, each] : delegated) {
       if (!each.complete()) return false;
     }
     return true;
   }
-  [[nodiscard]] int lent_open() const {
+  [[nodiscard]] int delegated_open() const {
     int open = 0;
-    for (const auto& [key, each] : lent) open += each.range.size() - each.done.size();
+    for (const auto& [key, each] : delegated) open += each.range.size() - each.done.size();
     return open;
   }
   void saved(const RangeSet& indices) { unsaved.erase(indices); }
@@ -164,7 +164,7 @@
 // The more urgent first, then the older.
 inline bool goes_before(const Job& a, const Job& b) {
   return a.spec().urgency != b.spec().urgency ? a.spec().urgency > b.spec().urgency
-                                              : a.head.submitted < b.head.submitted;
+                                              : a.record.submitted < b.record.submitted;
 }
 
 struct Placement {
@@ -177,7 +177,7 @@
   int index = 0;
   std::uint64_t attempt = 0;
   Stage stage = Stage::kNew;
-  int page = 0;                     // of the journal, where it is recorded; 0: not yet on its way there
+  int segment = 0;                  // of the journal, where it is recorded; 0: not yet on its way there
   bool inherited = false;           // recorded by an earlier owner, who may have sent the launch
   std::uint64_t sent_sequence = 0;  // tick of the report whose answer last carried the launch
   std::uint64_t seen_sequence = 0;  // last report that showed it
@@ -188,63 +188,65 @@
   bool stop_recorded = false;  // of a gang that is being stopped: its record says so
 };
 
-// A page of the part's journal (records.hpp).
-struct Page {
+// A segment of the shard's journal (records.hpp).
+struct JournalSegment {
   std::uint64_t revision = 0;            // 0: not written yet
   bool dirty = false;                    // a placement in it has ended and must go from it
   bool oversized = false;                // as read: larger than what may be written now
-  std::map<std::string, RangeSet> done;  // by job or block
+  std::map<std::string, RangeSet> done;  // by job or delegation
 };
 
 struct Machine {
   std::string name;
-  HostRecord record;  // identity and tenure; its placements field is unused here
+  MachineRecord record;  // identity and incarnation; its placements field is unused here
   int type = 0;
   int zone = 0;
   Resources capacity{};
   Resources room{};
   std::vector<Placement> placements;
-  std::vector<TaskReport> strays;  // of the last report: not among the placements
+  std::vector<TaskReport> unmatched;  // of the last report: not among the placements
 
-  std::uint64_t sequence = 0;  // of the last heartbeat
-  bool heard = false;          // reported to this owner
-  bool acked = false;          // acknowledged our baton
-  double last_answer = 0;      // last time our answer may have renewed its lease
+  std::uint64_t sequence = 0;       // of the last heartbeat
+  bool heard = false;               // reported to this owner
+  bool token_acknowledged = false;  // acknowledged our fencing token
+  double last_answer = 0;           // last time our answer may have renewed its lease
   double last_heard = 0;
   double first_heard = 0;
   double busy_at = 0;  // last time it had a placement
   std::optional<double> evicted_at;
   bool draining = false;
-  bool gone = false;      // the cloud took it back
+  bool removed = false;   // the cloud took it back
   bool keeping = false;   // for large tasks, when last looked
   bool cordoned = false;  // takes nothing new, for now
-  bool sick = false;
+  bool faulty = false;
   // Its reports come, our answers do not reach it: seen by launches without effect, or by a lease that ran
-  // out while we heard it all along. Nothing is started there until a session outlasts the lease: it hears us
-  // again.
-  bool deaf = false;
-  double deaf_since = 0;
-  int unheard = 0;               // launches in a row that had no effect
+  // out while we heard it all along. Nothing is started there until an incarnation outlasts the lease: it
+  // hears us again.
+  bool inbound_unreachable = false;
+  double inbound_unreachable_since = 0;
+  int ineffective_launches = 0;  // launches in a row that had no effect
   int expired_incarnations = 0;  // in a row that ended although we had answered
-  double incarnation_since = 0;  // first report of this session
+  double incarnation_since = 0;  // first report of this incarnation
   double steady_since = 0;       // its reports have come without a gap since
   int error_streak = 0;
   std::vector<std::string> errors_of;  // jobs behind the streak
   double no_fill_until = 0;
-  std::vector<std::pair<int, double>> images;  // most recent last: bundle, GB
+  std::vector<std::pair<int, double>> images;  // most recent last: image, GB
 
   Responder answer;  // a report waits for a commit
   double answer_by = 0;
   double wanted_at = 0;        // last time that work other than best-effort wanted it, or was given it
-  double held_back_since = 0;  // its room is kept from best-effort work since, for other parts; 0: is not
+  double held_back_since = 0;  // its room is kept from best-effort work since, for other shards; 0: is not
   bool held = false;           // nothing is placed there: its report waits for work
   JobPtr reserved_for;         // a gang that waits for its room
   bool direct_inflight = false;
-  bool stops_due = false;  // a job was called off while a direct command was under way
+  bool stops_due = false;  // a job was cancelled while a direct command was under way
   double raise_tried = 0;  // last time a direct command showed it our token
 
   // May anything new be started here?
-  [[nodiscard]] bool welcome() const { return !gone && !draining && !sick && !deaf && !evicted_at; }
+  [[nodiscard]] bool schedulable() const {
+    return !removed && !draining && !faulty && !inbound_unreachable && !evicted_at;
+  }
   [[nodiscard]] bool has_image(int image) const {
     for (const auto& [cached, gb] : images) {
       if (cached == image) return true;
@@ -263,32 +265,31 @@
   }
 };
 
-// Use of each team against this part's allowance. What is placed counts until it is known to be gone.
+// Use of each team against this shard's quota share. What is placed counts until it is known to be gone.
 class TeamLedger {
  public:
-  // Until its allowances are known a part may place nothing.
+  // Until its quota shares are known a shard may place nothing.
   explicit TeamLedger(const std::vector<Team>& teams) {
     for (const Team& team : teams) rows_.push_back({team, 0, 0, 0, 0, 0});
   }
-  void allow(int team, double cores, double gpus, std::uint64_t revision) {
+  void set_quota(int team, double cores, double gpus, std::uint64_t revision) {
     Row& row = at(team);
-    row.allowed_cores = cores;
-    row.allowed_gpus = gpus;
+    row.quota_cores = cores;
+    row.quota_gpus = gpus;
     row.revision = revision;
   }
   [[nodiscard]] bool room(int team, const Resources& demand) const {
     const Row& row = at(team);
-    return row.cores + demand[0] <= row.allowed_cores + kSlop &&
-           row.gpus + demand[2] <= row.allowed_gpus + kSlop;
+    return row.cores + demand[0] <= row.quota_cores + kSlop && row.gpus + demand[2] <= row.quota_gpus + kSlop;
   }
-  // The part's share of the guarantee is that of its allowance.
+  // The shard's share of the guarantee is that of its quota share.
   [[nodiscard]] bool in_guarantee(int team, const Resources& demand) const {
     const Row& row = at(team);
-    const double cores = row.team.cpus * share(row.allowed_cores, row.team.cpus_max);
-    const double gpus = row.team.gpus * share(row.allowed_gpus, row.team.gpus_max);
+    const double cores = row.team.cpus * share(row.quota_cores, row.team.cpus_max);
+    const double gpus = row.team.gpus * share(row.quota_gpus, row.team.gpus_max);
     return row.cores + demand[0] <= cores + kSlop && row.gpus + demand[2] <= gpus + kSlop;
   }
-  // Tasks of this size that the allowance still lets in.
+  // Tasks of this size that the quota share still lets in.
   [[nodiscard]] int tasks_within(int team, const Resources& demand) const {
     double count = 1e6;
     if (demand[0] > 0) count = std::min(count, (spare_cores(team) + kSlop) / demand[0]);
@@ -305,13 +306,13 @@
   }
   [[nodiscard]] std::size_t size() const { return rows_.size(); }
   [[nodiscard]] double cores(int team) const { return at(team).cores; }
-  [[nodiscard]] double allowed_cores(int team) const { return at(team).allowed_cores; }
-  [[nodiscard]] double allowed_gpus(int team) const { return at(team).allowed_gpus; }
+  [[nodiscard]] double quota_cores(int team) const { return at(team).quota_cores; }
+  [[nodiscard]] double quota_gpus(int team) const { return at(team).quota_gpus; }
   [[nodiscard]] double spare_cores(int team) const {
-    return std::max(0.0, at(team).allowed_cores - at(team).cores);
+    return std::max(0.0, at(team).quota_cores - at(team).cores);
   }
   [[nodiscard]] double spare_gpus(int team) const {
-    return std::max(0.0, at(team).allowed_gpus - at(team).gpus);
+    return std::max(0.0, at(team).quota_gpus - at(team).gpus);
   }
   [[nodiscard]] std::uint64_t revision(int team) const { return at(team).revision; }
 
@@ -320,13 +321,13 @@
   static constexpr double kSlop = 1e-9;
   struct Row {
     Team team;
-    double allowed_cores = 0;
-    double allowed_gpus = 0;
+    double quota_cores = 0;
+    double quota_gpus = 0;
     double cores = 0;
     double gpus = 0;
     std::uint64_t revision = 0;
   };
-  static double share(double part, double whole) { return whole > 0 ? part / whole : 0; }
+  static double share(double portion, double whole) { return whole > 0 ? portion / whole : 0; }
   [[nodiscard]] const Row& at(int team) const { return rows_[static_cast<std::size_t>(team)]; }
   Row& at(int team) { return rows_[static_cast<std::size_t>(team)]; }
   std::vector<Row> rows_;
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -8,19 +8,19 @@
 constexpr int kMaxTasks = 100'000;  // tasks of a job, as the protocol says
 }  // namespace
 
-Json HeadRecord::to_json() const {
+Json JobRecord::to_json() const {
   Json out = {{"job", job_to_json(spec)}, {"at", submitted}};
   if (aborted) out["phase"] = "aborted";
   if (spread) out["spread"] = true;
   return out;
 }
 
-std::optional<HeadRecord> HeadRecord::from_json(const Json& value) {
+std::optional<JobRecord> JobRecord::from_json(const Json& value) {
   if (!value.is_object() || !value.contains("job")) return std::nullopt;
   std::string why;
   auto spec = parse_job(value["job"], why);
   if (!spec) return std::nullopt;
-  HeadRecord out;
+  JobRecord out;
   out.spec = std::move(*spec);
   out.submitted = value.value("at", 0.0);
   out.aborted = value.value("phase", "") == "aborted";
@@ -28,7 +28,7 @@
   return out;
 }
 
-Json HostRecord::to_json() const {
+Json MachineRecord::to_json() const {
   std::map<std::string, Json> by_job;
   for (const PlacementRecord& item : placements) {
     Json& list = by_job.try_emplace(item.ref, Json::array()).first->second;
@@ -43,9 +43,9 @@
   return out;
 }
 
-std::optional<HostRecord> HostRecord::from_json(const Json& value) {
+std::optional<MachineRecord> MachineRecord::from_json(const Json& value) {
   if (!value.is_object()) return std::nullopt;
-  HostRecord out;
+  MachineRecord out;
   try {
     out.address = value.at("a").get<std::string>();
     out.machine_type = value.at("f").get<std::string>();
@@ -64,21 +64,21 @@
   return out;
 }
 
-Json PageRecord::to_json() const {
-  Json machines = Json::object();
-  for (const auto& [name, host] : hosts) machines[name] = host.to_json();
-  Json out = {{"m", std::move(machines)}};
+Json SegmentRecord::to_json() const {
+  Json by_name = Json::object();
+  for (const auto& [name, machine] : machines) by_name[name] = machine.to_json();
+  Json out = {{"m", std::move(by_name)}};
   if (!done.empty()) out["d"] = done;
   return out;
 }
 
-std::optional<PageRecord> PageRecord::from_json(const Json& value) {
+std::optional<SegmentRecord> SegmentRecord::from_json(const Json& value) {
   if (!value.is_object() || !value.contains("m") || !value["m"].is_object()) return std::nullopt;
-  PageRecord out;
-  for (const auto& [name, host] : value["m"].items()) {
-    auto record = HostRecord::from_json(host);
+  SegmentRecord out;
+  for (const auto& [name, machine] : value["m"].items()) {
+    auto record = MachineRecord::from_json(machine);
     if (!record) return std::nullopt;
-    out.hosts.emplace(name, std::move(*record));
+    out.machines.emplace(name, std::move(*record));
   }
   const auto done = value.find("d");
   if (done != value.end()) {
@@ -91,24 +91,24 @@
   return out;
 }
 
-Json BlockRecord::to_json() const {
-  Json out = {{"home", home},           {"stamp", job_revision},    {"works", works},
-              {"head", head.to_json()}, {"range", range.to_text()}, {"done", done.to_text()}};
+Json DelegationRecord::to_json() const {
+  Json out = {{"home", home_shard},    {"stamp", job_revision},    {"works", works},
+              {"head", job.to_json()}, {"range", range.to_text()}, {"done", done.to_text()}};
   if (fails) out["fails"] = true;
   return out;
 }
 
-std::optional<BlockRecord> BlockRecord::from_json(const Json& value) {
+std::optional<DelegationRecord> DelegationRecord::from_json(const Json& value) {
   if (!value.is_object() || !value.contains("head")) return std::nullopt;
-  auto head = HeadRecord::from_json(value["head"]);
-  if (!head) return std::nullopt;
-  BlockRecord out;
-  out.home = value.value("home", 0);
+  auto job_record = JobRecord::from_json(value["head"]);
+  if (!job_record) return std::nullopt;
+  DelegationRecord out;
+  out.home_shard = value.value("home", 0);
   out.job_revision = value.value("stamp", std::uint64_t{0});
   out.works = value.value("works", false);
   out.fails = value.value("fails", false);
-  const int task_count = head->spec.task_count;
-  out.head = std::move(*head);
+  const int task_count = job_record->spec.task_count;
+  out.job = std::move(*job_record);
   auto range = RangeSet::from_text(value.value("range", ""), task_count);
   auto done = RangeSet::from_text(value.value("done", ""), task_count);
   if (!range || !done) return std::nullopt;
--- a/src/coordination/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -1,4 +1,4 @@
-#include "coordination/cloud_client.hpp"
+#include "coordination/fleet/cloud_client.hpp"
 
 #include <algorithm>
 
@@ -45,8 +45,8 @@
   send("POST", "/hosts", dump_json(body), std::move(handler));
 }
 
-void CloudClient::give_back(const std::vector<std::string>& hosts, CloudHandler handler) {
-  send("POST", "/hosts/return", dump_json({{"hosts", hosts}}), std::move(handler));
+void CloudClient::give_back(const std::vector<std::string>& machine_names, CloudHandler handler) {
+  send("POST", "/hosts/return", dump_json({{"hosts", machine_names}}), std::move(handler));
 }
 
 void CloudClient::list(const std::string& from, CloudHandler handler) {
--- a/src/coordination/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -33,7 +33,7 @@
   [[nodiscard]] bool ready(double reserve = 0);
   void machine_types(CloudHandler handler);
   void rent(const RentalRequest& request, CloudHandler handler);
-  void give_back(const std::vector<std::string>& hosts, CloudHandler handler);
+  void give_back(const std::vector<std::string>& machine_names, CloudHandler handler);
   void list(const std::string& from, CloudHandler handler);
 
  private:
--- a/src/coordination/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -1,4 +1,4 @@
-#include "coordination/fleet.hpp"
+#include "coordination/fleet/fleet.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -24,9 +24,9 @@
 constexpr double kTrouble = 2.0;      // the cloud is left alone this long after it failed to answer
 constexpr double kNoteEvery = 10.0;
 constexpr std::size_t kMaxHints = 60;
-constexpr double kSummaryGood = 5.0;    // a part's summary is believed this long
+constexpr double kSummaryGood = 5.0;    // a shard's summary is believed this long
 constexpr double kCordonReserve = 0.2;  // of recent use, free on the other machines
-constexpr double kSilentPart = 20.0;
+constexpr double kSilentShard = 20.0;
 constexpr std::size_t kReturnShare = 30;  // one in so many machines may go back a step
 constexpr int kRentCalls = 24;
 constexpr double kBestEffortStart = 120.0;       // machines are rented for best-effort work that waits longer
@@ -34,7 +34,7 @@
 constexpr std::size_t kRentalRequestFrame = 60;  // and of a request without its names
 constexpr double kOrdinaryFall = 60.0;           // seconds
 constexpr double kGangAge = 2.0;                 // a gang that has waited so long gets machines of its own
-constexpr double kGangRentEvery = 2.5;           // by then it is known to which parts those just rented fall
+constexpr double kGangRentEvery = 2.5;           // by then it is known to which shards those just rented fall
 constexpr int kGangRent = 8;                     // at once
 constexpr double kLeastOrdinary = 0.5;           // cores: less than that is no work at all
 constexpr double kAskedFor = 10.0;               // a rental without an answer is counted on this long
@@ -57,7 +57,7 @@
 void Fleet::start() { load(); }
 
 void Fleet::load() {
-  ctx_.state->list(Lane::kRest, keys::kRentals,
+  ctx_.state->list(RequestPriority::kRest, keys::kRentals,
                    alive([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
                      if (outcome != Outcome::kOk) {
                        ctx_.env->after(kRetry, alive([this] { load(); }));
@@ -92,7 +92,7 @@
     double used = 0;
     // Beyond a team's limit its waiting tasks need no machines, however many there are.
     std::map<int, double> wanted;
-    for (const auto& [part, told] : summaries_) {
+    for (const auto& [shard, told] : summaries_) {
       for (const auto& [team, cores] : told.summary.wanted_by_team) wanted[team] += cores;
     }
     for (const auto& [team, cores] : wanted) {
@@ -100,7 +100,7 @@
       used += std::min(cores, ctx_.settings->teams[static_cast<std::size_t>(team)].cpus_max);
     }
     // A new fleet owner starts from what it finds, not from nothing.
-    const bool first = !knows_use_ && static_cast<int>(summaries_.size()) == ctx_.parts;
+    const bool first = !knows_use_ && static_cast<int>(summaries_.size()) == ctx_.shard_count;
     if (first) knows_use_ = true;
     const auto follow = [this, first, now](double& known, double fresh) {
       const double weight =
@@ -109,10 +109,10 @@
     };
     follow(used_cores_, used);
     double squares = 0;
-    for (const auto& [part, told] : summaries_) squares += told.summary.squares;
+    for (const auto& [shard, told] : summaries_) squares += told.summary.squares;
     follow(squares_, squares);
     follow_ordinary_use(now - last_step_);
-    judge();
+    evaluate_machines();
     send_returns();
     plan();
     for (auto it = rentals_.begin(); it != rentals_.end();) {
@@ -135,7 +135,7 @@
 // slowly.
 void Fleet::follow_ordinary_use(double step_s) {
   OrdinaryUse now;
-  for (const auto& [part, told] : summaries_) {
+  for (const auto& [shard, told] : summaries_) {
     const OrdinaryUse& use = told.summary.ordinary;
     now.cores += use.cores;
     now.squares += use.squares;
@@ -173,29 +173,29 @@
 
 void Fleet::poll_list(const std::string& from) {
   listing_ = true;
-  ctx_.cloud->list(from, alive([this](const CloudReply& reply) {
-                     if (reply.status != 200 || !reply.body.is_object()) {
-                       listing_ = false;
-                       next_list_ = ctx_.env->now() + 3;
-                       return;
-                     }
-                     take_list_page(reply.body);
-                     const auto hosts = reply.body.find("hosts");
-                     if (reply.body.value("more", false) && hosts != reply.body.end() && !hosts->empty()) {
-                       poll_list(hosts->back().value("ref", ""));
-                       return;
-                     }
-                     listing_ = false;
-                     next_list_ =
-                         ctx_.env->now() + std::max(2.0, 4 / std::max(0.1, ctx_.settings->cloud_rps));
-                     end_list();
-                   }));
+  ctx_.cloud->list(
+      from, alive([this](const CloudReply& reply) {
+        if (reply.status != 200 || !reply.body.is_object()) {
+          listing_ = false;
+          next_list_ = ctx_.env->now() + 3;
+          return;
+        }
+        take_list_page(reply.body);
+        const auto machine_names = reply.body.find("hosts");
+        if (reply.body.value("more", false) && machine_names != reply.body.end() && !machine_names->empty()) {
+          poll_list(machine_names->back().value("ref", ""));
+          return;
+        }
+        listing_ = false;
+        next_list_ = ctx_.env->now() + std::max(2.0, 4 / std::max(0.1, ctx_.settings->cloud_rps));
+        end_list();
+      }));
 }
 
 void Fleet::take_list_page(const Json& body) {
-  const auto hosts = body.find("hosts");
-  if (hosts == body.end() || !hosts->is_array()) return;
-  for (const Json& item : *hosts) {
+  const auto machine_names = body.find("hosts");
+  if (machine_names == body.end() || !machine_names->is_array()) return;
+  for (const Json& item : *machine_names) {
     const std::string ref = item.value("ref", "");
     const int type = ctx_.types->find(item.value("flavour", ""));
     if (ref.empty() || type < 0) continue;
@@ -225,31 +225,31 @@
   }
 }
 
-const MachineSummary* Fleet::reporting(const std::string& host) const {
-  const auto it = machines_.find(host);
+const MachineSummary* Fleet::reporting(const std::string& machine_name) const {
+  const auto it = machines_.find(machine_name);
   return it == machines_.end() ? nullptr : it->second;
 }
 
-// Whether the owner of the machine's part has told us of its machines lately.
-bool Fleet::heard_of(const std::string& host) const {
-  const auto it = summaries_.find(part_of(host, ctx_.parts));
+// Whether the owner of the machine's shard has told us of its machines lately.
+bool Fleet::heard_of(const std::string& machine_name) const {
+  const auto it = summaries_.find(shard_of(machine_name, ctx_.shard_count));
   return it != summaries_.end() && ctx_.env->now() - it->second.at < kSummaryGood;
 }
 
-// A new owner of a part knows the machines with placements from its records, the others once they report: of
+// A new owner of a shard knows the machines with placements from its records, the others once they report: of
 // what it does not name yet, nothing is concluded before. (Incident db4e: idle machines that were up went
 // back as "never came up" a second after each takeover.)
-bool Fleet::knows_all_of(const std::string& host) const {
-  const auto it = summaries_.find(part_of(host, ctx_.parts));
+bool Fleet::knows_all_of(const std::string& machine_name) const {
+  const auto it = summaries_.find(shard_of(machine_name, ctx_.shard_count));
   return it != summaries_.end() && ctx_.env->now() - it->second.since > ctx_.settings->lease_s;
 }
 
-FleetOrders Fleet::take(PartSummary summary) {
-  const int part = summary.part;
+FleetOrders Fleet::take(ShardSummary summary) {
+  const int shard = summary.shard;
   for (auto it = machines_.begin(); it != machines_.end();) {
-    it = part_of(it->first, ctx_.parts) == part ? machines_.erase(it) : std::next(it);
+    it = shard_of(it->first, ctx_.shard_count) == shard ? machines_.erase(it) : std::next(it);
   }
-  Told& told = summaries_[part];
+  Told& told = summaries_[shard];
   told.at = ctx_.env->now();
   if (told.since == 0 || told.summary.fencing_token != summary.fencing_token) told.since = told.at;
   told.summary = std::move(summary);
@@ -261,7 +261,7 @@
     const auto it = rented_.find(machine.name);
     if (it == rented_.end()) continue;
     if (it->second.returned) {
-      orders.gone.push_back(machine.name);
+      orders.removed.push_back(machine.name);
     } else if (it->second.returning) {
       orders.draining.push_back(machine.name);
     } else if (cordoned_.count(machine.name) > 0) {
@@ -270,7 +270,7 @@
   }
   for (const bool starving : {true, false}) {  // those first, should there be too many
     for (const auto& [other, each] : summaries_) {
-      if (other == part || ctx_.env->now() - each.at > kSummaryGood) continue;
+      if (other == shard || ctx_.env->now() - each.at > kSummaryGood) continue;
       for (const DemandSummary& demand : each.summary.demands) {
         if (demand.starving != starving || orders.waiting.size() >= kMaxHints) continue;
         // Best-effort work waits for what others leave: nothing is kept for it, unless it starves.
@@ -288,7 +288,7 @@
 bool Fleet::within_limit(const DemandSummary& demand) const {
   if (demand.team < 0 || demand.team >= static_cast<int>(ctx_.settings->teams.size())) return false;
   double used = demand.demand[0];
-  for (const auto& [part, told] : summaries_) {
+  for (const auto& [shard, told] : summaries_) {
     const auto it = told.summary.used_by_team.find(demand.team);
     if (it != told.summary.used_by_team.end()) used += it->second;
   }
@@ -296,7 +296,7 @@
 }
 
 // Machines that nobody here remembers asking for report like any other; they are used, or returned.
-void Fleet::note_reporting(const PartSummary& summary) {
+void Fleet::note_reporting(const ShardSummary& summary) {
   for (const MachineSummary& machine : summary.machines) {
     const int type = ctx_.types->find(machine.machine_type);
     if (type < 0) continue;
@@ -310,14 +310,14 @@
   }
 }
 
-void Fleet::start_return(const std::string& host, Rented& rented, const std::string& why) {
+void Fleet::start_return(const std::string& machine_name, Rented& rented, const std::string& why) {
   if (rented.returning) return;
   rented.returning = true;
   rented.why = why;
-  spdlog::info("{} to be returned: {}", host, why);
+  spdlog::info("{} to be returned: {}", machine_name, why);
 }
 
-void Fleet::judge() {
+void Fleet::evaluate_machines() {
   const double now = ctx_.env->now();
   const double lease = ctx_.settings->lease_s;
   // Silent machines are more likely cut off or hung than dead, and come back sooner than new ones boot
@@ -354,7 +354,7 @@
       } else if (machine == nullptr) {
         const double boot = ctx_.types->at(rented.type).boot_s;
         if (age > kBootLost * boot + 10 && knows_all_of(name)) start_return(name, rented, "never came up");
-      } else if (machine->sick) {
+      } else if (machine->faulty) {
         start_return(name, rented, "sick");
       } else if (machine->silent_s > patience || (machine->silent_s > lease && rented.missing >= 2)) {
         start_return(name, rented, rented.missing >= 2 ? "taken" : "silent");
@@ -366,27 +366,27 @@
 
 void Fleet::send_returns() {
   if (return_call_ || !ctx_.cloud->ready()) return;
-  std::vector<std::string> hosts;
+  std::vector<std::string> machine_names;
   for (auto& [name, rented] : rented_) {
-    if (!rented.returning || rented.returned || hosts.size() >= 100 || !heard_of(name)) continue;
+    if (!rented.returning || rented.returned || machine_names.size() >= 100 || !heard_of(name)) continue;
     const MachineSummary* machine = reporting(name);
     // Drained first, unless nothing on it can be saved by waiting.
     const bool lost = machine == nullptr || rented.failed || machine->silent_s > ctx_.settings->lease_s;
     const bool drained = machine != nullptr && machine->draining && machine->empty;
-    if (lost || drained) hosts.push_back(name);
+    if (lost || drained) machine_names.push_back(name);
   }
-  if (hosts.empty()) return;
+  if (machine_names.empty()) return;
   return_call_ = true;
-  ctx_.cloud->give_back(hosts, alive([this, hosts](const CloudReply& reply) {
+  ctx_.cloud->give_back(machine_names, alive([this, machine_names](const CloudReply& reply) {
                           return_call_ = false;
                           // Anything but a 200 may or may not have worked: it is repeated until confirmed.
                           if (reply.status != 200) return;
-                          for (const std::string& host : hosts) {
-                            const auto it = rented_.find(host);
+                          for (const std::string& machine_name : machine_names) {
+                            const auto it = rented_.find(machine_name);
                             if (it == rented_.end()) continue;
                             it->second.returned = true;
                             it->second.returned_at = ctx_.env->now();
-                            spdlog::info("{} returned", host);
+                            spdlog::info("{} returned", machine_name);
                           }
                         }));
 }
@@ -410,24 +410,24 @@
   return allows_type(wanted, ctx_.types->at(type).name);
 }
 
-// Tasks of the gang that each part's machines in this zone could hold if they were empty. A part owns the
+// Tasks of the gang that each shard's machines in this zone could hold if they were empty. A shard owns the
 // machines whose names hash to it: those that are still booting count too.
-std::vector<int> Fleet::slots_by_part(const DemandSummary& gang, int zone) const {
-  std::vector<int> out(static_cast<std::size_t>(ctx_.parts));
+std::vector<int> Fleet::slots_by_shard(const DemandSummary& gang, int zone) const {
+  std::vector<int> out(static_cast<std::size_t>(ctx_.shard_count));
   for (const auto& [name, rented] : rented_) {
     if (rented.returned || rented.returning || rented.failed || rented.zone != zone) continue;
     if (!allows(gang, rented.type, zone, rented.spot)) continue;
     const MachineSummary* machine = reporting(name);
-    if (machine != nullptr && !machine->welcome) continue;
+    if (machine != nullptr && !machine->schedulable) continue;
     const MachineType& type = ctx_.types->at(rented.type);
-    out[static_cast<std::size_t>(part_of(name, ctx_.parts))] +=
+    out[static_cast<std::size_t>(shard_of(name, ctx_.shard_count))] +=
         slots({type.cores, type.memory_gb, type.accelerators}, gang.demand);
   }
   return out;
 }
 
-// A gang that no single machine holds needs several of one part and, as a rule, of one zone. Which part a
-// machine falls to shows only when it is rented: where no part has enough, more are rented in the zone that
+// A gang that no single machine holds needs several of one shard and, as a rule, of one zone. Which shard a
+// machine falls to shows only when it is rented: where no shard has enough, more are rented in the zone that
 // lacks least, until one has. (What is too much goes back when it is idle.)
 std::optional<FleetPlan::Rent> Fleet::rent_for(const DemandSummary& gang) const {
   std::optional<FleetPlan::Rent> best;
@@ -439,8 +439,8 @@
     if (each == 0) continue;
     for (const std::string& zone_name : type.zones) {
       const int zone = ctx_.zones->intern(zone_name);
-      const std::vector<int> by_part = slots_by_part(gang, zone);
-      const int missing = gang.count - *std::max_element(by_part.begin(), by_part.end());
+      const std::vector<int> by_shard = slots_by_shard(gang, zone);
+      const int missing = gang.count - *std::max_element(by_shard.begin(), by_shard.end());
       if (missing <= 0) return std::nullopt;
       for (const bool spot : {true, false}) {
         const auto market = markets_.find({static_cast<int>(t), zone, spot});
@@ -462,7 +462,7 @@
   std::vector<FleetPlan::Rent> out;
   const double now = ctx_.env->now();
   const DemandSummary* first = nullptr;
-  for (const auto& [part, told] : summaries_) {
+  for (const auto& [shard, told] : summaries_) {
     if (now - told.at > kSummaryGood) continue;
     for (const DemandSummary& demand : told.summary.demands) {
       if (!demand.gang || as_unit(demand) != demand.demand || demand.count < 2) continue;
@@ -480,7 +480,7 @@
   std::vector<const DemandSummary*> all;
   std::map<int, double> claimed;  // by team: cores in use, then also those asked for by jobs before
   const double now = ctx_.env->now();
-  for (const auto& [part, told] : summaries_) {
+  for (const auto& [shard, told] : summaries_) {
     if (now - told.at > kSummaryGood) continue;
     for (const DemandSummary& demand : told.summary.demands) all.push_back(&demand);
     for (const auto& [team, cores] : told.summary.used_by_team) claimed[team] += cores;
@@ -570,7 +570,7 @@
     out.spot = rented.spot;
     const FleetType& type = types[static_cast<std::size_t>(rented.type)];
     if (machine != nullptr) {
-      out.usable = machine->welcome && !rented.returning;
+      out.usable = machine->schedulable && !rented.returning;
       out.rooms = machine->rooms;
     } else {
       const double age = now - rented.rented_at;
@@ -649,10 +649,10 @@
                  used_cores_);
   }
 
-  // Nothing is rented before a first look at what there is, from the cloud and from every part. A part that
+  // Nothing is rented before a first look at what there is, from the cloud and from every shard. A shard that
   // stays silent must not keep the others from their machines.
-  const bool all_told = static_cast<int>(summaries_.size()) == ctx_.parts;
-  if (list_complete_ && (all_told || now - began_ > kSilentPart)) {
+  const bool all_told = static_cast<int>(summaries_.size()) == ctx_.shard_count;
+  if (list_complete_ && (all_told || now - began_ > kSilentShard)) {
     std::vector<FleetPlan::Rent> rents = result.rents;
     if (now >= next_gang_rent_) {
       next_gang_rent_ = now + kGangRentEvery;
@@ -711,7 +711,7 @@
                            const std::vector<FleetType>& types) {
   cordoned_ = kept_;
   double waiting = 0;
-  for (const auto& [part, told] : summaries_) {
+  for (const auto& [shard, told] : summaries_) {
     for (const DemandSummary& demand : told.summary.demands)
       waiting += demand.urgency > 0 ? demand.count * demand.demand[0] : 0;
   }
@@ -773,9 +773,9 @@
                     {"how_many", request.how_many}});
   }
   Transaction txn;
-  txn.guard(keys::part(0), ctx_.fencing_token);
+  txn.guard(keys::shard(0), ctx_.fencing_token);
   txn.put(keys::rental(name), {{"requests", std::move(list)}});
-  ctx_.state->commit(Lane::kLaunch, txn, alive([this, name, requests](const StateReply& reply) {
+  ctx_.state->commit(RequestPriority::kLaunch, txn, alive([this, name, requests](const StateReply& reply) {
                        if (reply.ok()) {
                          for (const RentalRequest& request : requests) call_rental(name, request);
                          return;
@@ -827,12 +827,12 @@
     return;
   }
   int count = 0;
-  const auto hosts = reply.body.find("hosts");
-  if (hosts != reply.body.end() && hosts->is_array()) {
-    for (const Json& host : *hosts) {
-      if (!host.is_string()) continue;
+  const auto machine_names = reply.body.find("hosts");
+  if (machine_names != reply.body.end() && machine_names->is_array()) {
+    for (const Json& machine_name : *machine_names) {
+      if (!machine_name.is_string()) continue;
       count++;
-      auto [place, fresh] = rented_.try_emplace(host.get<std::string>());
+      auto [place, fresh] = rented_.try_emplace(machine_name.get<std::string>());
       if (!fresh) continue;
       place->second.type = type;
       place->second.zone = zone;
@@ -849,9 +849,9 @@
 void Fleet::drop_rental(const std::string& name) {
   rentals_.erase(name);
   Transaction txn;
-  txn.guard(keys::part(0), ctx_.fencing_token);
+  txn.guard(keys::shard(0), ctx_.fencing_token);
   txn.remove(keys::rental(name));
-  ctx_.state->commit(Lane::kRest, txn, [](const StateReply&) {});
+  ctx_.state->commit(RequestPriority::kRest, txn, [](const StateReply&) {});
 }
 
 }  // namespace mothslip
--- a/src/coordination/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -1,7 +1,7 @@
-// Rents and returns machines. One node does: the owner of part 0, and every write guards that ownership.
+// Rents and returns machines. One node does: the owner of shard 0, and every write guards that ownership.
 //
-// A rental's name is made of the baton and a counter and is recorded before the call, so that it is never
-// used for another; a new owner repeats the recorded calls to learn what they brought.
+// A rental's name is made of the fencing token and a counter and is recorded before the call, so that it is
+// never used for another; a new owner repeats the recorded calls to learn what they brought.
 #pragma once
 
 #include <map>
@@ -11,9 +11,9 @@
 #include <tuple>
 #include <vector>
 
-#include "coordination/cloud_client.hpp"
-#include "coordination/state_client.hpp"
-#include "coordination/summary.hpp"
+#include "coordination/fleet/cloud_client.hpp"
+#include "coordination/fleet/shard_summary.hpp"
+#include "coordination/state/state_client.hpp"
 #include "protocol/names.hpp"
 #include "scheduling/sizing.hpp"
 
@@ -28,16 +28,16 @@
     const Settings* settings = nullptr;
     const MachineTypes* types = nullptr;
     NameTable* zones = nullptr;
-    std::uint64_t fencing_token = 0;  // of part 0
-    int parts = 1;
+    std::uint64_t fencing_token = 0;  // of shard 0
+    int shard_count = 1;
     std::function<bool()> exclusive_owner;
     std::function<void(MachineTypes)> new_types;
   };
   explicit Fleet(Context context);
 
   void start();
-  // A part tells of its machines and its waiting tasks, and hears what to do with its machines.
-  FleetOrders take(PartSummary summary);
+  // A shard tells of its machines and its waiting tasks, and hears what to do with its machines.
+  FleetOrders take(ShardSummary summary);
 
  private:
   struct Rented {
@@ -73,11 +73,11 @@
   void poll_list(const std::string& from);
   void take_list_page(const Json& body);
   void end_list();
-  void note_reporting(const PartSummary& summary);
-  [[nodiscard]] bool knows_all_of(const std::string& host) const;
-  [[nodiscard]] bool heard_of(const std::string& host) const;
+  void note_reporting(const ShardSummary& summary);
+  [[nodiscard]] bool knows_all_of(const std::string& machine_name) const;
+  [[nodiscard]] bool heard_of(const std::string& machine_name) const;
   [[nodiscard]] bool within_limit(const DemandSummary& demand) const;
-  void judge();
+  void evaluate_machines();
   void plan();
   void follow_ordinary_use(double step_s);
   [[nodiscard]] double ordinary_spare() const;
@@ -86,7 +86,7 @@
   [[nodiscard]] Resources as_unit(const DemandSummary& wanted) const;
   [[nodiscard]] std::vector<FleetPlan::Rent> rents_for_large_gangs() const;
   [[nodiscard]] std::optional<FleetPlan::Rent> rent_for(const DemandSummary& gang) const;
-  [[nodiscard]] std::vector<int> slots_by_part(const DemandSummary& gang, int zone) const;
+  [[nodiscard]] std::vector<int> slots_by_shard(const DemandSummary& gang, int zone) const;
   [[nodiscard]] bool allows(const DemandSummary& wanted, int type, int zone, bool spot) const;
   void cordon_surplus(const std::vector<std::string>& names, const std::vector<FleetMachine>& machines,
                       const std::vector<FleetType>& types);
@@ -96,8 +96,8 @@
   void on_rental(const std::string& name, const RentalRequest& request, const CloudReply& reply);
   void drop_rental(const std::string& name);
   void send_returns();
-  void start_return(const std::string& host, Rented& rented, const std::string& why);
-  [[nodiscard]] const MachineSummary* reporting(const std::string& host) const;
+  void start_return(const std::string& machine_name, Rented& rented, const std::string& why);
+  [[nodiscard]] const MachineSummary* reporting(const std::string& machine_name) const;
   [[nodiscard]] std::vector<FleetDemand> demands() const;
 
   template <typename F>
@@ -110,11 +110,11 @@
   Context ctx_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
   struct Told {
-    PartSummary summary;
+    ShardSummary summary;
     double at = 0;
     double since = 0;  // first heard from this owner
   };
-  std::map<int, Told> summaries_;                          // by part
+  std::map<int, Told> summaries_;                          // by shard
   std::map<std::string, const MachineSummary*> machines_;  // those in the summaries
   std::set<std::string> cordoned_;
   std::map<std::string, double> start_wish_;  // by workload: tasks are wanted to start within
--- a/src/coordination/summary.cpp
+++ b/src/coordination/fleet/shard_summary.cpp
@@ -1,4 +1,4 @@
-#include "coordination/summary.hpp"
+#include "coordination/fleet/shard_summary.hpp"
 
 namespace mothslip {
 
@@ -9,7 +9,7 @@
 }
 }  // namespace
 
-Json PartSummary::to_json() const {
+Json ShardSummary::to_json() const {
   Json machine_list = Json::array();
   for (const MachineSummary& machine : machines) {
     Json rooms = Json::array();
@@ -17,8 +17,8 @@
       rooms.push_back({room.at_s, room.room[0], room.room[1], room.room[2], room.yields});
     }
     machine_list.push_back({machine.name, machine.machine_type, machine.zone, machine.address, machine.spot,
-                            machine.welcome, machine.sick, machine.draining, machine.empty, machine.silent_s,
-                            machine.idle_s, std::move(rooms)});
+                            machine.schedulable, machine.faulty, machine.draining, machine.empty,
+                            machine.silent_s, machine.idle_s, std::move(rooms)});
   }
   Json demand_list = Json::array();
   for (const DemandSummary& demand : demands) {
@@ -41,7 +41,7 @@
   for (const auto& [team, cores] : used_by_team) teams.push_back({team, cores});
   Json wanted = Json::array();
   for (const auto& [team, cores] : wanted_by_team) wanted.push_back({team, cores});
-  Json out = {{"part", part},
+  Json out = {{"part", shard},
               {"baton", fencing_token},
               {"squares", squares},
               {"wanted", std::move(wanted)},
@@ -52,10 +52,10 @@
   return out;
 }
 
-std::optional<PartSummary> PartSummary::from_json(const Json& value) {
-  PartSummary out;
+std::optional<ShardSummary> ShardSummary::from_json(const Json& value) {
+  ShardSummary out;
   try {
-    out.part = value.at("part").get<int>();
+    out.shard = value.at("part").get<int>();
     out.fencing_token = value.at("baton").get<std::uint64_t>();
     for (const Json& item : value.at("wanted"))
       out.wanted_by_team[item.at(0).get<int>()] = item.at(1).get<double>();
@@ -73,8 +73,8 @@
       machine.zone = item.at(2).get<std::string>();
       machine.address = item.at(3).get<std::string>();
       machine.spot = item.at(4).get<bool>();
-      machine.welcome = item.at(5).get<bool>();
-      machine.sick = item.at(6).get<bool>();
+      machine.schedulable = item.at(5).get<bool>();
+      machine.faulty = item.at(6).get<bool>();
       machine.draining = item.at(7).get<bool>();
       machine.empty = item.at(8).get<bool>();
       machine.silent_s = item.at(9).get<double>();
@@ -117,7 +117,7 @@
     hints.push_back({to_list(hint.demand), hint.urgency, hint.allows_spot, hint.starving, hint.startable});
   return {{"draining", draining},
           {"winding", cordoned},
-          {"gone", gone},
+          {"gone", removed},
           {"waiting", std::move(hints)},
           {"headroom", headroom_share}};
 }
@@ -128,7 +128,7 @@
     out.draining = value.at("draining").get<std::vector<std::string>>();
     out.cordoned = value.at("winding").get<std::vector<std::string>>();
     out.headroom_share = value.value("headroom", 0.0);
-    out.gone = value.at("gone").get<std::vector<std::string>>();
+    out.removed = value.at("gone").get<std::vector<std::string>>();
     for (const Json& hint : value.at("waiting")) {
       out.waiting.push_back({from_list(hint.at(0)), hint.at(1).get<int>(), hint.at(2).get<bool>(),
                              hint.at(3).get<bool>(), hint.size() > 4 && hint.at(4).get<bool>()});
--- a/src/coordination/summary.hpp
+++ b/src/coordination/fleet/shard_summary.hpp
@@ -1,4 +1,4 @@
-// What a part tells the fleet, and what the fleet tells it back. Between nodes both travel as JSON.
+// What a shard tells the fleet, and what the fleet tells it back. Between nodes both travel as JSON.
 #pragma once
 
 #include <map>
@@ -16,8 +16,8 @@
   std::string zone;
   std::string address;
   bool spot = false;
-  bool welcome = true;  // may anything new be started there
-  bool sick = false;
+  bool schedulable = true;  // may anything new be started there
+  bool faulty = false;
   bool draining = false;
   bool empty = false;            // nothing placed, and that is durable
   double silent_s = 0;           // since its last report
@@ -51,34 +51,34 @@
   [[nodiscard]] bool empty() const { return cores <= 0; }
 };
 
-struct PartSummary {
-  int part = 0;
+struct ShardSummary {
+  int shard = 0;
   std::uint64_t fencing_token = 0;
   std::map<int, double> wanted_by_team;  // cores placed and waiting
   std::map<int, double> used_by_team;
-  double squares = 0;  // of the cores that each open job of this part's own has placed or waiting, summed
+  double squares = 0;  // of the cores that each open job of this shard's own has placed or waiting, summed
   OrdinaryUse ordinary;
   std::vector<MachineSummary> machines;
   std::vector<DemandSummary> demands;
 
   [[nodiscard]] Json to_json() const;
-  static std::optional<PartSummary> from_json(const Json& value);
+  static std::optional<ShardSummary> from_json(const Json& value);
 };
 
-// Tasks that wait at other parts, so that a part can keep large machines free for them.
+// Tasks that wait at other shards, so that a shard can keep large machines free for them.
 struct WaitingHint {
   Resources demand{};
   int urgency = 0;
   bool allows_spot = false;
   bool starving = false;
   bool startable = false;  // goes before best-effort work, and lacks nothing but room
-  double least_cores = 0;  // of the smallest machine type that can hold it; for the part to work out
+  double least_cores = 0;  // of the smallest machine type that can hold it; for the shard to work out
 };
 
 struct FleetOrders {
   std::vector<std::string> draining;
   std::vector<std::string> cordoned;
-  std::vector<std::string> gone;  // the cloud confirmed it
+  std::vector<std::string> removed;  // the cloud confirmed it
   std::vector<WaitingHint> waiting;
   double headroom_share = 0;  // of the machines' cores, kept free of best-effort work
 
--- a/src/coordination/job_status.cpp
+++ b/src/coordination/node/job_status.cpp
@@ -1,9 +1,9 @@
-#include "coordination/job_status.hpp"
+#include "coordination/node/job_status.hpp"
 
 #include <utility>
 
 #include "bookkeeping/records.hpp"
-#include "coordination/node_memory.hpp"
+#include "coordination/node/node_memory.hpp"
 #include "protocol/names.hpp"
 
 namespace mothslip {
@@ -85,19 +85,19 @@
   Reading& reading = readings_.at(ref);
   reading.served = std::exchange(reading.waiting, {});
   if (ctx_.state->key_space().incarnation().first()) {
-    read_head(ref);
+    read_job_record(ref);
   } else {
     read_unaccounted(ref);
   }
 }
 
 // Records were lost before: what became of the job may not be known, and it may have been told. This is read
-// first: the record goes with what decides about the job, and never comes. (Read after the head, it was found
-// gone with the ending of a job whose head had just been read, which was then told to be queued.)
+// first: the record goes with what decides about the job, and never comes. (Read after the job record, it was
+// found gone with the ending of a job whose job record had just been read, which was then told to be queued.)
 void JobStatusService::read_unaccounted(const std::string& ref) {
-  const std::string key = keys::unaccounted(part_of(ref, ctx_.shard_count()), ref);
-  ctx_.state->get(Lane::kAccept, key, [this, ref](const StateReply& reply) {
-    if (reply.outcome == Outcome::kMissing) return read_head(ref);
+  const std::string key = keys::unaccounted(shard_of(ref, ctx_.shard_count()), ref);
+  ctx_.state->get(RequestPriority::kAccept, key, [this, ref](const StateReply& reply) {
+    if (reply.outcome == Outcome::kMissing) return read_job_record(ref);
     const auto record =
         reply.ok() ? UnaccountedRecord::from_json(reply.body.value("data", Json())) : std::nullopt;
     if (!record || record->silent()) {
@@ -105,33 +105,34 @@
     } else if (record->all) {
       finish_read(ref, finding(JobFinding::Kind::kStatus));  // (it waits for its description)
     } else {
-      read_head(ref);
+      read_job_record(ref);
     }
   });
 }
 
-// First the head, then the ending: a job moves only in that order.
-void JobStatusService::read_head(const std::string& ref) {
-  const int shard = part_of(ref, ctx_.shard_count());
-  ctx_.state->get(Lane::kAccept, keys::head(shard, ref), [this, shard, ref](const StateReply& reply) {
-    if (reply.outcome == Outcome::kMissing) {
-      read_ending(ref, ctx_.state->key_space().ending_keys(shard, ref), 0);
-      return;
-    }
-    if (!reply.ok() || !reply.body.contains("data")) {
-      finish_read(ref, finding(JobFinding::Kind::kUndecided));
-      return;
-    }
-    const Json& head = reply.body["data"];
-    if (head.value("phase", "") != "aborted") {
-      finish_read(ref, {JobFinding::Kind::kStatus, {}});
-    } else if (head.value("spread", false)) {
-      // Only the owner knows whether all who borrowed tasks of it have taken note.
-      finish_read(ref, finding(JobFinding::Kind::kUndecided));
-    } else {
-      finish_read(ref, {JobFinding::Kind::kStatus, {JobPhase::kCancelled, 0, 0}});
-    }
-  });
+// First the job record, then the ending: a job moves only in that order.
+void JobStatusService::read_job_record(const std::string& ref) {
+  const int shard = shard_of(ref, ctx_.shard_count());
+  ctx_.state->get(RequestPriority::kAccept, keys::job_record(shard, ref),
+                  [this, shard, ref](const StateReply& reply) {
+                    if (reply.outcome == Outcome::kMissing) {
+                      read_ending(ref, ctx_.state->key_space().ending_keys(shard, ref), 0);
+                      return;
+                    }
+                    if (!reply.ok() || !reply.body.contains("data")) {
+                      finish_read(ref, finding(JobFinding::Kind::kUndecided));
+                      return;
+                    }
+                    const Json& job_record = reply.body["data"];
+                    if (job_record.value("phase", "") != "aborted") {
+                      finish_read(ref, {JobFinding::Kind::kStatus, {}});
+                    } else if (job_record.value("spread", false)) {
+                      // Only the owner knows whether all who borrowed tasks of it have taken note.
+                      finish_read(ref, finding(JobFinding::Kind::kUndecided));
+                    } else {
+                      finish_read(ref, {JobFinding::Kind::kStatus, {JobPhase::kCancelled, 0, 0}});
+                    }
+                  });
 }
 
 void JobStatusService::read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t at) {
@@ -152,7 +153,7 @@
     finish_read(
         ref, status ? JobFinding{JobFinding::Kind::kStatus, *status} : finding(JobFinding::Kind::kUndecided));
   };
-  ctx_.state->get(Lane::kAccept, key, handler);
+  ctx_.state->get(RequestPriority::kAccept, key, handler);
 }
 
 void JobStatusService::finish_read(const std::string& ref, const JobFinding& finding) {
--- a/src/coordination/job_status.hpp
+++ b/src/coordination/node/job_status.hpp
@@ -21,7 +21,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/state_client.hpp"
+#include "coordination/state/state_client.hpp"
 
 namespace mothslip {
 
@@ -97,7 +97,7 @@
   // `keys`: where the ending may be; those from `at` on have not been read yet.
   void read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t at);
   void read_unaccounted(const std::string& ref);
-  void read_head(const std::string& ref);
+  void read_job_record(const std::string& ref);
   void finish_read(const std::string& ref, const JobFinding& finding);
 
   Context ctx_;
--- a/src/coordination/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -1,4 +1,4 @@
-#include "coordination/node.hpp"
+#include "coordination/node/node.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -17,7 +17,7 @@
 const char* const kRelayPath = "/peer/hello";
 constexpr double kCountersEvery = 30.0;
 constexpr double kProbeEvery = 2.0;  // of the state service's revision, where lost state is watched for
-// Of the state service's limits: what every node may use for its users, and what goes with the parts.
+// Of the state service's limits: what every node may use for its users, and what goes with the shards.
 constexpr double kUsersShare = 0.3;
 constexpr double kDrift = 0.001;  // of two steady clocks, twice what the protocol allows
 
@@ -42,18 +42,18 @@
       state_(env_, settings_, std::move(incarnation), monitor),
       cloud_(env_, settings_),
       ownership_(env_, state_, settings_, capabilities,
-                 {[this](int part, std::uint64_t fencing_token) { gained(part, fencing_token); },
-                  [this](int part) { lost(part); }, [] {}},
+                 {[this](int shard, std::uint64_t fencing_token) { gained(shard, fencing_token); },
+                  [this](int shard) { lost(shard); }, [] {}},
                  monitor),
       user_api_({&env_, &state_, &settings_, &types_, &ownership_,
-                 [this](int index) -> Part* {
-                   const auto it = parts_.find(index);
-                   return it != parts_.end() && it->second->active() ? it->second.get() : nullptr;
+                 [this](int index) -> ShardLeader* {
+                   const auto it = shards_.find(index);
+                   return it != shards_.end() && it->second->active() ? it->second.get() : nullptr;
                  },
                  [this](const std::string& node) { return address_of(node); }, capabilities.gangs,
                  [this] { return decides(); }}) {}
 
-std::size_t Node::most_front_connections(const Settings& settings) {
+std::size_t Node::max_client_connections(const Settings& settings) {
   constexpr int kOurs = 80;  // to the state service, the cloud, other nodes; direct commands
   return settings.max_sockets <= 0
              ? 0
@@ -70,9 +70,9 @@
 
 Node::~Node() = default;
 
-const Part* Node::part(int index) const {
-  const auto it = parts_.find(index);
-  return it == parts_.end() ? nullptr : it->second.get();
+const ShardLeader* Node::shard(int index) const {
+  const auto it = shards_.find(index);
+  return it == shards_.end() ? nullptr : it->second.get();
 }
 
 void Node::start() {
@@ -89,7 +89,7 @@
 
 // The state service keeps what the cloud said last: a node that starts while the cloud is down can work.
 void Node::load_types() {
-  state_.get(Lane::kLease, keys::kTypes, [this](const StateReply& reply) {
+  state_.get(RequestPriority::kLease, keys::kTypes, [this](const StateReply& reply) {
     if (!types_.empty()) return;
     if (reply.ok() && reply.body.contains("data")) {
       if (auto types = MachineTypes::parse(reply.body["data"])) {
@@ -107,7 +107,7 @@
 
 // Lists that are too long for one record are kept in several. They are looked for where the cloud is away.
 void Node::load_split_types() {
-  state_.list(Lane::kLease, keys::kSplitTypes,
+  state_.list(RequestPriority::kLease, keys::kSplitTypes,
               [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
                 if (!types_.empty()) return;
                 auto types = outcome == Outcome::kOk ? join_types(items) : std::nullopt;
@@ -146,7 +146,7 @@
               {{"flavours", std::move(records[i])}, {"records", records.size()}});
     }
   }
-  state_.commit(Lane::kRest, txn, [](const StateReply&) {});
+  state_.commit(RequestPriority::kRest, txn, [](const StateReply&) {});
 }
 
 void Node::fetch_types() {
@@ -170,7 +170,7 @@
   if (!same && !first) {
     spdlog::warn("the cloud's machine types have changed: loading anew");
     types_ = std::move(types);
-    for (int p = 0; p < ownership_.parts(); p++) ownership_.restart_shard(p, "machine types changed");
+    for (int p = 0; p < ownership_.shard_count(); p++) ownership_.restart_shard(p, "machine types changed");
   } else {
     types_ = std::move(types);
   }
@@ -178,43 +178,43 @@
   if (first) {
     const auto waiting = std::move(waiting_for_types_);
     waiting_for_types_.clear();
-    for (const auto& [part, fencing_token] : waiting) {
-      if (ownership_.mine(part)) gained(part, fencing_token);
+    for (const auto& [shard, fencing_token] : waiting) {
+      if (ownership_.mine(shard)) gained(shard, fencing_token);
     }
   }
 }
 
-// ---------------------------------------------------------------- parts
+// ---------------------------------------------------------------- shards
 
-void Node::gained(int part, std::uint64_t fencing_token) {
+void Node::gained(int shard, std::uint64_t fencing_token) {
   share_calls();
   if (types_.empty()) {
-    waiting_for_types_[part] = fencing_token;
+    waiting_for_types_[shard] = fencing_token;
     return;
   }
-  Part::Context context;
+  ShardLeader::Context context;
   context.env = &env_;
   context.state = &state_;
   context.settings = &settings_;
   context.types = &types_;
   context.zones = &zones_;
-  context.parts = ownership_.parts();
+  context.shard_count = ownership_.shard_count();
   context.ask = [this](int other, const std::string& path, const Json& body,
                        std::function<void(Json)> answer) { ask(other, path, body, std::move(answer)); };
-  context.exclusive_owner = [this, part] { return decides() && ownership_.exclusive(part); };
-  context.may_renew = [this, part] { return ownership_.may_renew(part); };
+  context.exclusive_owner = [this, shard] { return decides() && ownership_.exclusive(shard); };
+  context.may_renew = [this, shard] { return ownership_.may_renew(shard); };
   context.owner_since = [this](int other) { return ownership_.owner(other).fencing_token; };
-  // Both end the part that calls: they run after its own code has returned.
-  context.restart_shard = [this, part, fencing_token](const std::string& why) {
-    env_.after(0, [this, part, fencing_token, why] {
+  // Both end the shard that calls: they run after its own code has returned.
+  context.restart_shard = [this, shard, fencing_token](const std::string& why) {
+    env_.after(0, [this, shard, fencing_token, why] {
       if (monitor_ != nullptr && monitor_->lost()) return;
-      const auto it = parts_.find(part);
-      if (it != parts_.end() && it->second->fencing_token() == fencing_token)
-        ownership_.restart_shard(part, why);
+      const auto it = shards_.find(shard);
+      if (it != shards_.end() && it->second->fencing_token() == fencing_token)
+        ownership_.restart_shard(shard, why);
     });
   };
-  context.deposed = [this, part](std::uint64_t newer) {
-    env_.after(0, [this, part, newer] { ownership_.heard(part, "", newer); });
+  context.deposed = [this, shard](std::uint64_t newer) {
+    env_.after(0, [this, shard, newer] { ownership_.heard(shard, "", newer); });
   };
   context.contradicted = [this](const std::string& what) {
     if (monitor_ != nullptr) monitor_->on_contradiction(what);
@@ -222,11 +222,11 @@
   context.ended = [this](const std::string& ref, const JobStatus& status) {
     user_api_.note_terminal(ref, status);
   };
-  auto fresh = std::make_unique<Part>(std::move(context), part, fencing_token);
-  Part* raw = fresh.get();
-  parts_[part] = std::move(fresh);
+  auto fresh = std::make_unique<ShardLeader>(std::move(context), shard, fencing_token);
+  ShardLeader* raw = fresh.get();
+  shards_[shard] = std::move(fresh);
   raw->load();
-  if (part == 0) {
+  if (shard == 0) {
     Fleet::Context fleet;
     fleet.env = &env_;
     fleet.state = &state_;
@@ -235,8 +235,8 @@
     fleet.types = &types_;
     fleet.zones = &zones_;
     fleet.fencing_token = fencing_token;
-    fleet.parts = ownership_.parts();
-    fleet.exclusive_owner = [this, part] { return decides() && ownership_.exclusive(part); };
+    fleet.shard_count = ownership_.shard_count();
+    fleet.exclusive_owner = [this, shard] { return decides() && ownership_.exclusive(shard); };
     fleet.new_types = [this](MachineTypes types) {
       env_.after(0, [this, types = std::move(types)]() mutable { take_types(std::move(types), false); });
     };
@@ -246,21 +246,21 @@
   tell_peers();
 }
 
-void Node::ask(int part, const std::string& path, const Json& body, std::function<void(Json)> answer) {
-  const auto it = parts_.find(part);
-  if (it != parts_.end()) {
-    env_.after(0, [this, part, path, body, answer = std::move(answer)] {
-      const auto found = parts_.find(part);
-      answer(found == parts_.end() ? Json() : found->second->on_peer(path, body));
+void Node::ask(int shard, const std::string& path, const Json& body, std::function<void(Json)> answer) {
+  const auto it = shards_.find(shard);
+  if (it != shards_.end()) {
+    env_.after(0, [this, shard, path, body, answer = std::move(answer)] {
+      const auto found = shards_.find(shard);
+      answer(found == shards_.end() ? Json() : found->second->on_peer(path, body));
     });
     return;
   }
-  const std::string address = address_of(ownership_.owner(part).node);
+  const std::string address = address_of(ownership_.owner(shard).node);
   if (address.empty()) {
     env_.after(kAskSeconds / 2, [answer = std::move(answer)] { answer(Json()); });
     return;
   }
-  const Json message = {{"to", part}, {"body", body}};
+  const Json message = {{"to", shard}, {"body", body}};
   env_.call({address, "POST", path, dump_json(message), kAskSeconds},
             [answer = std::move(answer)](const HttpReply& reply) {
               answer(reply.status == 200 ? parse_json(reply.body) : Json());
@@ -274,52 +274,53 @@
   }
   const Json& body = message["body"];
   if (request.path == "/peer/summary") {
-    auto summary = PartSummary::from_json(body);
+    auto summary = ShardSummary::from_json(body);
     if (!summary) return responder.send(400, R"({"error":"malformed"})");
     if (!fleet_) return responder.send(421, R"({"error":"no fleet here"})");
     return responder.send(200, dump_json(fleet_->take(std::move(*summary)).to_json()));
   }
-  const auto it = parts_.find(message.value("to", -1));
-  if (it == parts_.end()) return responder.send(421, R"({"error":"not the owner"})");
+  const auto it = shards_.find(message.value("to", -1));
+  if (it == shards_.end()) return responder.send(421, R"({"error":"not the owner"})");
   responder.send(200, dump_json(it->second->on_peer(request.path, body)));
 }
 
-// Each part tells the fleet, wherever that is, and does as it is told.
+// Each shard tells the fleet, wherever that is, and does as it is told.
 void Node::report_to_fleet() {
   env_.after(kFleetEvery, [this] { report_to_fleet(); });
-  for (auto& [index, part] : parts_) {
-    if (!part->active()) continue;
+  for (auto& [index, shard] : shards_) {
+    if (!shard->active()) continue;
     if (fleet_) {
-      part->apply(fleet_->take(part->summary()));
+      shard->apply(fleet_->take(shard->summary()));
       continue;
     }
-    const std::string address = ownership_.parts() > 0 ? address_of(ownership_.owner(0).node) : "";
+    const std::string address = ownership_.shard_count() > 0 ? address_of(ownership_.owner(0).node) : "";
     if (address.empty()) continue;
-    const Json message = {{"to", 0}, {"body", part->summary().to_json()}};
+    const Json message = {{"to", 0}, {"body", shard->summary().to_json()}};
     env_.call({address, "POST", "/peer/summary", dump_json(message), kAskSeconds},
-              [this, index = index, fencing_token = part->fencing_token()](const HttpReply& reply) {
+              [this, index = index, fencing_token = shard->fencing_token()](const HttpReply& reply) {
                 if (reply.status != 200) return;
-                const auto found = parts_.find(index);
-                if (found == parts_.end() || found->second->fencing_token() != fencing_token) return;
+                const auto found = shards_.find(index);
+                if (found == shards_.end() || found->second->fencing_token() != fencing_token) return;
                 found->second->apply(FleetOrders::from_json(parse_json(reply.body)));
               });
   }
 }
 
-void Node::lost(int part) {
-  waiting_for_types_.erase(part);
-  if (part == 0) fleet_.reset();
-  parts_.erase(part);
+void Node::lost(int shard) {
+  waiting_for_types_.erase(shard);
+  if (shard == 0) fleet_.reset();
+  shards_.erase(shard);
   share_calls();
 }
 
 void Node::share_calls() {
   const double nodes = static_cast<double>(settings_.members.size() + 1);
-  const int parts = std::max(1, ownership_.parts());
-  const double owned = static_cast<double>(ownership_.held_count()) / parts;
-  // Until the parts are known nobody has any, and all have to start.
-  state_.set_share(ownership_.parts() == 0 ? 1 / nodes : kUsersShare / nodes + (1 - kUsersShare) * owned);
-  cloud_.set_share(ownership_.parts() > 0 && ownership_.mine(0) ? 0.8 : 0.2 / nodes);
+  const int shard_count = std::max(1, ownership_.shard_count());
+  const double owned = static_cast<double>(ownership_.held_count()) / shard_count;
+  // Until the shards are known nobody has any, and all have to start.
+  state_.set_share(ownership_.shard_count() == 0 ? 1 / nodes
+                                                 : kUsersShare / nodes + (1 - kUsersShare) * owned);
+  cloud_.set_share(ownership_.shard_count() > 0 && ownership_.mine(0) ? 0.8 : 0.2 / nodes);
 }
 
 // Owners tell the others, so that one whom the state service cannot reach hears that it was deposed.
@@ -330,8 +331,8 @@
 
 void Node::tell_peers() {
   Json owned = Json::array();
-  for (const auto& [index, part] : parts_)
-    owned.push_back({{"part", index}, {"baton", part->fencing_token()}});
+  for (const auto& [index, shard] : shards_)
+    owned.push_back({{"part", index}, {"baton", shard->fencing_token()}});
   const double asked = env_.now();
   if (settings_.members.empty()) ownership_.note_unreplaced(asked);  // there is nobody who could replace us
   if (!owned.empty()) {
@@ -380,20 +381,20 @@
 
 // ---------------------------------------------------------------- routing
 
-void Node::on_front(const HttpRequest& request, const Responder& responder) {
+void Node::on_client_request(const HttpRequest& request, const Responder& responder) {
   if (request.path == "/hello") {
     if (request.method != "POST") return responder.send(405, R"({"error":"method"})");
     on_hello(request, false, responder);
   } else if (request.path == "/ready") {
     if (request.method != "GET") return responder.send(405, R"({"error":"method"})");
-    const bool ready = !types_.empty() && ownership_.parts() > 0;
+    const bool ready = !types_.empty() && ownership_.shard_count() > 0;
     responder.send(ready ? 200 : 503, ready ? R"({"ready":true})" : R"({"ready":false})", ready ? 0 : 1);
   } else {
     on_users(request, false, responder);
   }
 }
 
-void Node::on_back(const HttpRequest& request, const Responder& responder) {
+void Node::on_peer_request(const HttpRequest& request, const Responder& responder) {
   if (request.path == "/peer/beat") {
     if (request.method != "POST") return responder.send(405, R"({"error":"method"})");
     on_beat(request, responder);
@@ -442,14 +443,14 @@
     responder.send(400, R"({"error":"malformed report"})");
     return;
   }
-  if (ownership_.parts() == 0) {
+  if (ownership_.shard_count() == 0) {
     responder.send(503, R"({"error":"starting"})", 1);
     return;
   }
   check_token(newest_shown(*report));
-  const int index = part_of(report->host, ownership_.parts());
-  const auto it = parts_.find(index);
-  if (it != parts_.end()) {
+  const int index = shard_of(report->machine_name, ownership_.shard_count());
+  const auto it = shards_.find(index);
+  if (it != shards_.end()) {
     it->second->on_report(std::move(*report), relayed, responder);
     return;
   }
@@ -465,8 +466,9 @@
 
 void Node::serve_elsewhere(int index, const Report& report, const HttpRequest& request,
                            const Responder& responder) {
-  const PartOwner& owner = ownership_.owner(index);
-  switch (relay_.route({report.host, report.fencing_token, owner.node, owner.fencing_token}, env_.now())) {
+  const ShardOwner& owner = ownership_.owner(index);
+  switch (relay_.route({report.machine_name, report.fencing_token, owner.node, owner.fencing_token},
+                       env_.now())) {
     case ReportRelay::Route::kRedirect:
       responder.send(421, dump_json({{"parent", owner.node}}));
       return;
@@ -500,7 +502,7 @@
 // Other calls tell the revision only now and then; one that falls has to be noticed before others raise it
 // again.
 void Node::probe_revision() {
-  state_.get(Lane::kLease, keys::kNone, [](const StateReply&) {});
+  state_.get(RequestPriority::kLease, keys::kNone, [](const StateReply&) {});
   env_.after(kProbeEvery, [this] { probe_revision(); });
 }
 
@@ -509,7 +511,7 @@
 void Node::check_token(std::uint64_t token) {
   if (monitor_ == nullptr || token <= monitor_->newest() || checking_token_) return;
   checking_token_ = true;
-  state_.get(Lane::kLease, keys::kNone, [this, token](const StateReply& reply) {
+  state_.get(RequestPriority::kLease, keys::kNone, [this, token](const StateReply& reply) {
     checking_token_ = false;
     if (reply.outcome == Outcome::kMissing) monitor_->on_revision(token, reply.revision());
   });
@@ -517,46 +519,47 @@
 
 NodeMemory Node::memory() const {
   NodeMemory out;
-  out.shards = ownership_.parts();
+  out.shards = ownership_.shard_count();
   const double lease_left = ownership_.lease_end() - env_.now();
-  for (const auto& [index, part] : parts_) {
+  for (const auto& [index, shard] : shards_) {
     if (!ownership_.mine(index)) continue;
-    ShardMemory shard;
-    if (part->active()) shard = part->memory();
-    shard.shard = index;
-    shard.token = part->fencing_token();
-    shard.loaded = part->active();
-    shard.lease_left_s = lease_left;
-    shard.renew_left_s = ownership_.renew_deadline(index) - env_.now();
-    out.owned.push_back(std::move(shard));
+    ShardMemory memory;
+    if (shard->active()) memory = shard->memory();
+    memory.shard = index;
+    memory.token = shard->fencing_token();
+    memory.loaded = shard->active();
+    memory.lease_left_s = lease_left;
+    memory.renew_left_s = ownership_.renew_deadline(index) - env_.now();
+    out.owned.push_back(std::move(memory));
   }
   user_api_.remember(out);
   return out;
 }
 
 std::string Node::owner_address(int index) const {
-  return index >= 0 && index < ownership_.parts() ? address_of(ownership_.owner(index).node) : "";
+  return index >= 0 && index < ownership_.shard_count() ? address_of(ownership_.owner(index).node) : "";
 }
 
-Part* Node::owned_part(int index) {
-  const auto it = parts_.find(index);
-  return it != parts_.end() && it->second->active() ? it->second.get() : nullptr;
+ShardLeader* Node::owned_shard(int index) {
+  const auto it = shards_.find(index);
+  return it != shards_.end() && it->second->active() ? it->second.get() : nullptr;
 }
 
 void Node::log_counters() {
   const auto& calls = state_.counters();
   spdlog::info("state calls {}, writes {}, refused here {}, 429 {}, unanswered {}", calls.calls, calls.writes,
                calls.refused_here, calls.too_many, calls.unanswered);
-  for (const auto& [index, part] : parts_) {
-    const auto& c = part->counters();
+  for (const auto& [index, shard] : shards_) {
+    const auto& c = shard->counters();
     spdlog::info(
-        "part {}: reports {}, launches {}, fetches {}, again {}, done {}, lent {}, borrowed {}, back {}, "
+        "shard {}: heartbeats {}, launches {}, fetches {}, relaunches {}, done {}, delegated {}, received "
+        "{}, returned {}, "
         "errors {}, preempted {}, freed by lease {} "
-        "session {} return "
-        "{}; journal writes {} with {} changes, blocks {}, allowance moves {}, endings {}",
-        index, c.reports, c.launches, c.fetches, c.relaunches, c.completions, c.lent, c.borrowed,
-        c.given_back, c.errors, c.preempted, c.freed_by_lease, c.freed_by_incarnation, c.freed_by_return,
-        c.pages, c.page_changes, c.blocks, c.moves, c.endings);
+        "incarnation {} return "
+        "{}; journal writes {} with {} changes, delegations {}, quota transfers {}, endings {}",
+        index, c.reports, c.launches, c.fetches, c.relaunches, c.completions, c.tasks_delegated,
+        c.tasks_received, c.tasks_returned, c.errors, c.preempted, c.freed_by_lease, c.freed_by_incarnation,
+        c.freed_by_return, c.journal_writes, c.journal_changes, c.delegations, c.moves, c.endings);
   }
   env_.after(kCountersEvery, [this] { log_counters(); });
 }
--- a/src/coordination/node_memory.hpp
+++ b/src/coordination/node/node_memory.hpp
@@ -7,18 +7,19 @@
 #include <vector>
 
 #include "bookkeeping/records.hpp"
-#include "coordination/job_status.hpp"
+#include "coordination/node/job_status.hpp"
 
 namespace mothslip {
 
-// A job at its home shard, or the tasks of one that a shard has borrowed.
+// A job at its home shard, or the tasks of one that were delegated to a shard.
 struct JobMemory {
-  HeadRecord head;
+  JobRecord record;
   RangeSet done;
-  bool borrowed = false;
-  RangeSet held;                 // since records were lost before (UnaccountedRecord)
-  bool may_have_ended = false;   // likewise
-  std::map<int, RangeSet> lent;  // home: by the shard that borrowed them, tasks not known to be done
+  bool delegated_here = false;
+  RangeSet held;                // since records were lost before (UnaccountedRecord)
+  bool may_have_ended = false;  // likewise
+  std::map<int, RangeSet>
+      delegated;  // home: by the shard to which they were delegated, tasks not known to be done
 };
 
 // All that the owner of a shard knows of it.
@@ -29,14 +30,14 @@
   double lease_left_s = 0;  // of the owner's lease; below 0: it ended so long ago
   double renew_left_s = 0;  // so long the owner may go on renewing the leases of its workers
   std::vector<JobMemory> jobs;
-  std::vector<std::string> without_description;  // jobs that are held whole since records were lost before
-  std::map<std::string, HostRecord> machines;    // by name, with what is placed there
+  std::vector<std::string> without_description;   // jobs that are held whole since records were lost before
+  std::map<std::string, MachineRecord> machines;  // by name, with what is placed there
 };
 
 struct NodeMemory {
   int shards = 0;  // in the cluster; 0: not known
   std::vector<ShardMemory> owned;
-  std::vector<HeadRecord> accepted;            // a short while ago; their shard's owner may not know of them
+  std::vector<JobRecord> accepted;             // a short while ago; their shard's owner may not know of them
   std::map<std::string, JobStatus> terminals;  // by job
 };
 
--- a/src/coordination/report_relay.cpp
+++ b/src/coordination/node/report_relay.cpp
@@ -1,4 +1,4 @@
-#include "coordination/report_relay.hpp"
+#include "coordination/node/report_relay.hpp"
 
 namespace mothslip {
 
@@ -24,22 +24,22 @@
 ReportRelay::Route ReportRelay::route(const Visit& visit, double now) {
   forget_old(now);
   const bool owner_settled = settled(visit.owner_token, now);
-  Host& host = hosts_[visit.host];
-  if (host.owner_token != visit.owner_token) host = Host{};
-  const bool stayed = now - host.last_visit < kStays;
-  host.owner_token = visit.owner_token;
-  host.last_visit = now;
+  RelayedMachine& machine_name = machines_[visit.machine_name];
+  if (machine_name.owner_token != visit.owner_token) machine_name = RelayedMachine{};
+  const bool stayed = now - machine_name.last_visit < kStays;
+  machine_name.owner_token = visit.owner_token;
+  machine_name.last_visit = now;
 
   // Relayed until now: it is redirected once, to see whether it reaches the owner again.
-  const bool relayed_until_now = stayed && host.redirected_at < host.relay_until;
-  if (now >= host.relay_until && !relayed_until_now) {
-    const double since_redirect = now - host.redirected_at;
+  const bool relayed_until_now = stayed && machine_name.redirected_at < machine_name.relay_until;
+  if (now >= machine_name.relay_until && !relayed_until_now) {
+    const double since_redirect = now - machine_name.redirected_at;
     const bool came_back = since_redirect >= kEarliestReturn && since_redirect <= kLatestReturn;
     const bool was_served = owner_settled && visit.token == visit.owner_token;
-    if (came_back || was_served) host.relay_until = now + kRelayPeriod;
+    if (came_back || was_served) machine_name.relay_until = now + kRelayPeriod;
   }
-  if (now >= host.relay_until) {
-    host.redirected_at = now;
+  if (now >= machine_name.relay_until) {
+    machine_name.redirected_at = now;
     return Route::kRedirect;
   }
   return reachable(visit.owner, now) ? Route::kRelay : Route::kNextNode;
@@ -63,7 +63,7 @@
 void ReportRelay::forget_old(double now) {
   if (now < next_cleaning_) return;
   next_cleaning_ = now + kCleaningPeriod;
-  std::erase_if(hosts_, [now](const auto& item) { return now - item.second.last_visit > kForgetAfter; });
+  std::erase_if(machines_, [now](const auto& item) { return now - item.second.last_visit > kForgetAfter; });
 }
 
 }  // namespace mothslip
--- a/src/coordination/report_relay.hpp
+++ b/src/coordination/node/report_relay.hpp
@@ -23,7 +23,7 @@
 
   // A report as far as the decision needs it.
   struct Visit {
-    std::string host;
+    std::string machine_name;
     std::uint64_t token = 0;  // the highest fencing token that the worker has seen
     std::string owner;        // node that owns the worker's shard
     std::uint64_t owner_token = 0;
@@ -36,11 +36,11 @@
 
   Route route(const Visit& visit, double now);
   // Hosts that are remembered; for tests.
-  [[nodiscard]] std::size_t size() const { return hosts_.size(); }
+  [[nodiscard]] std::size_t size() const { return machines_.size(); }
 
  private:
   static constexpr double kNever = -1e9;
-  struct Host {
+  struct RelayedMachine {
     std::uint64_t owner_token = 0;
     double redirected_at = kNever;
     double relay_until = kNever;
@@ -51,7 +51,7 @@
   [[nodiscard]] bool reachable(const std::string& owner, double now) const;
   void forget_old(double now);
 
-  std::map<std::string, Host> hosts_;
+  std::map<std::string, RelayedMachine> machines_;
   std::map<std::uint64_t, double> token_seen_;  // owners' tokens, and when each was first seen here
   std::map<std::string, double> heard_;         // by node: when it was heard last
   double next_cleaning_ = 0;
--- a/src/coordination/user_api.cpp
+++ b/src/coordination/node/user_api.cpp
@@ -1,4 +1,4 @@
-#include "coordination/user_api.hpp"
+#include "coordination/node/user_api.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -12,7 +12,7 @@
 constexpr double kForwardSeconds = 0.8;
 constexpr double kCancelForwardSeconds = 2.5;
 constexpr int kUpgradeSeconds = 5;
-constexpr double kHeadFill = 0.9;  // of the value size: a cancellation adds to the record
+constexpr double kJobRecordFill = 0.9;  // of the value size: a cancellation adds to the record
 constexpr double kAcceptPatience = 0.8;
 // Users wait this long for the state of a job. What is learned later is of no use to them.
 constexpr double kPollSeconds = 2.0;
@@ -50,17 +50,17 @@
 
 UserApi::UserApi(Context context)
     : ctx_(std::move(context)),
-      statuses_({ctx_.state, [this] { return ctx_.ownership->parts(); },
+      statuses_({ctx_.state, [this] { return ctx_.ownership->shard_count(); },
                  [this](const std::string& ref) -> std::optional<JobFinding> {
-                   if (ctx_.ownership->parts() == 0) return std::nullopt;
-                   const int index = part_of(ref, ctx_.ownership->parts());
-                   const Part* part = ctx_.ownership->exclusive(index) ? ctx_.part(index) : nullptr;
-                   if (part == nullptr) return std::nullopt;
-                   return part->find(ref);
+                   if (ctx_.ownership->shard_count() == 0) return std::nullopt;
+                   const int index = shard_of(ref, ctx_.ownership->shard_count());
+                   const ShardLeader* shard = ctx_.ownership->exclusive(index) ? ctx_.shard(index) : nullptr;
+                   if (shard == nullptr) return std::nullopt;
+                   return shard->find(ref);
                  }}) {}
 
 std::string UserApi::owner_address(const std::string& ref) const {
-  return ctx_.peer_address(ctx_.ownership->owner(part_of(ref, ctx_.ownership->parts())).node);
+  return ctx_.peer_address(ctx_.ownership->owner(shard_of(ref, ctx_.ownership->shard_count())).node);
 }
 
 void UserApi::pass_on(const std::string& ref, const std::string& body, const Responder& responder) {
@@ -124,7 +124,7 @@
     poll(spec->ref, true, responder);
     return;
   }
-  if (ctx_.types->empty() || ctx_.ownership->parts() == 0) {
+  if (ctx_.types->empty() || ctx_.ownership->shard_count() == 0) {
     send_starting(responder);
     return;
   }
@@ -132,7 +132,7 @@
     refuse(spec->ref, 422, never, responder);
     return;
   }
-  if (ctx_.state->busy(Lane::kAccept, kAcceptPatience)) {
+  if (ctx_.state->busy(RequestPriority::kAccept, kAcceptPatience)) {
     responder.send(429, R"({"error":"too many submissions"})", 2);
     return;
   }
@@ -147,7 +147,7 @@
 // been, wherever, that does not hold the others up.
 void UserApi::accept_gang(const JobSpec& spec, const Responder& responder) {
   if (gangs_accepted_ || !ctx_.ownership->earlier_version_alive()) return accept(spec, responder);
-  ctx_.state->get(Lane::kAccept, keys::kGangs, [this, spec, responder](const StateReply& reply) {
+  ctx_.state->get(RequestPriority::kAccept, keys::kGangs, [this, spec, responder](const StateReply& reply) {
     if (reply.ok()) {
       gangs_accepted_ = true;
       accept(spec, responder);
@@ -160,56 +160,59 @@
 // `unaccounted`: the job may have run before records were lost. Its description is kept, and nothing told.
 void UserApi::accept(const JobSpec& spec, const Responder& responder, bool unaccounted) {
   const std::string& ref = spec.ref;
-  const int part = part_of(ref, ctx_.ownership->parts());
-  HeadRecord head;
-  head.spec = spec;
-  head.submitted = ctx_.env->wall();
+  const int shard = shard_of(ref, ctx_.ownership->shard_count());
+  JobRecord job_record;
+  job_record.spec = spec;
+  job_record.submitted = ctx_.env->wall();
   // A long list of machine types, most of them unknown here, must not keep the job from being recorded.
-  const auto bytes = static_cast<double>(dump_json(head.to_json()).size());
-  if (bytes > kHeadFill * ctx_.settings->value_kb * 1024) keep_known_machine_types(head.spec, *ctx_.types);
+  const auto bytes = static_cast<double>(dump_json(job_record.to_json()).size());
+  if (bytes > kJobRecordFill * ctx_.settings->value_kb * 1024)
+    keep_known_machine_types(job_record.spec, *ctx_.types);
   Transaction txn;
-  txn.guard(keys::head(part, ref), 0);
-  for (const std::string& key : ctx_.state->key_space().ending_keys(part, ref)) txn.guard(key, 0);
+  txn.guard(keys::job_record(shard, ref), 0);
+  for (const std::string& key : ctx_.state->key_space().ending_keys(shard, ref)) txn.guard(key, 0);
   const bool rebuilt = !ctx_.state->key_space().incarnation().first();
-  if (rebuilt && !unaccounted) txn.guard(keys::unaccounted(part, ref), 0);
+  if (rebuilt && !unaccounted) txn.guard(keys::unaccounted(shard, ref), 0);
   if (ctx_.settings->tuning.recovery) txn.guard(keys::kMeta, ctx_.ownership->meta_revision());
-  txn.put(keys::head(part, ref), head.to_json());
+  txn.put(keys::job_record(shard, ref), job_record.to_json());
   const bool first_gang = spec.gang && !gangs_accepted_;
   if (first_gang) txn.put(keys::kGangs, {{"accepted", true}});
-  ctx_.state->commit(
-      Lane::kAccept, txn, [this, ref, part, head, responder, unaccounted](const StateReply& reply) {
-        if (reply.ok()) {
-          spdlog::info("{} accepted", ref);
-          gangs_accepted_ |= head.spec.gang;
-          note_accepted(head);
-          if (Part* ours = ctx_.part(part); ours != nullptr) ours->admit(head, reply.revision());
-          if (unaccounted) return poll(ref, false, responder);
-          responder.send(201, dump_json({{"ref", ref}, {"phase", "queued"}}));
-        } else if (reply.outcome == Outcome::kConflict && !unaccounted &&
-                   only_unaccounted(reply, part, ref)) {
-          accept(head.spec, responder, true);
-        } else if (reply.outcome == Outcome::kConflict) {
-          poll(ref, false, responder);
-        } else if (reply.outcome == Outcome::kInvalid) {
-          spdlog::error("{}: the state service calls the record invalid: {}", ref, dump_json(reply.body));
-          responder.send(503, R"({"error":"not recorded"})", 5);
-        } else {
-          // Not recorded, or not known to be: a repeat finds out.
-          send_finding(ref, {}, responder);
-        }
-      });
+  ctx_.state->commit(RequestPriority::kAccept, txn,
+                     [this, ref, shard, job_record, responder, unaccounted](const StateReply& reply) {
+                       if (reply.ok()) {
+                         spdlog::info("{} accepted", ref);
+                         gangs_accepted_ |= job_record.spec.gang;
+                         note_accepted(job_record);
+                         if (ShardLeader* ours = ctx_.shard(shard); ours != nullptr)
+                           ours->admit(job_record, reply.revision());
+                         if (unaccounted) return poll(ref, false, responder);
+                         responder.send(201, dump_json({{"ref", ref}, {"phase", "queued"}}));
+                       } else if (reply.outcome == Outcome::kConflict && !unaccounted &&
+                                  only_unaccounted(reply, shard, ref)) {
+                         accept(job_record.spec, responder, true);
+                       } else if (reply.outcome == Outcome::kConflict) {
+                         poll(ref, false, responder);
+                       } else if (reply.outcome == Outcome::kInvalid) {
+                         spdlog::error("{}: the state service calls the record invalid: {}", ref,
+                                       dump_json(reply.body));
+                         responder.send(503, R"({"error":"not recorded"})", 5);
+                       } else {
+                         // Not recorded, or not known to be: a repeat finds out.
+                         send_finding(ref, {}, responder);
+                       }
+                     });
 }
 
-void UserApi::note_accepted(const HeadRecord& head) {
+void UserApi::note_accepted(const JobRecord& job_record) {
   if (!ctx_.settings->tuning.recovery) return;
   const double now = ctx_.env->now();
-  accepted_.push_back({now, head});
+  accepted_.push_back({now, job_record});
   while (accepted_.front().at < now - kAcceptedSeconds) accepted_.pop_front();
 }
 
 void UserApi::remember(NodeMemory& memory) const {
   statuses_.remember(memory);
-  for (const Acceptance& acceptance : accepted_) memory.accepted.push_back(acceptance.head);
+  for (const Acceptance& acceptance : accepted_) memory.accepted.push_back(acceptance.record);
 }
 
 // ---------------------------------------------------------------- polls
@@ -228,7 +231,7 @@
     send_finding(ref, *found, responder);
     return;
   }
-  if (ctx_.ownership->parts() == 0) {
+  if (ctx_.ownership->shard_count() == 0) {
     send_starting(responder);
     return;
   }
@@ -278,13 +281,13 @@
     responder.send(200, cancellation_body(ref, status->phase));
     return;
   }
-  if (ctx_.ownership->parts() == 0 || !ctx_.decides()) {
+  if (ctx_.ownership->shard_count() == 0 || !ctx_.decides()) {
     send_starting(responder);
     return;
   }
-  if (Part* part = ctx_.part(part_of(ref, ctx_.ownership->parts())); part != nullptr) {
-    if (part->knows(ref)) {
-      part->cancel(ref, responder);
+  if (ShardLeader* shard = ctx_.shard(shard_of(ref, ctx_.ownership->shard_count())); shard != nullptr) {
+    if (shard->knows(ref)) {
+      shard->cancel(ref, responder);
     } else {
       cancel_unknown_here(ref, responder);
     }
--- a/src/coordination/user_api.hpp
+++ b/src/coordination/node/user_api.hpp
@@ -1,6 +1,6 @@
 // The users' interface on every node: submissions, polls and cancellations.
 //
-// Any node accepts a job by creating its head record. Polls and cancellations belong to the owner of the
+// Any node accepts a job by creating its job record. Polls and cancellations belong to the owner of the
 // job's shard and are forwarded to it. What may be told about a job is for JobStatusService to say.
 #pragma once
 
@@ -8,9 +8,9 @@
 #include <functional>
 #include <string>
 
-#include "coordination/job_status.hpp"
-#include "coordination/ownership.hpp"
-#include "coordination/part.hpp"
+#include "coordination/node/job_status.hpp"
+#include "coordination/ownership/ownership.hpp"
+#include "coordination/shard/shard_leader.hpp"
 #include "transport/http.hpp"
 
 namespace mothslip {
@@ -23,7 +23,7 @@
     const Settings* settings = nullptr;
     const MachineTypes* types = nullptr;
     const Ownership* ownership = nullptr;
-    std::function<Part*(int part)> part;  // ours and active, or null
+    std::function<ShardLeader*(int shard)> shard;  // ours and active, or null
     std::function<std::string(const std::string& node)> peer_address;
     bool gangs = true;              // accepted, as a rule
     std::function<bool()> decides;  // false: nothing is told yet but what is final
@@ -43,7 +43,7 @@
   void remember(NodeMemory& memory) const;
 
  private:
-  void note_accepted(const HeadRecord& head);
+  void note_accepted(const JobRecord& job_record);
   void accept(const JobSpec& spec, const Responder& responder, bool unaccounted = false);
   void accept_gang(const JobSpec& spec, const Responder& responder);
   void refuse(const std::string& ref, int status, const std::string& why, const Responder& responder);
@@ -61,7 +61,7 @@
   JobStatusService statuses_;
   struct Acceptance {
     double at = 0;
-    HeadRecord head;
+    JobRecord record;
   };
   std::deque<Acceptance> accepted_;  // the latest, oldest first; kept where lost state is watched for
 };
--- a/src/coordination/ownership.cpp
+++ b/src/coordination/ownership/ownership.cpp
@@ -1,4 +1,4 @@
-#include "coordination/ownership.hpp"
+#include "coordination/ownership/ownership.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -10,7 +10,7 @@
 namespace mothslip {
 
 namespace {
-constexpr double kSteady = 15.0;  // a node that has been back this long gets its parts back
+constexpr double kSteady = 15.0;  // a node that has been back this long gets its shards back
 constexpr double kHomeEvery = 3.0;
 constexpr double kRenewEvery = 1.0;
 constexpr double kDrift = 0.001;  // twice what the protocol allows
@@ -21,7 +21,7 @@
 
 // "parts/@roost-1" says that the node lives; it goes with its lease.
 std::string node_of(const std::string& key) {
-  const std::size_t at = keys::kParts.size();
+  const std::size_t at = keys::kShardOwners.size();
   return key.size() > at + 1 && key[at] == '@' ? key.substr(at + 1) : "";
 }
 }  // namespace
@@ -48,7 +48,7 @@
 }
 
 void Ownership::read_meta() {
-  state_.get(Lane::kLease, keys::kMeta, [this](const StateReply& reply) {
+  state_.get(RequestPriority::kLease, keys::kMeta, [this](const StateReply& reply) {
     if (reply.ok() && reply.body.contains("data")) {
       const auto meta = MetaRecord::from_json(reply.body["data"]);
       if (!meta || meta->rebuilding() || meta->incarnation != state_.key_space().incarnation()) {
@@ -65,7 +65,7 @@
       held_.resize(count);
       claiming_.resize(count);
       release_sent_.resize(count);
-      read_parts();
+      read_shards();
     } else if (reply.outcome == Outcome::kMissing) {
       write_meta();
     } else {
@@ -77,10 +77,10 @@
 void Ownership::write_meta() {
   Transaction txn;
   txn.guard(keys::kMeta, 0);
-  // One part a node: each does its share, and more would only cost changes.
+  // One shard a node: each does its share, and more would only cost changes.
   txn.put(keys::kMeta, {{"parts", settings_.members.size() + 1}, {"form", kRecordForm}});
   // Whatever the answer, what counts is what the key says afterwards.
-  state_.commit(Lane::kLease, txn, [this](const StateReply&) { read_meta(); });
+  state_.commit(RequestPriority::kLease, txn, [this](const StateReply&) { read_meta(); });
 }
 
 void Ownership::open_lease() {
@@ -95,7 +95,7 @@
     renewed(asked);
     env_.after(kRenewEvery, [this] { renew(); });
     announce();
-    for (int p = 0; p < parts(); p++) consider(p);
+    for (int p = 0; p < shard_count(); p++) consider(p);
   });
 }
 
@@ -104,7 +104,7 @@
 void Ownership::renew() {
   const double asked = env_.now();
   if (monitor_ == nullptr) return renew_lease(asked);
-  state_.get(Lane::kLease, keys::kMeta, [this, asked](const StateReply& reply) {
+  state_.get(RequestPriority::kLease, keys::kMeta, [this, asked](const StateReply& reply) {
     if (reply.outcome == Outcome::kMissing || (reply.ok() && !same_incarnation(reply)))
       return monitor_->on_other_incarnation();
     if (reply.ok()) return renew_lease(asked);
@@ -122,7 +122,7 @@
 void Ownership::lease_missing() {
   if (monitor_ == nullptr) return lease_lost("lease ended");
   if (env_.now() < lease_end_) return monitor_->on_contradiction("a lease ended before its time");
-  state_.get(Lane::kLease, keys::kNone, [this](const StateReply& reply) {
+  state_.get(RequestPriority::kLease, keys::kNone, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
       env_.after(kRetry, [this] { lease_missing(); });
     } else if (!monitor_->lost()) {
@@ -151,12 +151,12 @@
 }
 
 // (A deletion that is under way may be carried out already, and the next owner may have ended jobs since.)
-bool Ownership::exclusive(int part) const {
-  return valid() && mine(part) && release_sent_[static_cast<std::size_t>(part)] == 0;
+bool Ownership::exclusive(int shard) const {
+  return valid() && mine(shard) && release_sent_[static_cast<std::size_t>(shard)] == 0;
 }
 
-double Ownership::renew_deadline(int part) const {
-  const double since = release_sent_[static_cast<std::size_t>(part)];
+double Ownership::renew_deadline(int shard) const {
+  const double since = release_sent_[static_cast<std::size_t>(shard)];
   double unreplaced = std::max(lease_end_, unreplaced_at_);
   if (since != 0) unreplaced = std::min(unreplaced, since);
   const double spare = settings_.cancel_s * (1 - kDrift) - settings_.lease_s * (1 + kDrift) - kGoneMargin;
@@ -166,27 +166,27 @@
 void Ownership::lease_lost(const char* why) {
   lease_id_ = 0;
   valid_until_ = lease_end_ = unreplaced_at_ = 0;
-  for (int p = 0; p < parts(); p++) lose(p, why);
+  for (int p = 0; p < shard_count(); p++) lose(p, why);
   open_lease();
 }
 
-void Ownership::lose(int part, const char* why) {
-  const auto at = static_cast<std::size_t>(part);
+void Ownership::lose(int shard, const char* why) {
+  const auto at = static_cast<std::size_t>(shard);
   if (held_[at] == 0) return;
   if (monitor_ != nullptr && monitor_->lost()) return;  // what it knows is needed to rebuild
-  spdlog::info("part {} lost, baton {}: {}", part, held_[at], why);
+  spdlog::info("shard {} lost, fencing token {}: {}", shard, held_[at], why);
   held_[at] = 0;
-  listener_.lost(part);
+  listener_.lost(shard);
 }
 
-void Ownership::read_parts() {
+void Ownership::read_shards() {
   if (reading_) return;
   reading_ = true;
-  state_.list(Lane::kLease, keys::kParts,
+  state_.list(RequestPriority::kLease, keys::kShardOwners,
               [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t revision) {
                 reading_ = false;
                 if (outcome != Outcome::kOk) {
-                  env_.after(kRetry, [this] { read_parts(); });
+                  env_.after(kRetry, [this] { read_shards(); });
                   return;
                 }
                 std::vector<bool> present(owners_.size(), false);
@@ -196,27 +196,27 @@
                     see_node(node, item.data);
                     continue;
                   }
-                  const int part = std::atoi(item.key.c_str() + keys::kParts.size());
-                  if (part < 0 || part >= parts()) continue;
-                  present[static_cast<std::size_t>(part)] = true;
-                  see(part, {item.data.value("node", ""), item.data.value("boot", ""), item.revision});
+                  const int shard = std::atoi(item.key.c_str() + keys::kShardOwners.size());
+                  if (shard < 0 || shard >= shard_count()) continue;
+                  present[static_cast<std::size_t>(shard)] = true;
+                  see(shard, {item.data.value("node", ""), item.data.value("boot", ""), item.revision});
                 }
-                for (int p = 0; p < parts(); p++) {
+                for (int p = 0; p < shard_count(); p++) {
                   if (!present[static_cast<std::size_t>(p)]) see(p, {"", "", revision});
                 }
                 watched_ = revision;
-                if (!watching_) watch_parts();
-                if (!parts_read_) {
-                  parts_read_ = true;
-                  for (int p = 0; p < parts(); p++) consider(p);
+                if (!watching_) watch_shards();
+                if (!shards_read_) {
+                  shards_read_ = true;
+                  for (int p = 0; p < shard_count(); p++) consider(p);
                 }
               });
 }
 
-void Ownership::watch_parts() {
+void Ownership::watch_shards() {
   watching_ = true;
   const double asked = env_.now();
-  state_.watch(keys::kParts, watched_, kWatch, [this, asked](const StateReply& reply) {
+  state_.watch(keys::kShardOwners, watched_, kWatch, [this, asked](const StateReply& reply) {
     watching_ = false;
     if (reply.outcome == Outcome::kOk) {
       const auto events = reply.body.find("events");
@@ -224,46 +224,46 @@
         for (const Json& event : *events) {
           const bool put = event.contains("put");
           const std::string key = event.value(put ? "put" : "delete", "");
-          if (key.size() <= keys::kParts.size()) continue;
+          if (key.size() <= keys::kShardOwners.size()) continue;
           if (const std::string node = node_of(key); !node.empty()) {
             see_node(node, put ? event.value("data", Json::object()) : Json());
             continue;
           }
-          const int part = std::atoi(key.c_str() + keys::kParts.size());
-          if (part < 0 || part >= parts()) continue;
+          const int shard = std::atoi(key.c_str() + keys::kShardOwners.size());
+          if (shard < 0 || shard >= shard_count()) continue;
           const auto revision = event.value("stamp", std::uint64_t{0});
           if (put) {
-            see(part, {event["data"].value("node", ""), event["data"].value("boot", ""), revision});
+            see(shard, {event["data"].value("node", ""), event["data"].value("boot", ""), revision});
           } else {
-            see(part, {"", "", revision});
+            see(shard, {"", "", revision});
           }
         }
       }
       watched_ = std::max(watched_, reply.revision());
-      watch_parts();
+      watch_shards();
     } else if (reply.outcome == Outcome::kGone) {
-      read_parts();
+      read_shards();
     } else {
       // A watch that failed may have missed changes only up to what the next one reports.
       env_.after(env_.now() - asked < 1 ? kRetry : 0.0, [this] {
-        if (!watching_) watch_parts();
+        if (!watching_) watch_shards();
       });
     }
   });
 }
 
 // `revision` dates the sight: what is older than what we know already (a claim's own answer overtakes the
-// watch) must not take a fresh part away from us.
-void Ownership::see(int part, const Sight& sight) {
-  const auto at = static_cast<std::size_t>(part);
+// watch) must not take a fresh shard away from us.
+void Ownership::see(int shard, const Sight& sight) {
+  const auto at = static_cast<std::size_t>(shard);
   if (sight.revision < owners_[at].fencing_token) return;
   const std::string& node = sight.node;
   if (monitor_ != nullptr && node == kRebuiltOwner) return monitor_->on_other_incarnation();
   if (held_[at] != 0) {
     if (node.empty()) {
-      lose(part, "key gone");
+      lose(shard, "key gone");
     } else if (sight.revision > held_[at]) {
-      lose(part, "another owner");
+      lose(shard, "another owner");
     }
   }
   const bool changed = owners_[at].node != node || owners_[at].fencing_token != sight.revision;
@@ -271,7 +271,7 @@
   owner_boots_[at] = sight.boot;
   if (changed) {
     listener_.owners_changed();
-    consider(part);
+    consider(shard);
   }
 }
 
@@ -280,8 +280,8 @@
   Transaction txn;
   Json announced = {{"boot", boot_}};
   if (capabilities_.gangs) announced["gangs"] = true;
-  txn.put_with_lease(keys::kParts + "@" + settings_.node, std::move(announced), lease_id);
-  state_.commit(Lane::kLease, txn, [this, lease_id](const StateReply& reply) {
+  txn.put_with_lease(keys::kShardOwners + "@" + settings_.node, std::move(announced), lease_id);
+  state_.commit(RequestPriority::kLease, txn, [this, lease_id](const StateReply& reply) {
     if (!reply.ok() && lease_id == lease_id_ && lease_id != 0) env_.after(1.0, [this] { announce(); });
   });
 }
@@ -300,147 +300,150 @@
                      [](const auto& item) { return !item.second.gangs; });
 }
 
-// The nodes in the order in which they take a part: its home first. The same on every node.
-std::vector<std::string> Ownership::order_of(int part) const {
+// The nodes in the order in which they take a shard: its home first. The same on every node.
+std::vector<std::string> Ownership::order_of(int shard) const {
   std::vector<std::string> names = {settings_.node};
   for (const Member& member : settings_.members) names.push_back(member.node);
   std::sort(names.begin(), names.end());
-  std::rotate(names.begin(), names.begin() + part % static_cast<int>(names.size()), names.end());
+  std::rotate(names.begin(), names.begin() + shard % static_cast<int>(names.size()), names.end());
   return names;
 }
 
-// A free part is taken at once by its home; the others hold back a little, so that claims do not collide.
-double Ownership::claim_delay(int part) const {
-  const std::vector<std::string> order = order_of(part);
+// A free shard is taken at once by its home; the others hold back a little, so that claims do not collide.
+double Ownership::claim_delay(int shard) const {
+  const std::vector<std::string> order = order_of(shard);
   const auto mine_at = std::find(order.begin(), order.end(), settings_.node) - order.begin();
   return 0.15 * static_cast<double>(mine_at);
 }
 
-// Parts of a node that was away go home once it is steady: the holder deletes the key, home claims it.
+// Shards of a node that was away go home once it is steady: the holder deletes the key, home claims it.
 void Ownership::send_home() {
   env_.after(kHomeEvery, [this] { send_home(); });
   if (releasing_ || !valid()) return;
-  for (int p = 0; p < parts(); p++) {
+  for (int p = 0; p < shard_count(); p++) {
     const auto at = static_cast<std::size_t>(p);
     if (held_[at] == 0) continue;
     const std::string home = order_of(p).front();
     const auto live = live_nodes_.find(home);
     if (home == settings_.node || live == live_nodes_.end() || env_.now() - live->second.since < kSteady)
       continue;
-    spdlog::info("part {} goes home to {}", p, home);
+    spdlog::info("shard {} is handed back to its home {}", p, home);
     releasing_ = true;
     release_sent_[at] = env_.now();
     Transaction txn;
-    txn.guard(keys::part(p), held_[at]);
-    txn.remove(keys::part(p));
-    state_.commit(Lane::kLease, txn, [this, p, at, fencing_token = held_[at]](const StateReply& reply) {
-      releasing_ = false;
-      release_sent_[at] = 0;
-      if (held_[at] != fencing_token || reply.outcome == Outcome::kRefused) return;
-      // The key may be gone, or go at any later time, while our lease goes on: nothing would tell us.
-      if (!reply.ok()) return restart_shard(p, "sending it home: nobody knows");
-      owners_[at] = {"", reply.revision()};
-      lose(p, "sent home");
-      listener_.owners_changed();
-      consider(p);
-    });
+    txn.guard(keys::shard(p), held_[at]);
+    txn.remove(keys::shard(p));
+    state_.commit(RequestPriority::kLease, txn,
+                  [this, p, at, fencing_token = held_[at]](const StateReply& reply) {
+                    releasing_ = false;
+                    release_sent_[at] = 0;
+                    if (held_[at] != fencing_token || reply.outcome == Outcome::kRefused) return;
+                    // The key may be gone, or go at any later time, while our lease goes on: nothing would
+                    // tell us.
+                    if (!reply.ok()) return restart_shard(p, "sending it home: nobody knows");
+                    owners_[at] = {"", reply.revision()};
+                    lose(p, "sent home");
+                    listener_.owners_changed();
+                    consider(p);
+                  });
     return;
   }
 }
 
-void Ownership::consider(int part) {
-  const auto at = static_cast<std::size_t>(part);
-  if (lease_id_ == 0 || !parts_read_ || held_[at] != 0 || claiming_[at]) return;
+void Ownership::consider(int shard) {
+  const auto at = static_cast<std::size_t>(shard);
+  if (lease_id_ == 0 || !shards_read_ || held_[at] != 0 || claiming_[at]) return;
   if (owners_[at].node.empty()) {
-    env_.after(claim_delay(part), [this, part, at] {
-      if (lease_id_ != 0 && held_[at] == 0 && !claiming_[at] && owners_[at].node.empty()) claim(part, 0);
+    env_.after(claim_delay(shard), [this, shard, at] {
+      if (lease_id_ != 0 && held_[at] == 0 && !claiming_[at] && owners_[at].node.empty()) claim(shard, 0);
     });
   } else if (owners_[at].node == settings_.node) {
     // Held by an earlier process of this very node, which has ended: no need to wait for its lease. Or by a
-    // late copy of a claim of ours, for a part that we gave away since: the others take it for ours.
-    claim(part, owners_[at].fencing_token);
+    // late copy of a claim of ours, for a shard that we gave away since: the others take it for ours.
+    claim(shard, owners_[at].fencing_token);
   }
 }
 
-void Ownership::claim(int part, std::uint64_t revision) {
-  const auto at = static_cast<std::size_t>(part);
+void Ownership::claim(int shard, std::uint64_t revision) {
+  const auto at = static_cast<std::size_t>(shard);
   claiming_[at] = true;
   const std::uint64_t lease_id = lease_id_;
   Transaction txn;
-  txn.guard(keys::part(part), revision);
-  txn.put_with_lease(keys::part(part), {{"node", settings_.node}, {"boot", boot_}}, lease_id);
-  state_.commit(Lane::kLease, txn, [this, part, at, lease_id](const StateReply& reply) {
+  txn.guard(keys::shard(shard), revision);
+  txn.put_with_lease(keys::shard(shard), {{"node", settings_.node}, {"boot", boot_}}, lease_id);
+  state_.commit(RequestPriority::kLease, txn, [this, shard, at, lease_id](const StateReply& reply) {
     claiming_[at] = false;
     if (reply.ok() && lease_id == lease_id_) {
       held_[at] = reply.revision();
       owners_[at] = {settings_.node, reply.revision()};
       owner_boots_[at] = boot_;
-      spdlog::info("part {} gained, baton {}", part, reply.revision());
-      listener_.gained(part, reply.revision());
+      spdlog::info("shard {} gained, fencing token {}", shard, reply.revision());
+      listener_.gained(shard, reply.revision());
       listener_.owners_changed();
       return;
     }
     // Lost the race, or nobody knows: look at the key itself.
     claiming_[at] = true;
-    state_.get(Lane::kLease, keys::part(part), [this, part, at, lease_id](const StateReply& now) {
-      claiming_[at] = false;
-      if (now.ok() && now.body.contains("data")) {
-        const std::string node = now.body["data"].value("node", "");
-        const std::string boot = now.body["data"].value("boot", "");
-        const std::uint64_t found = now.body.value("stamp", std::uint64_t{0});
-        if (boot == boot_ && lease_id == lease_id_ && lease_id_ != 0 &&
-            now.body.value("hold", std::uint64_t{0}) == lease_id_) {
-          if (held_[at] == found) return;
-          held_[at] = found;
-          owners_[at] = {node, found};
-          owner_boots_[at] = boot;
-          spdlog::info("part {} gained, baton {} (found)", part, found);
-          listener_.gained(part, found);
-          listener_.owners_changed();
-        } else {
-          see(part, {node, boot, found});
-          // What we see may be no news, and still be ours to take: a start once stalled here.
-          env_.after(kRetry, [this, part] { consider(part); });
-        }
-        return;
-      }
-      if (now.outcome == Outcome::kMissing) see(part, {"", "", now.revision()});
-      env_.after(kRetry, [this, part] { consider(part); });
-    });
+    state_.get(RequestPriority::kLease, keys::shard(shard),
+               [this, shard, at, lease_id](const StateReply& now) {
+                 claiming_[at] = false;
+                 if (now.ok() && now.body.contains("data")) {
+                   const std::string node = now.body["data"].value("node", "");
+                   const std::string boot = now.body["data"].value("boot", "");
+                   const std::uint64_t found = now.body.value("stamp", std::uint64_t{0});
+                   if (boot == boot_ && lease_id == lease_id_ && lease_id_ != 0 &&
+                       now.body.value("hold", std::uint64_t{0}) == lease_id_) {
+                     if (held_[at] == found) return;
+                     held_[at] = found;
+                     owners_[at] = {node, found};
+                     owner_boots_[at] = boot;
+                     spdlog::info("shard {} gained, fencing token {} (found)", shard, found);
+                     listener_.gained(shard, found);
+                     listener_.owners_changed();
+                   } else {
+                     see(shard, {node, boot, found});
+                     // What we see may be no news, and still be ours to take: a start once stalled here.
+                     env_.after(kRetry, [this, shard] { consider(shard); });
+                   }
+                   return;
+                 }
+                 if (now.outcome == Outcome::kMissing) see(shard, {"", "", now.revision()});
+                 env_.after(kRetry, [this, shard] { consider(shard); });
+               });
   });
 }
 
-void Ownership::restart_shard(int part, const std::string& why) {
-  const auto at = static_cast<std::size_t>(part);
+void Ownership::restart_shard(int shard, const std::string& why) {
+  const auto at = static_cast<std::size_t>(shard);
   if (held_[at] == 0) return;
-  if (monitor_ == nullptr) return give_up(part, held_[at], why);
+  if (monitor_ == nullptr) return give_up(shard, held_[at], why);
   // What contradicts us may be that records were lost, or are being rebuilt. What we know is needed then.
-  state_.get(Lane::kLease, keys::kMeta,
-             [this, part, fencing_token = held_[at], why](const StateReply& reply) {
+  state_.get(RequestPriority::kLease, keys::kMeta,
+             [this, shard, fencing_token = held_[at], why](const StateReply& reply) {
                if (reply.outcome == Outcome::kMissing || (reply.ok() && !same_incarnation(reply)))
                  return monitor_->on_other_incarnation();
-               if (reply.ok()) return give_up(part, fencing_token, why);
-               env_.after(kRetry, [this, part, why] { restart_shard(part, why); });
+               if (reply.ok()) return give_up(shard, fencing_token, why);
+               env_.after(kRetry, [this, shard, why] { restart_shard(shard, why); });
              });
 }
 
-void Ownership::give_up(int part, std::uint64_t fencing_token, const std::string& why) {
-  const auto at = static_cast<std::size_t>(part);
+void Ownership::give_up(int shard, std::uint64_t fencing_token, const std::string& why) {
+  const auto at = static_cast<std::size_t>(shard);
   if (held_[at] != fencing_token) return;
-  spdlog::warn("part {} given up: {}", part, why);
-  lose(part, "given up");
-  // The same node takes it again at once under a new baton; whatever is still on its way dies with the old
-  // one.
+  spdlog::warn("shard {} given up: {}", shard, why);
+  lose(shard, "given up");
+  // The same node takes it again at once under a new fencing token; whatever is still on its way dies with
+  // the old one.
   owner_boots_[at] = "given up";
   owners_[at] = {settings_.node, fencing_token};
-  consider(part);
+  consider(shard);
 }
 
-void Ownership::heard(int part, const std::string& node, std::uint64_t fencing_token) {
-  if (part < 0 || part >= parts()) return;
-  const auto at = static_cast<std::size_t>(part);
+void Ownership::heard(int shard, const std::string& node, std::uint64_t fencing_token) {
+  if (shard < 0 || shard >= shard_count()) return;
+  const auto at = static_cast<std::size_t>(shard);
   if (fencing_token <= owners_[at].fencing_token) return;
-  if (held_[at] != 0) lose(part, "a newer owner was heard of");
+  if (held_[at] != 0) lose(shard, "a newer owner was heard of");
   owners_[at] = {node, fencing_token};
   owner_boots_[at] = "heard";
   listener_.owners_changed();
--- a/src/coordination/part_lending.cpp
+++ b/src/coordination/shard/delegation.cpp
@@ -1,28 +1,28 @@
-// Blocks of waiting tasks that pass between shards.
+// Delegations of waiting tasks that pass between shards.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/part.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 namespace mothslip {
 
 namespace {
-constexpr double kBorrowEvery = 0.4;
-constexpr double kBorrowIdle = 0.9;
-constexpr double kGiveBack = 2.5;  // waiting tasks of a block that found no place this long go home
-constexpr double kSaveUp = 30;     // longer where room or allowance is saved up for it
+constexpr double kTaskRequestInterval = 0.4;
+constexpr double kTaskRequestIdleInterval = 0.9;
+constexpr double kGiveBack = 2.5;  // waiting tasks of a delegation that found no place this long go home
+constexpr double kSaveUp = 30;     // longer where room or quota share is saved up for it
 constexpr double kGatherGang = 60;
 constexpr std::size_t kMaxOffers = 40;
-constexpr std::size_t kMaxNewBlocks = 8;  // not written yet
-constexpr int kMaxBlocks = 4;             // lent per request
-constexpr double kBlockFrame = 120;       // bytes of a block's record without its job and its ranges
+constexpr std::size_t kMaxUnwrittenDelegations = 8;  // not written yet
+constexpr int kMaxDelegationsPerRequest = 4;         // per request
+constexpr double kDelegationFrame = 120;  // bytes of a delegation's record without its job and its ranges
 constexpr double kBytesPerRange = 14;     // of text, at the most
 constexpr double kBytesPerTask = 1.4;     // and that much more however scattered some of the tasks are done
 
-// What the ranges of a block's record may come to take, whichever of its tasks are done or given back.
-double block_bytes(const RangeSet& range) {
+// What the ranges of a delegation's record may come to take, whichever of its tasks are done or given back.
+double delegation_bytes(const RangeSet& range) {
   return 2 * (kBytesPerRange * static_cast<double>(range.range_count()) + kBytesPerTask * range.size());
 }
 
@@ -33,74 +33,75 @@
 }
 }  // namespace
 
-// ---------------------------------------------------------------- blocks: loading and watching
+// ---------------------------------------------------------------- delegations: loading and watching
 
-void Part::load_blocks() {
+void ShardLeader::load_delegations() {
   ctx_.state->list(
-      Lane::kLease, keys::kBlocks,
+      RequestPriority::kLease, keys::kDelegations,
       alive([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
-        if (outcome != Outcome::kOk) return retry_load(&Part::load_blocks);
-        const std::string own = keys::kBlocks + std::to_string(id_) + "/";
+        if (outcome != Outcome::kOk) return retry_load(&ShardLeader::load_delegations);
+        const std::string own = keys::kDelegations + std::to_string(id_) + "/";
         for (StateItem& item : items) {
-          auto record = BlockRecord::from_json(item.data);
+          auto record = DelegationRecord::from_json(item.data);
           if (!record) {
             spdlog::error("record {} cannot be read", item.key);
             continue;
           }
-          if (record->home == id_) {
-            const auto it = jobs_.find(record->head.spec.ref);
+          if (record->home_shard == id_) {
+            const auto it = jobs_.find(record->job.spec.ref);
             if (it == jobs_.end()) continue;
             Job& job = *it->second;
-            job.lent[item.key] = {record->range, record->done, item.revision, record->head.aborted};
+            job.delegated[item.key] = {record->range, record->done, item.revision, record->job.aborted};
             job.waiting.erase(record->range);
             job.done.insert(record->done);
           } else if (item.key.compare(0, own.size(), own) == 0) {
-            add_block(item.key, std::move(*record), item.revision);
+            add_delegated_job(item.key, std::move(*record), item.revision);
           }
         }
         std::set<int> homes;
         for (const auto& [name, job] : jobs_) {
-          if (job->borrowed()) homes.insert(job->home);
+          if (job->delegated_here()) homes.insert(job->home_shard);
         }
-        check_borrowed(std::move(homes));
+        check_delegated(std::move(homes));
       }));
 }
 
-// A job can have been cancelled while nobody owned this part. One list a home: asked for one by one, a
-// hundred blocks kept a part from becoming active for 15 s while the state service was slow.
-void Part::check_borrowed(std::set<int> homes) {
+// A job can have been cancelled while nobody owned this shard. One list a home: asked for one by one, a
+// hundred delegations kept a shard from becoming active for 15 s while the state service was slow.
+void ShardLeader::check_delegated(std::set<int> homes) {
   if (homes.empty()) {
     load_teams();
     return;
   }
   const int home = *homes.begin();
-  ctx_.state->list(Lane::kLease, keys::heads(home),
-                   alive([this, home, homes = std::move(homes)](
-                             Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) mutable {
-                     if (outcome != Outcome::kOk) {
-                       ctx_.env->after(kLoadRetry, alive([this, homes = std::move(homes)]() mutable {
-                                         check_borrowed(std::move(homes));
-                                       }));
-                       return;
-                     }
-                     std::set<std::string> open;
-                     for (const StateItem& item : items) {
-                       if (item.data.is_object() && item.data.value("phase", "") != "aborted")
-                         open.insert(item.key.substr(keys::heads(home).size()));
-                     }
-                     for (const auto& [name, job] : jobs_) {
-                       if (job->borrowed() && job->home == home && open.count(job->spec().ref) == 0)
-                         drop_borrowed(job);
-                     }
-                     homes.erase(home);
-                     check_borrowed(std::move(homes));
-                   }));
+  ctx_.state->list(
+      RequestPriority::kLease, keys::job_records(home),
+      alive([this, home, homes = std::move(homes)](Outcome outcome, const std::vector<StateItem>& items,
+                                                   std::uint64_t) mutable {
+        if (outcome != Outcome::kOk) {
+          ctx_.env->after(kLoadRetry, alive([this, homes = std::move(homes)]() mutable {
+                            check_delegated(std::move(homes));
+                          }));
+          return;
+        }
+        std::set<std::string> open;
+        for (const StateItem& item : items) {
+          if (item.data.is_object() && item.data.value("phase", "") != "aborted")
+            open.insert(item.key.substr(keys::job_records(home).size()));
+        }
+        for (const auto& [name, job] : jobs_) {
+          if (job->delegated_here() && job->home_shard == home && open.count(job->spec().ref) == 0)
+            drop_delegated(job);
+        }
+        homes.erase(home);
+        check_delegated(std::move(homes));
+      }));
 }
 
-void Part::add_block(const std::string& key, BlockRecord record, std::uint64_t revision) {
-  const JobPtr job = make_job(std::move(record.head), record.job_revision);
-  job->home = record.home;
-  job->block = key;
+void ShardLeader::add_delegated_job(const std::string& key, DelegationRecord record, std::uint64_t revision) {
+  const JobPtr job = make_job(std::move(record.job), record.job_revision);
+  job->home_shard = record.home_shard;
+  job->delegation = key;
   job->delegation_revision = revision;
   job->works = record.works;
   job->range = std::move(record.range);
@@ -115,34 +116,35 @@
   wake();
 }
 
-// The job was cancelled at home: its tasks here are stopped, and the block goes when the last one is gone.
-void Part::drop_borrowed(const JobPtr& job) {
-  if (job->head.aborted) return;
-  job->head.aborted = true;
+// The job was cancelled at home: its tasks here are stopped, and the delegation goes when the last one is
+// gone.
+void ShardLeader::drop_delegated(const JobPtr& job) {
+  if (job->record.aborted) return;
+  job->record.aborted = true;
   job->aborted_at = ctx_.env->now();
-  // (While we load, the waiting tasks tell which placements of the pages still count: what runs on a machine
-  // that we cannot ask uses its team's limit, cancelled or not.)
+  // (While we load, the waiting tasks tell which placements of the segments still count: what runs on a
+  // machine that we cannot ask uses its team's limit, cancelled or not.)
   if (!active_) return;
   job->waiting.clear();
   job->backoff.clear();
   stop_directly(job);
 }
 
-// Events of one watch come in order. Borrowed blocks are taken up only here: an answer that overtook or
-// trailed them could bring back a block that is already completed and deleted.
-void Part::on_block_event(const Json& event) {
+// Events of one watch come in order. Delegations to this shard are taken up only here: an answer that
+// overtook or trailed them could bring back a delegation that is already completed and deleted.
+void ShardLeader::on_delegation_event(const Json& event) {
   const bool put = event.contains("put");
   const std::string key = event.value(put ? "put" : "delete", "");
   const auto revision = event.value("stamp", std::uint64_t{0});
-  const std::string own = keys::kBlocks + std::to_string(id_) + "/";
+  const std::string own = keys::kDelegations + std::to_string(id_) + "/";
   if (key.compare(0, own.size(), own) == 0) {
     const auto it = jobs_.find(key);
     if (put && it == jobs_.end()) {
       if (over_ahead_of_watch_.count(key) > 0) return;
-      auto record = BlockRecord::from_json(event["data"]);
+      auto record = DelegationRecord::from_json(event["data"]);
       if (!record || record->complete()) return;
-      counters_.borrowed += static_cast<std::uint64_t>(record->range.size());
-      add_block(key, std::move(*record), revision);
+      counters_.tasks_received += static_cast<std::uint64_t>(record->range.size());
+      add_delegated_job(key, std::move(*record), revision);
     } else if (!put && it != jobs_.end() && revision > it->second->delegation_revision) {
       // Deleted by its home: every task in it is done.
       if (it->second->placed == 0) forget(key);
@@ -155,27 +157,27 @@
   const auto it = jobs_.find(key.substr(slash + 1, tilde - slash - 1));
   if (it == jobs_.end()) return;
   const JobPtr job = it->second;
-  const auto lent = job->lent.find(key);
-  if (lent == job->lent.end() || revision <= lent->second.revision) return;
-  lent->second.revision = revision;
+  const auto delegated = job->delegated.find(key);
+  if (delegated == job->delegated.end() || revision <= delegated->second.revision) return;
+  delegated->second.revision = revision;
   if (put) {
-    const auto record = BlockRecord::from_json(event["data"]);
+    const auto record = DelegationRecord::from_json(event["data"]);
     if (record) {
-      lent->second.noted = record->head.aborted;
+      delegated->second.noted = record->job.aborted;
       job->fails_elsewhere |= record->fails;
-      take_back(job, key, record->range, record->done);
+      reclaim_tasks(job, key, record->range, record->done);
     }
   } else {
-    take_back(job, key, {}, {});
-    job->lent.erase(key);
+    reclaim_tasks(job, key, {}, {});
+    job->delegated.erase(key);
   }
 }
 
-BlockRecord Part::block_record(const Job& job) {
-  BlockRecord out;
-  out.home = job.home;
+DelegationRecord ShardLeader::delegation_record(const Job& job) {
+  DelegationRecord out;
+  out.home_shard = job.home_shard;
   out.job_revision = job.job_revision;
-  out.head = job.head;
+  out.job = job.record;
   out.works = job.works;
   out.fails = job.at_fault();
   out.range = job.range;
@@ -183,27 +185,28 @@
   return out;
 }
 
-// The borrower noted completions, or gave tasks back by shrinking the range.
-void Part::take_back(const JobPtr& job, const std::string& key, const RangeSet& range, const RangeSet& done) {
-  Lent& lent = job->lent.at(key);
+// The delegate noted completions, or gave tasks back by shrinking the range.
+void ShardLeader::reclaim_tasks(const JobPtr& job, const std::string& key, const RangeSet& range,
+                                const RangeSet& done) {
+  DelegatedTasks& delegated = job->delegated.at(key);
   job->done.insert(done);
-  for (const auto& [first, last] : lent.range.ranges()) {
+  for (const auto& [first, last] : delegated.range.ranges()) {
     for (int i = first; i < last; i++) {
       if (!range.contains(i)) requeue(job, i, 0);
     }
   }
-  lent.range = range;
-  lent.done = done;
+  delegated.range = range;
+  delegated.done = done;
 }
 
-// ---------------------------------------------------------------- blocks: what the borrower writes
+// ---------------------------------------------------------------- delegations: what the delegate writes
 
-// A block that was lent under larger limits may no longer fit into a record. Once nothing of it runs here, so
-// many of its tasks go home as do not fit, done or not: their results are kept, and starting them again ends
-// at once.
-bool Part::fit_block(Job& job) const {
+// A delegation that was made under larger limits may no longer fit into a record. Once nothing of it runs
+// here, so many of its tasks go home as do not fit, done or not: their results are kept, and starting them
+// again ends at once.
+bool ShardLeader::fit_delegation(Job& job) const {
   const auto too_large = [this, &job] {
-    return static_cast<double>(dump_json(block_record(job).to_json()).size()) > value_bytes_;
+    return static_cast<double>(dump_json(delegation_record(job).to_json()).size()) > value_bytes_;
   };
   if (!too_large()) return true;
   if (job.placed > 0) return false;
@@ -219,7 +222,7 @@
   return true;
 }
 
-bool Part::commit_blocks() {
+bool ShardLeader::commit_delegations() {
   const double now = ctx_.env->now();
   Transaction txn = guarded();
   struct Item {
@@ -231,19 +234,19 @@
   std::vector<Item> batch;
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (auto& [key, job] : jobs_) {
-    if (!job->borrowed() || job->head.aborted || job->progress_inflight || job->cleaning) continue;
+    if (!job->delegated_here() || job->record.aborted || job->progress_inflight || job->cleaning) continue;
     const double patience = !starving(*job) ? kGiveBack : job->is_gang() ? kGatherGang : kSaveUp;
     const bool give_back = !job->waiting.empty() && now - job->idle_since > patience &&
                            (!job->bound() || (job->placed == 0 && job->backoff.empty()));
-    // Until the block is complete its completions are kept in the journal's pages.
+    // Until the delegation is complete its completions are kept in the journal's segments.
     const bool due = (!job->unsaved.empty() && job->complete()) || job->fold_due;
     if (!give_back && !due) continue;
     if (txn.then.size() + 1 > most) break;
-    if (!fit_block(*job)) continue;
+    if (!fit_delegation(*job)) continue;
     Item item{job, job->range, job->done, false};
     job->fold_due = false;
     if (give_back) {
-      counters_.given_back += static_cast<std::uint64_t>(job->waiting.size());
+      counters_.tasks_returned += static_cast<std::uint64_t>(job->waiting.size());
       item.range.erase(job->waiting);
       // From here on they are not ours, whatever becomes of the write: it is repeated until it is done.
       job->waiting.clear();
@@ -254,42 +257,42 @@
     if (item.erase) {
       txn.remove(key);
     } else {
-      txn.put(key, block_record(*job).to_json());
+      txn.put(key, delegation_record(*job).to_json());
     }
     job->progress_inflight = true;
     batch.push_back(std::move(item));
   }
   if (batch.empty()) return false;
-  send_commit(Lane::kDone, kDoneSlot, txn, [this, batch](std::uint64_t revision) {
+  send_commit(RequestPriority::kDone, kDoneSlot, txn, [this, batch](std::uint64_t revision) {
     for (const Item& item : batch) {
       item.job->progress_inflight = false;
       item.job->delegation_revision = revision;
-      folded(item.job, item.job->block, item.done);
-      if (item.erase) forget(item.job->block);
+      folded(item.job, item.job->delegation, item.done);
+      if (item.erase) forget(item.job->delegation);
     }
   });
   return true;
 }
 
-// ---------------------------------------------------------------- blocks: asking and lending
+// ---------------------------------------------------------------- delegations: requests and delegation
 
-// The other parts in turn.
-int Part::next_part(int after) const {
-  const int next = (after + 1) % ctx_.parts;
-  return next == id_ ? (next + 1) % ctx_.parts : next;
+// The other shards in turn.
+int ShardLeader::next_shard(int after) const {
+  const int next = (after + 1) % ctx_.shard_count;
+  return next == id_ ? (next + 1) % ctx_.shard_count : next;
 }
 
-// With room that our own waiting tasks do not fill, we ask the other parts in turn.
-void Part::borrow() {
+// With room that our own waiting tasks do not fill, we ask the other shards in turn.
+void ShardLeader::request_tasks() {
   const double now = ctx_.env->now();
-  if (borrowing_ || now < next_borrow_ || state_silent() || !ctx_.exclusive_owner()) return;
-  next_borrow_ = now + kBorrowEvery;
+  if (task_request_open_ || now < next_task_request_ || state_silent() || !ctx_.exclusive_owner()) return;
+  next_task_request_ = now + kTaskRequestInterval;
   // Others' work that goes before best-effort work gets the room of ours too.
   const bool others_wait = best_effort_here_ && std::any_of(elsewhere_.begin(), elsewhere_.end(),
                                                             [](const auto& hint) { return hint.startable; });
   std::vector<std::pair<const Machine*, Resources>> rooms;
   for (const auto& [name, machine] : machines_) {
-    if (machine->type < 0 || !machine->welcome() || now < machine->no_fill_until) continue;
+    if (machine->type < 0 || !machine->schedulable() || now < machine->no_fill_until) continue;
     if (!machine->heard || now - machine->last_heard > fresh_s() || machine->reserved_for) continue;
     Resources room = machine->room;
     if (others_wait) {
@@ -326,8 +329,8 @@
   for (std::size_t t = 0; t < teams_.size(); t++) {
     spare.push_back({teams_.spare_cores(static_cast<int>(t)), teams_.spare_gpus(static_cast<int>(t))});
   }
-  asked_for_tasks_ = next_part(asked_for_tasks_);
-  borrowing_ = true;
+  asked_for_tasks_ = next_shard(asked_for_tasks_);
+  task_request_open_ = true;
   ctx_.ask(asked_for_tasks_, "/peer/borrow",
            {{"part", id_},
             {"baton", fencing_token_},
@@ -335,21 +338,23 @@
             {"spare", std::move(spare)},
             {"gangs", true}},
            alive([this](const Json& answer) {
-             borrowing_ = false;
-             const bool lent = answer.is_object() && answer.value("lent", 0) > 0;
+             task_request_open_ = false;
+             const bool delegated = answer.is_object() && answer.value("lent", 0) > 0;
              // Asking costs processor time on both sides: seldom while the fleet knows of nothing that waits.
-             next_borrow_ = ctx_.env->now() + (lent || !elsewhere_.empty() ? kBorrowEvery : kBorrowIdle);
+             next_task_request_ =
+                 ctx_.env->now() +
+                 (delegated || !elsewhere_.empty() ? kTaskRequestInterval : kTaskRequestIdleInterval);
            }));
 }
 
-Json Part::on_peer(const std::string& path, const Json& body) {
+Json ShardLeader::on_peer(const std::string& path, const Json& body) {
   // Durable already, whoever says so and however late: it needs no lease of ours.
-  // While we load, too: blocks that are not read yet are checked after they have been.
-  if (path == "/peer/called_off") return on_called_off(body);
+  // While we load, too: delegations that are not read yet are checked after they have been.
+  if (path == "/peer/called_off") return on_job_cancelled(body);
   if (!active_ || state_silent() || !ctx_.exclusive_owner()) return {{"lent", 0}};
   try {
-    if (path == "/peer/borrow") return {{"lent", on_borrow(body)}};
-    if (path == "/peer/allow") on_allow(body);
+    if (path == "/peer/borrow") return {{"lent", on_task_request(body)}};
+    if (path == "/peer/allow") on_quota_request(body);
     if (path == "/peer/gang_capacity") return on_gang_capacity(body);
     if (path == "/peer/gang_state") return on_gang_state(body);
   } catch (const Json::exception&) {
@@ -358,16 +363,18 @@
   return Json::object();
 }
 
-// Lends what our own machines have no room for, by the same preference as if the offered room were ours.
-int Part::on_borrow(const Json& body) {
+// Delegates what our own machines have no room for, by the same preference as if the offered room were ours.
+int ShardLeader::on_task_request(const Json& body) {
   const int to = body.at("part").get<int>();
   const auto to_fencing_token = body.at("baton").get<std::uint64_t>();
-  if (to < 0 || to >= ctx_.parts || to == id_ || new_blocks_.size() >= kMaxNewBlocks) return 0;
-  const int gang_tasks = lend_gangs(body);
+  if (to < 0 || to >= ctx_.shard_count || to == id_ ||
+      unwritten_delegations_.size() >= kMaxUnwrittenDelegations)
+    return 0;
+  const int gang_tasks = delegate_gangs(body);
   const double now = ctx_.env->now();
   std::vector<std::pair<const Machine*, Resources>> rooms;
   for (const auto& [name, machine] : machines_) {
-    if (machine->type < 0 || !machine->welcome() || now < machine->no_fill_until) continue;
+    if (machine->type < 0 || !machine->schedulable() || now < machine->no_fill_until) continue;
     if (!machine->heard || now - machine->last_heard > fresh_s() || machine->reserved_for) continue;
     machine->keeping = keeps_for_large(*machine);
     rooms.emplace_back(machine.get(), machine->room);
@@ -379,12 +386,12 @@
   const double wall = ctx_.env->wall();
   for (const auto& [name, job] : jobs_) {
     const JobSpec& spec = job->spec();
-    if (job->borrowed() || job->is_gang() || job->over() || job->cancelling || job->waiting.empty() ||
+    if (job->delegated_here() || job->is_gang() || job->over() || job->cancelling || job->waiting.empty() ||
         job->at_fault() || !job->cancel_waiters.empty()) {
       continue;
     }
-    // Where the tasks of a job are bound to each other one part must see all that are placed: they go whole.
-    if (job->bound() && (job->placed > 0 || job->lent_open() > 0 || !job->backoff.empty())) continue;
+    // Where the tasks of a job are bound to each other one shard must see all that are placed: they go whole.
+    if (job->bound() && (job->placed > 0 || job->delegated_open() > 0 || !job->backoff.empty())) continue;
     int left = job->waiting.size();
     int here = std::min(left, teams_.tasks_within(job->team, job->demand));
     for (auto& [machine, room] : rooms) {
@@ -398,10 +405,10 @@
     Request request;
     request.demand = job->demand;
     request.assigned_share = static_cast<double>(job->placed + job->done.size()) / spec.task_count;
-    request.nothing_placed = job->placed == 0 && job->done.empty() && job->lent.empty();
+    request.nothing_placed = job->placed == 0 && job->done.empty() && job->delegated.empty();
     request.bonus = kUrgencyBonus * static_cast<int>(spec.urgency) + age_bonus(*job, wall);
     if (spec.deadline_s) {
-      request.pressure = deadline_pressure(job->head.submitted + *spec.deadline_s - wall,
+      request.pressure = deadline_pressure(job->record.submitted + *spec.deadline_s - wall,
                                            1.3 * std::max(1.0, spec.estimated_s));
     }
     requests.push_back(request);
@@ -410,7 +417,7 @@
     counts.push_back(0);
   }
   if (requests.empty()) {
-    if (gang_tasks > 0) pump();
+    if (gang_tasks > 0) send_queued();
     return gang_tasks;
   }
   std::vector<std::pair<double, double>> spare;
@@ -446,14 +453,14 @@
         const std::size_t i = index[k];
         const Job& job = *jobs[i];
         auto& [cores, gpus] = spare.at(static_cast<std::size_t>(job.team));
-        // Allowance for a task of one that starves is saved up there.
-        const bool allowance =
+        // Quota share for a task of one that starves is saved up there.
+        const bool quota =
             (job.demand[0] <= cores && job.demand[2] <= gpus) || (starving(job) && counts[i] == 0);
-        if (counts[i] < surplus[i] && !allowance && fits(job.demand, room)) {
+        if (counts[i] < surplus[i] && !quota && fits(job.demand, room)) {
           Resources& more = lacking[job.team];
           for (std::size_t r = 0; r < 3; r++) more[r] = std::max(more[r], job.demand[r]);
         }
-        if (counts[i] >= surplus[i] || !allowance || !fits(job.demand, room)) {
+        if (counts[i] >= surplus[i] || !quota || !fits(job.demand, room)) {
           listed.erase(listed.begin() + static_cast<std::ptrdiff_t>(k));
           index.erase(index.begin() + static_cast<std::ptrdiff_t>(k));
         } else {
@@ -469,53 +476,53 @@
       spare.at(static_cast<std::size_t>(jobs[i]->team)).second -= jobs[i]->demand[2];
     }
   }
-  int lent = gang_tasks;
-  int blocks = 0;
-  for (std::size_t i = 0; i < jobs.size() && blocks < kMaxBlocks; i++) {
+  int delegated = gang_tasks;
+  int delegations = 0;
+  for (std::size_t i = 0; i < jobs.size() && delegations < kMaxDelegationsPerRequest; i++) {
     if (counts[i] == 0) continue;
     if (jobs[i]->bound()) counts[i] = jobs[i]->waiting.size();
-    lend(jobs[i], to, to_fencing_token, counts[i]);
-    lent += counts[i];
-    blocks++;
+    delegate_tasks(jobs[i], to, to_fencing_token, counts[i]);
+    delegated += counts[i];
+    delegations++;
   }
-  // Room without allowance is of no use: what we do not need of ours moves along.
+  // Room without quota share is of no use: what we do not need of ours moves along.
   // The tasks in question have no place here, so nothing is held back for them; what we lack too, others may
   // have.
   for (const auto& [team, more] : lacking) {
     if (more[0] > teams_.spare_cores(team) || more[2] > teams_.spare_gpus(team)) short_of_[team] = more;
-    give_allowance(team, to, more[0], more[2], false);
+    transfer_quota(team, to, more[0], more[2], false);
   }
-  if (lent > 0) pump();
-  return lent;
+  if (delegated > 0) send_queued();
+  return delegated;
 }
 
-// Bytes that the record of a block of the job has for ranges.
-double Part::block_budget(const Job& job) const {
-  return value_bytes_ - kBlockFrame - static_cast<double>(dump_json(job.head.to_json()).size());
+// Bytes that the record of a delegation of the job has for ranges.
+double ShardLeader::delegation_budget(const Job& job) const {
+  return value_bytes_ - kDelegationFrame - static_cast<double>(dump_json(job.record.to_json()).size());
 }
 
-// One conditional write a block: it holds while we own the home, the borrower owns its part, and the job is
-// open. It rides in the journal's next write: a copy of that write which comes late finds the newest page
-// changed and fails. (Its own key would not tell: a block that was lent, given back and deleted left no
-// trace, and a late copy brought it back while its tasks ran elsewhere.)
-void Part::lend(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count) {
-  Lent lent;
-  const double budget = block_budget(*job);
+// One conditional write a delegation: it holds while we own the home, the delegate owns its shard, and the
+// job is open. It rides in the journal's next write: a copy of that write which comes late finds the active
+// segment changed and fails. (Its own key would not tell: a delegation that was made, given back and deleted
+// left no trace, and a late copy brought it back while its tasks ran elsewhere.)
+void ShardLeader::delegate_tasks(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count) {
+  DelegatedTasks delegated;
+  const double budget = delegation_budget(*job);
   for (int i = 0; i < count && !job->waiting.empty(); i++) {
     // (The tasks of a gang are done together, or none is: their ranges stay short.)
-    if (!job->is_gang() && !lent.range.empty() && block_bytes(lent.range) > budget) break;
+    if (!job->is_gang() && !delegated.range.empty() && delegation_bytes(delegated.range) > budget) break;
     const int index = *job->waiting.first();
     job->waiting.erase(index);
-    lent.range.insert(index);
+    delegated.range.insert(index);
   }
   const std::string& ref = job->spec().ref;
   const std::string key =
-      keys::blocks(to, ref) + std::to_string(fencing_token_) + "." + std::to_string(++attempt_counter_);
-  counters_.blocks++;
-  counters_.lent += static_cast<std::uint64_t>(lent.range.size());
-  spdlog::debug("{}: {} tasks lent to part {}", ref, lent.range.size(), to);
-  job->lent[key] = std::move(lent);
-  new_blocks_.push_back({job, key, to, to_fencing_token});
+      keys::delegations(to, ref) + std::to_string(fencing_token_) + "." + std::to_string(++attempt_counter_);
+  counters_.delegations++;
+  counters_.tasks_delegated += static_cast<std::uint64_t>(delegated.range.size());
+  spdlog::debug("{}: {} tasks delegated to shard {}", ref, delegated.range.size(), to);
+  job->delegated[key] = std::move(delegated);
+  unwritten_delegations_.push_back({job, key, to, to_fencing_token});
 }
 
 }  // namespace mothslip
--- a/src/coordination/part_gang.cpp
+++ b/src/coordination/shard/gang_scheduling.cpp
@@ -10,7 +10,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/part.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 namespace mothslip {
 
@@ -24,7 +24,7 @@
 constexpr double kReservePause = 30.0;    // and then not for this long
 constexpr double kSeekEvery = 2.0;
 constexpr double kTellEvery = 2.0;
-constexpr double kToldGood = 6.0;  // what a borrower has said of a gang is believed this long
+constexpr double kToldGood = 6.0;  // what a delegate has said of a gang is believed this long
 constexpr double kStopMargin = 5.0;
 
 double total(const Resources& amounts, const Resources& weights) {
@@ -34,35 +34,38 @@
 }
 }  // namespace
 
-bool Part::attempt_over(const Job& job) { return job.attempt.failed || job.attempt.stopping; }
+bool ShardLeader::attempt_over(const Job& job) { return job.attempt.failed || job.attempt.stopping; }
 
 // Users are told that a gang runs only while all its tasks do.
-int Part::gang_tasks_running(const Job& job) const {
-  const bool lent_runs = job.lent_open() > 0 && job.lent_runs && ctx_.env->now() - job.lent_heard < kToldGood;
-  return job.gang_runs() || lent_runs ? job.spec().task_count : 0;
+int ShardLeader::gang_tasks_running(const Job& job) const {
+  const bool delegated_gang_runs = job.delegated_open() > 0 && job.delegated_gang_runs &&
+                                   ctx_.env->now() - job.delegated_gang_heard_at < kToldGood;
+  return job.gang_runs() || delegated_gang_runs ? job.spec().task_count : 0;
 }
 
-bool Part::has_allowance(const Job& job) const {
+bool ShardLeader::within_quota(const Job& job) const {
   if (!job.is_gang()) return teams_.room(job.team, job.demand);
   return teams_.tasks_within(job.team, job.demand) >= job.waiting.size();
 }
 
-bool Part::gang_may_be_placed(const Job& job) const {
+bool ShardLeader::gang_may_be_placed(const Job& job) const {
   if (job.attempt.number == 0) return job.placed == 0 && job.waiting.size() == job.spec().task_count;
   if (attempt_over(job) || job.attempt.started) return false;
   const double since = job.attempt.launched_at;
   return since == 0 || ctx_.env->now() - since < kReplaceShare * ctx_.settings->gang_wait_s;
 }
 
-// Nothing of it is placed, lent or paused.
-bool Part::gang_waits(const Job& job) const {
-  return job.is_gang() && job.attempt.number == 0 && !job.over() && !job.called_off() &&
+// Nothing of it is placed, delegated or paused.
+bool ShardLeader::gang_waits(const Job& job) const {
+  return job.is_gang() && job.attempt.number == 0 && !job.over() && !job.cancel_requested() &&
          gang_may_be_placed(job);
 }
 
-bool Part::gang_may_be_launched(const Job& job) { return !job.is_gang() || job.attempt.launched_at != 0; }
+bool ShardLeader::gang_may_be_launched(const Job& job) {
+  return !job.is_gang() || job.attempt.launched_at != 0;
+}
 
-GangNeeds Part::gang_needs(const Job& job) {
+GangNeeds ShardLeader::gang_needs(const Job& job) {
   GangNeeds out;
   out.demand = job.demand;
   out.tasks = job.waiting.size();
@@ -72,21 +75,22 @@
   return out;
 }
 
-bool Part::open_to_gang(const Job& job, const Machine& machine) const {
+bool ShardLeader::open_to_gang(const Job& job, const Machine& machine) const {
   const double now = ctx_.env->now();
-  if (machine.type < 0 || !machine.welcome() || !machine.acked || !machine.heard) return false;
+  if (machine.type < 0 || !machine.schedulable() || !machine.token_acknowledged || !machine.heard)
+    return false;
   if (now < machine.no_fill_until || now - machine.last_heard > fresh_s()) return false;
   if (machine.reserved_for && machine.reserved_for.get() != &job) return false;
   return !(machine.cordoned && small_on(job, machine.type)) && allowed_on(job, machine);
 }
 
-double Part::fetch_s(const Job& job, const Machine& machine) const {
+double ShardLeader::fetch_s(const Job& job, const Machine& machine) const {
   if (machine.has_image(job.image)) return 0;
   return fetch_seconds(job.spec(), ctx_.types->at(machine.type));
 }
 
 // Places all tasks that wait: the whole gang, or those that were lost before it started.
-bool Part::place_gang(const JobPtr& job) {
+bool ShardLeader::place_gang(const JobPtr& job) {
   std::vector<Machine*> open;
   std::vector<GangMachine> rooms;
   for (auto& [name, machine] : machines_) {
@@ -102,8 +106,8 @@
   }
   GangAttempt& attempt = job->attempt;
   if (attempt.number == 0) {
-    // Larger than that of any attempt before, also at another part: what ended that one, and brought the gang
-    // here, are revisions that we know.
+    // Larger than that of any attempt before, also at another shard: what ended that one, and brought the
+    // gang here, are revisions that we know.
     const std::uint64_t revision =
         std::max({fencing_token_, watched_, job->job_revision, job->delegation_revision});
     attempt.number = (revision << kAttemptShift) + ++attempt_counter_;
@@ -118,7 +122,7 @@
   return true;
 }
 
-std::vector<std::pair<Machine*, Placement*>> Part::placements_of(const Job& job) const {
+std::vector<std::pair<Machine*, Placement*>> ShardLeader::placements_of(const Job& job) const {
   std::vector<std::pair<Machine*, Placement*>> out;
   if (job.placed == 0) return out;
   for (const auto& [name, machine] : machines_) {
@@ -130,7 +134,7 @@
 }
 
 // New placements of these gangs are durable. Once all are, they may be launched.
-void Part::gangs_written(const std::set<JobPtr>& gangs) {
+void ShardLeader::gangs_written(const std::set<JobPtr>& gangs) {
   for (const JobPtr& job : gangs) {
     if (job->attempt.launched_at != 0 || job->placed < job->spec().task_count) continue;
     const auto placements = placements_of(*job);
@@ -142,25 +146,25 @@
 }
 
 // Called when it is known that a task of the attempt is gone, or will never be launched.
-void Part::gang_task_lost(Job& job) {
-  if (job.over() || job.called_off()) return;
+void ShardLeader::gang_task_lost(Job& job) {
+  if (job.over() || job.cancel_requested()) return;
   if (job.attempt.started && !job.attempt.stopping) job.attempt.failed = true;
 }
 
 // ---------------------------------------------------------------- stopping
 
-void Part::stop_gang(const JobPtr& job, const char* why) {
+void ShardLeader::stop_gang(const JobPtr& job, const char* why) {
   spdlog::info("{} is stopped: {}", job->spec().ref, why);
   job->attempt.stopping = true;
   job->attempt.stopping_since = ctx_.env->now();
   for (const auto& [machine, placement] : placements_of(*job)) {
-    const auto page = pages_.find(placement->page);
-    if (page != pages_.end()) page->second.dirty = true;
+    const auto segment = segments_.find(placement->segment);
+    if (segment != segments_.end()) segment->second.dirty = true;
   }
 }
 
 // All must be told within gang_peer_s of the first: directly, and in answers to reports.
-void Part::stops_written(const std::set<JobPtr>& gangs) {
+void ShardLeader::stops_written(const std::set<JobPtr>& gangs) {
   for (const JobPtr& job : gangs) {
     if (job->attempt.stop_recorded || !job->attempt.stopping) continue;
     const auto placements = placements_of(*job);
@@ -171,17 +175,17 @@
   }
 }
 
-void Part::look_after_gangs() {
+void ShardLeader::maintain_gangs() {
   for (const auto& [name, job] : jobs_) {
-    if (!job->is_gang() || job->over() || job->called_off()) continue;
-    if (job->attempt.number != 0) look_after_attempt(job);
-    if (job->borrowed()) tell_home(job);
+    if (!job->is_gang() || job->over() || job->cancel_requested()) continue;
+    if (job->attempt.number != 0) maintain_attempt(job);
+    if (job->delegated_here()) tell_home(job);
   }
   reserve_for_gangs();
   seek_capacity();
 }
 
-void Part::look_after_attempt(const JobPtr& job) {
+void ShardLeader::maintain_attempt(const JobPtr& job) {
   GangAttempt& attempt = job->attempt;
   const JobSpec& spec = job->spec();
   const double now = ctx_.env->now();
@@ -200,7 +204,7 @@
   const auto placements = placements_of(*job);
   const bool goes = std::any_of(placements.begin(), placements.end(), [](const auto& item) {
     const Machine& machine = *item.first;
-    return machine.evicted_at || (machine.draining && machine.sick);
+    return machine.evicted_at || (machine.draining && machine.faulty);
   });
   if (!goes) return;
   if (!attempt.started) {
@@ -212,21 +216,21 @@
 
 // ---------------------------------------------------------------- room that has to gather
 
-void Part::release_reservation() {
+void ShardLeader::release_reservation() {
   for (auto& [name, machine] : machines_) machine->reserved_for.reset();
   reserving_.reset();
 }
 
 // Small tasks that take every bit of room as it comes free would keep a gang waiting for ever. Machines are
 // kept for one gang at a time, the first in order, so that two do not hold half of their room each.
-void Part::reserve_for_gangs() {
+void ShardLeader::reserve_for_gangs() {
   const double now = ctx_.env->now();
   const double wall = ctx_.env->wall();
   JobPtr first;
   for (const auto& [name, job] : jobs_) {
     const bool waits = gang_waits(*job) && !job->at_fault();
-    if (!waits || now < job->next_reservation || !has_allowance(*job)) continue;
-    if (wall - job->head.submitted < kReserveAfter || now - job->idle_since < kReserveAfter) continue;
+    if (!waits || now < job->next_reservation || !within_quota(*job)) continue;
+    if (wall - job->record.submitted < kReserveAfter || now - job->idle_since < kReserveAfter) continue;
     if (!first || goes_before(*job, *first)) first = job;
   }
   if (reserving_ && reserving_ == first && now - reserved_at_ < kReserveAnew) return;
@@ -245,7 +249,7 @@
 }
 
 // The machines that hold it when they are empty, those with most of their room free first.
-std::vector<Machine*> Part::capacity_for(const Job& job) const {
+std::vector<Machine*> ShardLeader::capacity_for(const Job& job) const {
   std::vector<Machine*> machines;
   std::vector<GangMachine> rooms;
   for (const auto& [name, machine] : machines_) {
@@ -267,7 +271,7 @@
   return out;
 }
 
-void Part::reserve_for(const JobPtr& job) {
+void ShardLeader::reserve_for(const JobPtr& job) {
   const std::vector<Machine*> machines = capacity_for(*job);
   if (machines.empty()) return;
   for (Machine* machine : machines) machine->reserved_for = job;
@@ -277,53 +281,55 @@
   reserved_at_ = ctx_.env->now();
 }
 
-// Where our machines could not hold a gang even if they were empty, another part's may: it is lent to a part
-// that says so, and that part reserves machines for it.
-void Part::seek_capacity() {
+// Where our machines could not hold a gang even if they were empty, another shard's may: it is delegated to a
+// shard that says so, and that shard reserves machines for it.
+void ShardLeader::seek_capacity() {
   const double now = ctx_.env->now();
-  if (ctx_.parts < 2 || now < next_seek_ || seeking_ || state_silent() || !ctx_.exclusive_owner()) return;
+  if (ctx_.shard_count < 2 || now < next_seek_ || seeking_ || state_silent() || !ctx_.exclusive_owner())
+    return;
   next_seek_ = now + kSeekEvery;
   for (const auto& [name, job] : jobs_) {
-    if (job->borrowed() || !gang_waits(*job) || !starving(*job)) continue;
+    if (job->delegated_here() || !gang_waits(*job) || !starving(*job)) continue;
     if (!capacity_for(*job).empty()) continue;
-    asked_for_capacity_ = next_part(asked_for_capacity_);
+    asked_for_capacity_ = next_shard(asked_for_capacity_);
     seeking_ = true;
     ctx_.ask(asked_for_capacity_, "/peer/gang_capacity", {{"job", job_to_json(job->spec())}},
-             alive([this, job = job, part = asked_for_capacity_](const Json& answer) {
+             alive([this, job = job, shard = asked_for_capacity_](const Json& answer) {
                seeking_ = false;
                if (!answer.is_object() || !answer.value("capacity", false)) return;
                if (gang_waits(*job))
-                 lend(job, part, answer.value("baton", std::uint64_t{0}), job->waiting.size());
+                 delegate_tasks(job, shard, answer.value("baton", std::uint64_t{0}), job->waiting.size());
              }));
     return;
   }
 }
 
-Json Part::on_gang_capacity(const Json& body) {
+Json ShardLeader::on_gang_capacity(const Json& body) {
   std::string why;
   const auto spec = parse_job(body.at("job"), why);
   if (!spec || !spec->gang) return {{"error", "malformed"}};
-  HeadRecord head;
-  head.spec = *spec;
-  const JobPtr job = make_job(std::move(head), 0);
+  JobRecord job_record;
+  job_record.spec = *spec;
+  const JobPtr job = make_job(std::move(job_record), 0);
   job->waiting.insert(0, spec->task_count);
   return {{"capacity", !capacity_for(*job).empty()}, {"baton", fencing_token_}};
 }
 
-// ---------------------------------------------------------------- gangs that are lent
+// ---------------------------------------------------------------- gangs that are delegated
 
-// Lends gangs that find no room here, whole, where the asking part has offered room for all their tasks.
-int Part::lend_gangs(const Json& body) {
+// Delegates gangs that find no room here, whole, where the asking shard has offered room for all their tasks.
+int ShardLeader::delegate_gangs(const Json& body) {
   const int to = body.at("part").get<int>();
   if (!body.value("gangs", false)) return 0;  // an earlier version, which could not read them
   std::vector<JobPtr> gangs;
   for (const auto& [name, job] : jobs_) {
-    if (job->borrowed() || !gang_waits(*job) || job->at_fault() || !job->cancel_waiters.empty()) continue;
+    if (job->delegated_here() || !gang_waits(*job) || job->at_fault() || !job->cancel_waiters.empty())
+      continue;
     gangs.push_back(job);
   }
   if (gangs.empty()) return 0;
   std::sort(gangs.begin(), gangs.end(), [](const JobPtr& a, const JobPtr& b) { return goes_before(*a, *b); });
-  int lent = 0;
+  int delegated = 0;
   std::vector<Resources> rooms;
   for (const Json& offer : body.at("rooms"))
     rooms.push_back({offer.at(3).get<double>(), offer.at(4).get<double>(), offer.at(5).get<double>()});
@@ -331,26 +337,26 @@
     if (finds_room_here(*job)) continue;
     const Json& spare = body.at("spare").at(static_cast<std::size_t>(job->team));
     const Resources needs = job->start_demand();
-    const bool allowance =
+    const bool quota =
         needs[0] <= spare.at(0).get<double>() + 1e-9 && needs[2] <= spare.at(1).get<double>() + 1e-9;
     const std::vector<GangShare> shares = find_offered_places(*job, body.at("rooms"), rooms);
     if (shares.empty()) continue;
-    if (!allowance) {
-      // Room without allowance is of no use: what we do not need of ours moves along.
-      give_allowance(job->team, to, needs[0], needs[2], false);
+    if (!quota) {
+      // Room without quota share is of no use: what we do not need of ours moves along.
+      transfer_quota(job->team, to, needs[0], needs[2], false);
       if (!starving(*job)) continue;
     }
     for (const GangShare& share : shares) {
       for (std::size_t r = 0; r < needs.size(); r++) rooms[share.machine][r] -= share.tasks * job->demand[r];
     }
-    lend(job, to, body.at("baton").get<std::uint64_t>(), job->waiting.size());
-    lent += job->spec().task_count;
+    delegate_tasks(job, to, body.at("baton").get<std::uint64_t>(), job->waiting.size());
+    delegated += job->spec().task_count;
   }
-  return lent;
+  return delegated;
 }
 
-bool Part::finds_room_here(const Job& job) const {
-  if (!has_allowance(job)) return false;
+bool ShardLeader::finds_room_here(const Job& job) const {
+  if (!within_quota(job)) return false;
   std::vector<GangMachine> rooms;
   for (const auto& [name, machine] : machines_) {
     if (open_to_gang(job, *machine)) rooms.push_back({machine->room, machine->zone, 0});
@@ -358,8 +364,8 @@
   return !find_gang_places(gang_needs(job), rooms).empty();
 }
 
-std::vector<GangShare> Part::find_offered_places(const Job& job, const Json& offers,
-                                                 const std::vector<Resources>& rooms) const {
+std::vector<GangShare> ShardLeader::find_offered_places(const Job& job, const Json& offers,
+                                                        const std::vector<Resources>& rooms) const {
   std::vector<GangMachine> machines;
   for (std::size_t i = 0; i < rooms.size(); i++) {
     const Json& offer = offers.at(i);
@@ -376,22 +382,23 @@
   return find_gang_places(gang_needs(job), machines);
 }
 
-// Only the borrower knows whether a gang runs; its home's owner tells the users.
-void Part::tell_home(const JobPtr& job) {
+// Only the delegate knows whether a gang runs; its home's owner tells the users.
+void ShardLeader::tell_home(const JobPtr& job) {
   const double now = ctx_.env->now();
   const bool running = job->gang_runs();
-  if (running == job->lent_runs && (!running || now - job->lent_heard < kTellEvery)) return;
-  job->lent_runs = running;
-  job->lent_heard = now;
-  ctx_.ask(job->home, "/peer/gang_state", {{"ref", job->spec().ref}, {"running", running}},
+  if (running == job->delegated_gang_runs && (!running || now - job->delegated_gang_heard_at < kTellEvery))
+    return;
+  job->delegated_gang_runs = running;
+  job->delegated_gang_heard_at = now;
+  ctx_.ask(job->home_shard, "/peer/gang_state", {{"ref", job->spec().ref}, {"running", running}},
            [](const Json&) {});
 }
 
-Json Part::on_gang_state(const Json& body) {
+Json ShardLeader::on_gang_state(const Json& body) {
   const auto it = jobs_.find(body.at("ref").get<std::string>());
   if (it != jobs_.end() && it->second->is_gang()) {
-    it->second->lent_runs = body.at("running").get<bool>();
-    it->second->lent_heard = ctx_.env->now();
+    it->second->delegated_gang_runs = body.at("running").get<bool>();
+    it->second->delegated_gang_heard_at = ctx_.env->now();
   }
   return Json::object();
 }
--- a/src/coordination/part_load.cpp
+++ b/src/coordination/shard/loading.cpp
@@ -1,10 +1,10 @@
-// How a part comes to know what the state service holds, at its start and afterwards.
+// How a shard comes to know what the state service holds, at its start and afterwards.
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/part.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 namespace mothslip {
 
@@ -14,27 +14,27 @@
 constexpr double kWatchGap = 0.25;  // seconds at the least from one answer to the next
 }  // namespace
 
-void Part::load() {
+void ShardLeader::load() {
   if (ctx_.state->key_space().incarnation().first()) {
-    load_heads();
+    load_job_records();
   } else {
     load_unaccounted();
   }
 }
 
-void Part::retry_load(void (Part::*step)()) {
+void ShardLeader::retry_load(void (ShardLeader::*step)()) {
   ctx_.env->after(kLoadRetry, alive([this, step] { (this->*step)(); }));
 }
 
-void Part::load_heads() {
-  ctx_.state->list(Lane::kLease, keys::heads(id_),
+void ShardLeader::load_job_records() {
+  ctx_.state->list(RequestPriority::kLease, keys::job_records(id_),
                    alive([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t revision) {
-                     if (outcome != Outcome::kOk) return retry_load(&Part::load_heads);
+                     if (outcome != Outcome::kOk) return retry_load(&ShardLeader::load_job_records);
                      watched_ = revision;
                      for (StateItem& item : items) {
-                       auto head = HeadRecord::from_json(item.data);
-                       if (head) {
-                         add_job(std::move(*head), item.revision);
+                       auto job_record = JobRecord::from_json(item.data);
+                       if (job_record) {
+                         add_job(std::move(*job_record), item.revision);
                        } else {
                          spdlog::error("record {} cannot be read", item.key);
                        }
@@ -43,16 +43,16 @@
                    }));
 }
 
-void Part::load_progress() {
-  ctx_.state->list(Lane::kLease, keys::progresses(id_),
+void ShardLeader::load_progress() {
+  ctx_.state->list(RequestPriority::kLease, keys::progresses(id_),
                    alive([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
-                     if (outcome != Outcome::kOk) return retry_load(&Part::load_progress);
+                     if (outcome != Outcome::kOk) return retry_load(&ShardLeader::load_progress);
                      for (const StateItem& item : items) load_progress_record(item);
-                     load_blocks();
+                     load_delegations();
                    }));
 }
 
-void Part::load_progress_record(const StateItem& item) {
+void ShardLeader::load_progress_record(const StateItem& item) {
   const std::string name = item.key.substr(keys::progresses(id_).size());
   const auto tilde = name.find('~');
   const std::string ref = name.substr(0, tilde);
@@ -72,58 +72,58 @@
   if (tilde == std::string::npos) {
     job.progress_revision = item.revision;
   } else {
-    job.progress_parts[std::atoi(name.c_str() + tilde + 1)] = {item.revision, std::move(*done)};
+    job.progress_chunks[std::atoi(name.c_str() + tilde + 1)] = {item.revision, std::move(*done)};
   }
 }
 
-void Part::load_pages() {
-  ctx_.state->list(Lane::kLease, keys::pages(id_),
+void ShardLeader::load_segments() {
+  ctx_.state->list(RequestPriority::kLease, keys::segments(id_),
                    alive([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
-                     if (outcome != Outcome::kOk) return retry_load(&Part::load_pages);
-                     std::vector<std::pair<int, PageRecord>> read;
+                     if (outcome != Outcome::kOk) return retry_load(&ShardLeader::load_segments);
+                     std::vector<std::pair<int, SegmentRecord>> read;
                      for (StateItem& item : items) {
-                       const int number = std::atoi(item.key.c_str() + keys::pages(id_).size());
-                       next_page_ = std::max(next_page_, number);
-                       auto record = PageRecord::from_json(item.data);
+                       const int number = std::atoi(item.key.c_str() + keys::segments(id_).size());
+                       last_segment_ = std::max(last_segment_, number);
+                       auto record = SegmentRecord::from_json(item.data);
                        if (!record) {
                          // What runs is not known then: nothing may be placed, the rest is still answered.
                          spdlog::error("record {} cannot be read", item.key);
                          return;
                        }
-                       Page& page = pages_[number];
-                       page.revision = item.revision;
-                       page.oversized = static_cast<double>(dump_json(item.data).size()) > value_bytes_;
+                       JournalSegment& segment = segments_[number];
+                       segment.revision = item.revision;
+                       segment.oversized = static_cast<double>(dump_json(item.data).size()) > value_bytes_;
                        read.emplace_back(number, std::move(*record));
                      }
-                     // Completions first: what is done is placed nowhere, whatever a page still says.
-                     for (const auto& [number, record] : read) load_notes(number, record);
+                     // Completions first: what is done is placed nowhere, whatever a segment still says.
+                     for (const auto& [number, record] : read) load_completions(number, record);
                      for (const auto& [number, record] : read) load_placements(number, record);
                      go_active();
                    }));
 }
 
-void Part::load_notes(int number, const PageRecord& record) {
+void ShardLeader::load_completions(int number, const SegmentRecord& record) {
   for (const auto& [name, text] : record.done) {
     const auto it = jobs_.find(name);
     if (it == jobs_.end()) continue;  // ended since
     Job& job = *it->second;
     auto done = RangeSet::from_text(text, job.spec().task_count);
     if (!done) {
-      spdlog::error("completions of {} in page {} cannot be read", name, number);
+      spdlog::error("completions of {} in segment {} cannot be read", name, number);
       continue;
     }
     job.done.insert(*done);
     job.waiting.erase(*done);
-    pages_[number].done[name] = std::move(*done);
+    segments_[number].done[name] = std::move(*done);
   }
 }
 
-void Part::load_placements(int number, const PageRecord& page) {
-  for (const auto& [name, record] : page.hosts) {
+void ShardLeader::load_placements(int number, const SegmentRecord& segment) {
+  for (const auto& [name, record] : segment.machines) {
     for (const PlacementRecord& from : record.placements) {
       const JobPtr job = find_task(from.ref, from.index);
       // An ended job, or a task whose completion is durable: it was seen gone before that was written. (A
-      // task is in one place only: what ended without completing is gone from its page before it is placed
+      // task is in one place only: what ended without completing is gone from its segment before it is placed
       // anew.)
       if (job == nullptr || !job->waiting.contains(from.index)) continue;
       auto& slot = machines_[name];
@@ -144,7 +144,7 @@
       placement.index = from.index;
       placement.attempt = from.attempt;
       placement.stage = Placement::Stage::kRecorded;
-      placement.page = number;
+      placement.segment = number;
       placement.inherited = true;
       if (job->is_gang()) {
         job->attempt.number = from.attempt;
@@ -159,17 +159,17 @@
   }
 }
 
-void Part::go_active() {
+void ShardLeader::go_active() {
   active_ = true;
   std::size_t placed = 0;
   for (const auto& [name, machine] : machines_) placed += machine->placements.size();
-  spdlog::info("part {} active, baton {}: {} open jobs, {} machines, {} placements", id_, fencing_token_,
-               jobs_.size(), machines_.size(), placed);
+  spdlog::info("shard {} active, fencing token {}: {} open jobs, {} machines, {} placements", id_,
+               fencing_token_, jobs_.size(), machines_.size(), placed);
   watch();
   for (const auto& [name, job] : jobs_) {
-    if (!job->head.aborted) continue;
+    if (!job->record.aborted) continue;
     job->waiting.clear();
-    if (!job->borrowed()) cancelled(job);
+    if (!job->delegated_here()) cancelled(job);
   }
   // Whether a task that is missing was lost or never placed is not known, nor whether the gang had started:
   // the others are stopped, and all begin anew.
@@ -187,9 +187,9 @@
   tick();
 }
 
-// The state service tells what changed: jobs, blocks and allowances. Every part hears of every change, so
-// with many parts the calls add up: changes that follow closely are asked for together.
-void Part::watch() {
+// The state service tells what changed: jobs, delegations and quota shares. Every shard hears of every
+// change, so with many shards the calls add up: changes that follow closely are asked for together.
+void ShardLeader::watch() {
   const double asked = ctx_.env->now();
   ctx_.state->watch(keys::kWatched, watched_, kWatch, alive([this, asked](const StateReply& reply) {
                       const double took = ctx_.env->now() - asked;
@@ -201,7 +201,7 @@
                         }
                         watched_up_to(reply.revision());
                         wait = std::max(0.0, kWatchGap - took);
-                        pump();
+                        send_queued();
                       } else if (reply.outcome == Outcome::kGone) {
                         ctx_.restart_shard("watch too old");
                         return;
@@ -210,57 +210,57 @@
                     }));
 }
 
-void Part::on_event(const Json& event) {
+void ShardLeader::on_event(const Json& event) {
   const std::string key = event.value(event.contains("put") ? "put" : "delete", "");
-  if (key.rfind(keys::kHeads, 0) == 0) {
-    on_head_event(event);
-  } else if (key.rfind(keys::kBlocks, 0) == 0) {
-    on_block_event(event);
+  if (key.rfind(keys::kJobRecords, 0) == 0) {
+    on_job_event(event);
+  } else if (key.rfind(keys::kDelegations, 0) == 0) {
+    on_delegation_event(event);
   } else if (key.rfind(keys::kTeams, 0) == 0) {
     on_team_event(event);
   }
 }
 
-// Other nodes accept jobs by creating the head; only the owner of its part changes or deletes one.
-void Part::on_head_event(const Json& event) {
+// Other nodes accept jobs by creating the job record; only the owner of its shard changes or deletes one.
+void ShardLeader::on_job_event(const Json& event) {
   const bool put = event.contains("put");
   const std::string key = event.value(put ? "put" : "delete", "");
-  const std::string own = keys::heads(id_);
+  const std::string own = keys::job_records(id_);
   const std::string ref = key.substr(key.rfind('/') + 1);
   if (key.compare(0, own.size(), own) != 0) {
-    // A job of another part: what we have borrowed of it is unwanted once it is cancelled.
+    // A job of another shard: what was delegated to us of it is unwanted once it is cancelled.
     const bool over = !put || (event.contains("data") && event["data"].value("phase", "") == "aborted");
     if (!over) return;
-    const std::string prefix = keys::blocks(id_, ref);
+    const std::string prefix = keys::delegations(id_, ref);
     for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it) {
-      drop_borrowed(it->second);
+      drop_delegated(it->second);
     }
     return;
   }
   if (!put || !event.contains("data")) return;
-  auto head = HeadRecord::from_json(event["data"]);
-  if (!head || head->aborted) return;
-  take_up(std::move(*head), event.value("stamp", std::uint64_t{0}));
+  auto job_record = JobRecord::from_json(event["data"]);
+  if (!job_record || job_record->aborted) return;
+  adopt(std::move(*job_record), event.value("stamp", std::uint64_t{0}));
 }
 
 // The answer may come late. What the watch, or loading, has covered by then we know already, whatever became
 // of it since: the job may have run and ended.
-void Part::admit(HeadRecord head, std::uint64_t revision) {
-  if (revision > watched_) take_up(std::move(head), revision);
+void ShardLeader::admit(JobRecord job_record, std::uint64_t revision) {
+  if (revision > watched_) adopt(std::move(job_record), revision);
 }
 
-void Part::take_up(HeadRecord head, std::uint64_t revision) {
-  const std::string& ref = head.spec.ref;
+void ShardLeader::adopt(JobRecord job_record, std::uint64_t revision) {
+  const std::string& ref = job_record.spec.ref;
   if (jobs_.count(ref) > 0 || over_ahead_of_watch_.count(ref) > 0) return;
-  add_job(std::move(head), revision);
+  add_job(std::move(job_record), revision);
   wake();
 }
 
-JobPtr Part::make_job(HeadRecord head, std::uint64_t revision) {
+JobPtr ShardLeader::make_job(JobRecord job_record, std::uint64_t revision) {
   auto job = std::make_shared<Job>();
-  job->head = std::move(head);
+  job->record = std::move(job_record);
   job->job_revision = revision;
-  job->home = id_;
+  job->home_shard = id_;
   job->idle_since = ctx_.env->now();
   const JobSpec& spec = job->spec();
   job->team = std::max(0, ctx_.settings->team_index(spec.team));
@@ -270,8 +270,8 @@
   return job;
 }
 
-void Part::add_job(HeadRecord head, std::uint64_t revision) {
-  const JobPtr job = make_job(std::move(head), revision);
+void ShardLeader::add_job(JobRecord job_record, std::uint64_t revision) {
+  const JobPtr job = make_job(std::move(job_record), revision);
   const JobSpec& spec = job->spec();
   job->waiting.insert(0, spec.task_count);
   if (const auto found = unaccounted_.find(spec.ref); found != unaccounted_.end())
@@ -281,27 +281,27 @@
   jobs_.emplace(spec.ref, job);
 }
 
-// The job or the borrowed block that a task on one of our machines belongs to.
-JobPtr Part::find_task(const std::string& ref, int index) const {
+// The job or the delegation that a task on one of our machines belongs to.
+JobPtr ShardLeader::find_task(const std::string& ref, int index) const {
   const auto home = jobs_.find(ref);
   if (home != jobs_.end()) return home->second;
-  const std::string prefix = keys::blocks(id_, ref);
+  const std::string prefix = keys::delegations(id_, ref);
   for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it) {
     if (it->second->range.contains(index)) return it->second;
   }
   return nullptr;
 }
 
-void Part::forget(const std::string& name) {
+void ShardLeader::forget(const std::string& name) {
   const auto it = jobs_.find(name);
   if (it == jobs_.end()) return;
   const Job& job = *it->second;
-  const std::uint64_t known_at = job.borrowed() ? job.delegation_revision : job.job_revision;
+  const std::uint64_t known_at = job.delegated_here() ? job.delegation_revision : job.job_revision;
   if (known_at > watched_) over_ahead_of_watch_[name] = known_at;
   jobs_.erase(it);
 }
 
-void Part::watched_up_to(std::uint64_t revision) {
+void ShardLeader::watched_up_to(std::uint64_t revision) {
   watched_ = std::max(watched_, revision);
   std::erase_if(over_ahead_of_watch_, [this](const auto& item) { return item.second <= watched_; });
 }
