--- a/src/coordination/part_fill.cpp
+++ b/src/coordination/shard/placement.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <limits>
 
-#include "coordination/part.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 namespace mothslip {
 
@@ -18,7 +18,7 @@
 
 // The machine will be taken away: what can save does so now and goes on elsewhere.
 bool saves_before_it_is_killed(const Machine& machine, const Placement& placement) {
-  const bool goes = machine.evicted_at || (machine.draining && machine.sick);
+  const bool goes = machine.evicted_at || (machine.draining && machine.faulty);
   // (A gang is stopped as a whole.)
   return goes && placement.phase == TaskPhase::kRunning && placement.job->spec().can_checkpoint() &&
          !placement.job->is_gang();
@@ -26,8 +26,8 @@
 }  // namespace
 
 // Cores of the smallest allowed type that can hold such a task; without one, of none.
-double Part::least_cores(const std::optional<std::vector<std::string>>& machine_types,
-                         const Resources& demand) const {
+double ShardLeader::least_cores(const std::optional<std::vector<std::string>>& machine_types,
+                                const Resources& demand) const {
   double least = std::numeric_limits<double>::infinity();
   for (const MachineType& type : ctx_.types->all()) {
     if (machine_types &&
@@ -39,43 +39,44 @@
 }
 
 // No smaller type would do.
-bool Part::needs_type(double least, int type) const { return least >= ctx_.types->at(type).cores; }
+bool ShardLeader::needs_type(double least, int type) const { return least >= ctx_.types->at(type).cores; }
 
 // Its tasks could as well go to a smaller machine.
-bool Part::small_on(const Job& job, int type) const {
+bool ShardLeader::small_on(const Job& job, int type) const {
   return flexible(job) && !needs_type(job.least_cores, type);
 }
 
 // Could go to any machine that is large enough.
-bool Part::flexible(const Job& job) {
+bool ShardLeader::flexible(const Job& job) {
   const JobSpec& spec = job.spec();
   return spec.allows_spot && !spec.zone && !spec.machine_types && !spec.together && !spec.scatter;
 }
 
 // What the job itself allows: kind, zone and type of machine.
-bool Part::may_go(const JobSpec& spec, const std::string& machine_type, const std::string& zone, bool spot) {
+bool ShardLeader::may_go(const JobSpec& spec, const std::string& machine_type, const std::string& zone,
+                         bool spot) {
   if (spot && !spec.allows_spot) return false;
   if (spec.zone && *spec.zone != zone) return false;
   return !spec.machine_types || std::find(spec.machine_types->begin(), spec.machine_types->end(),
                                           machine_type) != spec.machine_types->end();
 }
 
-// A job that fails on a machine is tried elsewhere first, at other parts if need be: where the machine is at
+// A job that fails on a machine is tried elsewhere first, at other shards if need be: where the machine is at
 // fault and the only one here, the job failed there for ever. One that fails on several is at fault itself.
-bool Part::avoids(const Job& job, const Machine& machine) const {
+bool ShardLeader::avoids(const Job& job, const Machine& machine) const {
   const auto it = job.failing.find(machine.name);
   if (it == job.failing.end() || ctx_.env->now() - it->second.last >= kAvoid) return false;
   return job.at_fault() || (job.failing.size() < Job::kSeveral && it->second.errors >= 2);
 }
 
 // Whether the rules let one more task of the job onto the machine now, room apart.
-bool Part::allowed_on(const Job& job, const Machine& machine) const {
+bool ShardLeader::allowed_on(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
   if (!may_go(spec, machine.record.machine_type, machine.record.zone, machine.record.spot)) return false;
   if (avoids(job, machine)) return false;
   const auto in_zone = job.placed_by_zone.find(machine.zone);
   const int here = in_zone == job.placed_by_zone.end() ? 0 : in_zone->second;
-  if (job.bound() && job.lent_open() > 0) return false;  // another part holds what is placed of it
+  if (job.bound() && job.delegated_open() > 0) return false;  // another shard holds what is placed of it
   if (spec.together && job.placed > here) return false;
   return !spec.scatter || here + 1 <= (spec.task_count + 1) / 2;
 }
@@ -84,7 +85,7 @@
 // tasks suffer the same). A machine takes no small tasks that could go elsewhere while a large one waits that
 // no smaller type can hold and that is at least as urgent, or while smaller machines have room for all of
 // them.
-bool Part::keeps_for_large(const Machine& machine) const {
+bool ShardLeader::keeps_for_large(const Machine& machine) const {
   const double cores = ctx_.types->at(machine.type).cores;
   int small_tasks = 0;
   Resources small_demand{};
@@ -98,7 +99,7 @@
     if (needs_type(job->least_cores, machine.type)) {
       if (!fits(job->demand, machine.capacity) || !allowed_on(*job, machine)) continue;
       const bool hungry = starving(*job);
-      if (!hungry && !has_allowance(*job)) continue;
+      if (!hungry && !within_quota(*job)) continue;
       large = true;
       large_starves |= hungry;
       large_urgency = std::max(large_urgency, urgency);
@@ -120,7 +121,8 @@
   const double now = ctx_.env->now();
   int slots = 0;
   for (const auto& [name, other] : machines_) {
-    if (other->type < 0 || !other->welcome() || other->cordoned || ctx_.types->at(other->type).cores >= cores)
+    if (other->type < 0 || !other->schedulable() || other->cordoned ||
+        ctx_.types->at(other->type).cores >= cores)
       continue;
     if (now - other->last_heard > fresh_s() || now < other->no_fill_until) continue;
     double most = 1e6;
@@ -132,41 +134,42 @@
   return slots >= small_tasks;
 }
 
-// Nothing of the job has begun for long. Room on a machine that can hold its tasks, and its team's allowance,
-// are then saved up for it: small tasks that take every bit as it comes free would keep it waiting for ever.
-bool Part::starving(const Job& job) const {
-  if (job.placed > 0 || !job.done.empty() || job.waiting.empty() || job.lent_open() > 0) return false;
+// Nothing of the job has begun for long. Room on a machine that can hold its tasks, and its team's quota
+// share, are then saved up for it: small tasks that take every bit as it comes free would keep it waiting for
+// ever.
+bool ShardLeader::starving(const Job& job) const {
+  if (job.placed > 0 || !job.done.empty() || job.waiting.empty() || job.delegated_open() > 0) return false;
   if (job.at_fault()) return false;  // it has begun, and failed
-  return ctx_.env->wall() - job.head.submitted > (job.is_gang() ? kGangStarving : kStarving);
+  return ctx_.env->wall() - job.record.submitted > (job.is_gang() ? kGangStarving : kStarving);
 }
 
-// Teams whose allowance is saved up, and for which job: the one that has waited longest of those that one of
-// our machines can hold.
-std::map<int, const Job*> Part::saving() const {
+// Teams whose quota share is saved up, and for which job: the one that has waited longest of those that one
+// of our machines can hold.
+std::map<int, const Job*> ShardLeader::saving() const {
   std::map<int, const Job*> out;
   for (const auto& [name, job] : jobs_) {
-    if (job->over() || !starving(*job) || has_allowance(*job)) continue;
+    if (job->over() || !starving(*job) || within_quota(*job)) continue;
     const bool here = std::any_of(machines_.begin(), machines_.end(), [this, &job = job](const auto& item) {
-      return item.second->welcome() && fits(job->demand, item.second->capacity) &&
+      return item.second->schedulable() && fits(job->demand, item.second->capacity) &&
              allowed_on(*job, *item.second);
     });
     if (!here) continue;
     const Job*& first = out[job->team];
-    if (first == nullptr || job->head.submitted < first->head.submitted) first = job.get();
+    if (first == nullptr || job->record.submitted < first->record.submitted) first = job.get();
   }
   return out;
 }
 
 // What has waited long comes first in the end, however the rest compares: no class, team or size is starved.
-double Part::age_bonus(const Job& job, double wall) {
-  return std::clamp((wall - job.head.submitted - kAgeFrom) / kAgeWeight, 0.0, 4.0);
+double ShardLeader::age_bonus(const Job& job, double wall) {
+  return std::clamp((wall - job.record.submitted - kAgeFrom) / kAgeWeight, 0.0, 4.0);
 }
 
-void Part::fill(Machine& machine) {
+void ShardLeader::fill(Machine& machine) {
   const double now = ctx_.env->now();
-  if (machine.type < 0 || !machine.welcome() || now < machine.no_fill_until) return;
+  if (machine.type < 0 || !machine.schedulable() || now < machine.no_fill_until) return;
   // A machine that has not shown our token may be a late copy of a report, of a machine that is no more.
-  if (!machine.acked) return;
+  if (!machine.token_acknowledged) return;
   if (state_silent() || !ctx_.exclusive_owner()) return;
   if (!fits({0.01, 0, 0}, machine.room)) return;
   const bool keep_for_large = keeps_for_large(machine);
@@ -185,7 +188,7 @@
     if (job->at_fault() && (job->placed > 0 || now < job->next_trial_at)) continue;
     if (!allowed_on(*job, machine)) continue;
     const auto saved = saved_for.find(job->team);
-    if (!has_allowance(*job)) {
+    if (!within_quota(*job)) {
       if (saved == saved_for.end() || saved->second == job.get()) note_short(*job);
       continue;
     }
@@ -200,7 +203,7 @@
     request.local = machine.has_image(job->image);
     const double fetch = request.local ? 0 : fetch_seconds(spec, type);
     if (spec.deadline_s) {
-      request.pressure = deadline_pressure(job->head.submitted + *spec.deadline_s - wall,
+      request.pressure = deadline_pressure(job->record.submitted + *spec.deadline_s - wall,
                                            1.3 * std::max(1.0, spec.estimated_s) + fetch);
     }
     Candidates& candidates = yields ? best_effort : first;
@@ -212,7 +215,7 @@
 }
 
 // Takes one task of the job with the highest preference, and scores again, until nothing fits.
-void Part::place_greedily(Machine& machine, Candidates& candidates) {
+void ShardLeader::place_greedily(Machine& machine, Candidates& candidates) {
   auto& [requests, jobs] = candidates;
   const double wall = ctx_.env->wall();
   while (!requests.empty()) {
@@ -220,7 +223,7 @@
       const Job& job = *jobs[i];
       const JobSpec& spec = job.spec();
       const bool out = job.waiting.empty() || !fits(job.demand, machine.room) || !allowed_on(job, machine) ||
-                       !has_allowance(job) || (job.at_fault() && job.placed > 0);
+                       !within_quota(job) || (job.at_fault() && job.placed > 0);
       if (out) {
         requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(i));
         jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(i));
@@ -239,7 +242,7 @@
     if (best < 0) break;
     const JobPtr job = jobs[static_cast<std::size_t>(best)];
     if (!job->is_gang()) {
-      // Unique and rising: the baton is new for every owner, the counter within it.
+      // Unique and rising: the fencing token is new for every owner, the counter within it.
       place_task(machine, job, next_attempt());
     } else if (!place_gang(job)) {
       requests.erase(requests.begin() + best);
@@ -250,13 +253,13 @@
 
 // Larger than those of every owner before. Where lost state is watched for it begins with the newest revision
 // that we know: a worker that shows it later is a witness that the state service has known that revision.
-std::uint64_t Part::next_attempt() {
+std::uint64_t ShardLeader::next_attempt() {
   const std::uint64_t revision =
       ctx_.settings->tuning.recovery ? std::max(fencing_token_, watched_) : fencing_token_;
   return (revision << kAttemptShift) + ++attempt_counter_;
 }
 
-void Part::place_task(Machine& machine, const JobPtr& job, std::uint64_t attempt) {
+void ShardLeader::place_task(Machine& machine, const JobPtr& job, std::uint64_t attempt) {
   const double now = ctx_.env->now();
   Placement placement;
   placement.job = job;
@@ -275,31 +278,31 @@
   } else {
     machine.wanted_at = now;
   }
-  fresh_ = true;
+  has_new_placements_ = true;
   machine.busy_at = now;
 }
 
-std::vector<Order> Part::orders_for(Machine& machine) {
+std::vector<Order> ShardLeader::orders_for(Machine& machine) {
   std::vector<Order> orders;
   // A cancellation can have been promised by another owner since our lease ran out. And a report that does
-  // not show our token may be a late copy from before we owned the part: orders would be wasted on it.
-  const bool may_launch = ctx_.exclusive_owner() && machine.acked;
+  // not show our token may be a late copy from before we owned the shard: orders would be wasted on it.
+  const bool may_launch = ctx_.exclusive_owner() && machine.token_acknowledged;
   bool again = false;
   for (Placement& placement : machine.placements) {
     if (placement.stage != Placement::Stage::kRecorded) continue;
     const Job& job = *placement.job;
     const std::string task = task_name(job.spec().ref, placement.index);
-    const bool unwanted = job.called_off() || job.done.contains(placement.index) || attempt_over(job);
+    const bool unwanted = job.cancel_requested() || job.done.contains(placement.index) || attempt_over(job);
     if (placement.seen_sequence == machine.sequence && machine.sequence != 0) {
       auto grace = stop_wanted(placement);
       if (!grace && !placement.preempted && saves_before_it_is_killed(machine, placement))
         grace = stop_grace_s(job.spec());
       if (grace) orders.push_back({Order::Verb::kStop, task, placement.attempt, *grace});
-    } else if (!unwanted && !placement.preempted && may_launch && machine.welcome() &&
+    } else if (!unwanted && !placement.preempted && may_launch && machine.schedulable() &&
                gang_may_be_launched(job)) {
       if (placement.sent_sequence != 0) {
         counters_.relaunches++;
-        if (!again) machine.unheard++;
+        if (!again) machine.ineffective_launches++;
         again = true;
       }
       placement.sent_sequence = machine.sequence;
@@ -307,26 +310,27 @@
       orders.push_back({Order::Verb::kLaunch, task, placement.attempt, 0});
     }
   }
-  for (const TaskReport& stray : machine.strays) {
-    const std::string task = task_name(stray.ref, stray.index);
-    const JobPtr job = find_task(stray.ref, stray.index);
-    if (stray.phase == TaskPhase::kExited) {
+  for (const TaskReport& unmatched_task : machine.unmatched) {
+    const std::string task = task_name(unmatched_task.ref, unmatched_task.index);
+    const JobPtr job = find_task(unmatched_task.ref, unmatched_task.index);
+    if (unmatched_task.phase == TaskPhase::kExited) {
       const bool held = std::any_of(
-          machine.placements.begin(), machine.placements.end(),
-          [&stray](const Placement& p) { return p.attempt == stray.attempt && p.index == stray.index; });
-      const bool lost_if_acknowledged = stray.cause == ExitCause::kDone && job != nullptr &&
-                                        !job->head.aborted && !job->durable(stray.index);
+          machine.placements.begin(), machine.placements.end(), [&unmatched_task](const Placement& p) {
+            return p.attempt == unmatched_task.attempt && p.index == unmatched_task.index;
+          });
+      const bool lost_if_acknowledged = unmatched_task.cause == ExitCause::kDone && job != nullptr &&
+                                        !job->record.aborted && !job->durable(unmatched_task.index);
       if (!held && !lost_if_acknowledged) {
-        orders.push_back({Order::Verb::kAcknowledgeExit, task, stray.attempt, 0});
+        orders.push_back({Order::Verb::kAcknowledgeExit, task, unmatched_task.attempt, 0});
       }
     } else {
-      orders.push_back({Order::Verb::kStop, task, stray.attempt, 0});
+      orders.push_back({Order::Verb::kStop, task, unmatched_task.attempt, 0});
     }
   }
   return orders;
 }
 
-void Part::answer(Machine& machine) {
+void ShardLeader::answer(Machine& machine) {
   if (machine.answer.answered()) return;
   machine.held = false;
   if (!ctx_.may_renew()) {
--- a/src/coordination/part_preempt.cpp
+++ b/src/coordination/shard/preemption.cpp
@@ -1,11 +1,12 @@
 // Best-effort work gives way: it is started only where nothing else wants the room, and stopped for other
 // work that waits under its team's limit.
+#include "scheduling/preemption.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 
-#include "coordination/part.hpp"
-#include "scheduling/preemption.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 namespace mothslip {
 
@@ -16,7 +17,7 @@
 // is placed: nothing waits for ever, however busy the cluster is.
 constexpr double kOverlooked = 30.0;
 constexpr double kPromoteAfter = 120.0;
-// Room is kept from it for other parts' work no longer than this: it may be of no use to that work.
+// Room is kept from it for other shards' work no longer than this: it may be of no use to that work.
 constexpr double kHoldBack = 20.0;
 // Best-effort work starts on a machine that no other work has wanted or been given for this long. Started in
 // every gap of a busy cluster, it was stopped again within seconds, and again, until it might not be any
@@ -43,25 +44,25 @@
 }
 }  // namespace
 
-bool Part::gives_way(const Job& job) const {
+bool ShardLeader::gives_way(const Job& job) const {
   if (job.spec().urgency != Urgency::kBestEffort) return false;
-  const bool begun = job.placed > 0 || !job.done.empty() || job.lent_open() > 0;
-  return begun || ctx_.env->wall() - job.head.submitted < kPromoteAfter;
+  const bool begun = job.placed > 0 || !job.done.empty() || job.delegated_open() > 0;
+  return begun || ctx_.env->wall() - job.record.submitted < kPromoteAfter;
 }
 
 // Of best-effort work nothing was placed for so long that any room will do: other work may be waiting for
 // something that this room is not. (The check of the simulated cluster's days: no job waits for 90 s beside a
 // machine with room.)
-bool Part::overlooked(const Job& job) const { return ctx_.env->now() - job.idle_since > kOverlooked; }
+bool ShardLeader::overlooked(const Job& job) const { return ctx_.env->now() - job.idle_since > kOverlooked; }
 
 // Waits for nothing but room: under its team's limit, and not at fault.
-bool Part::wants_room(const Job& job) const {
+bool ShardLeader::wants_room(const Job& job) const {
   return !job.waiting.empty() && !job.over() && !job.cancelling && job.cancel_waiters.empty() &&
-         !job.at_fault() && has_allowance(job);
+         !job.at_fault() && within_quota(job);
 }
 
-// Work that goes first waits for room on such a machine: here, or at another part.
-bool Part::wanted_by_others(Machine& machine) const {
+// Work that goes first waits for room on such a machine: here, or at another shard.
+bool ShardLeader::wanted_by_others(Machine& machine) const {
   for (const auto& [name, job] : jobs_) {
     if (wants_room(*job) && !gives_way(*job) && fits(job->demand, machine.capacity) &&
         allowed_on(*job, machine)) {
@@ -80,14 +81,14 @@
   return now - machine.held_back_since < kHoldBack;
 }
 
-bool Part::quiet(Machine& machine) const {
+bool ShardLeader::quiet(Machine& machine) const {
   const double now = ctx_.env->now();
   if (wanted_by_others(machine)) machine.wanted_at = now;
   return now - machine.wanted_at >= kQuiet;
 }
 
 // Whether best-effort work may start on the machine at all. (What has waited for long beside room may.)
-bool Part::open_to_best_effort(const Job& job, const Machine& machine, bool is_quiet) const {
+bool ShardLeader::open_to_best_effort(const Job& job, const Machine& machine, bool is_quiet) const {
   if (overlooked(job)) return true;
   const bool wanted_now = machine.wanted_at == ctx_.env->now();
   const bool short_task = job.spec().estimated_s <= kShortTask;
@@ -97,12 +98,12 @@
   if (!breaks_up(job, machine)) return true;
   const bool broken_up = std::any_of(machine.placements.begin(), machine.placements.end(),
                                      [&machine](const Placement& p) { return breaks_up(*p.job, machine); });
-  return broken_up || ctx_.env->wall() - job.head.submitted > kPackingPatience;
+  return broken_up || ctx_.env->wall() - job.record.submitted > kPackingPatience;
 }
 
 // What a machine has free, will have once the tasks that are being stopped are gone, and would have without
 // any best-effort work.
-Part::Yieldable Part::yieldable(Machine& machine) const {
+ShardLeader::Yieldable ShardLeader::yieldable(Machine& machine) const {
   Yieldable out;
   out.machine = &machine;
   out.room = machine.room;
@@ -130,7 +131,8 @@
   return out;
 }
 
-void Part::preempt_for(const Job& job, int count, std::vector<Yieldable>& machines, std::size_t& stops_left) {
+void ShardLeader::preempt_for(const Job& job, int count, std::vector<Yieldable>& machines,
+                              std::size_t& stops_left) {
   const auto take_room_of = [&job](Resources& room) {
     for (std::size_t r = 0; r < room.size(); r++) room[r] -= job.demand[r];
   };
@@ -163,7 +165,7 @@
 }
 
 // Without any, all of this costs nothing.
-void Part::look_for_best_effort() {
+void ShardLeader::look_for_best_effort() {
   best_effort_here_ = std::any_of(jobs_.begin(), jobs_.end(), [](const auto& item) {
     return item.second->spec().urgency == Urgency::kBestEffort;
   });
@@ -171,11 +173,11 @@
 }
 
 // What other work will want next is best found free: a task that must be stopped first saves for seconds.
-void Part::measure_headroom() {
+void ShardLeader::measure_headroom() {
   double free = 0;
   double all = 0;
   for (const auto& [name, machine] : machines_) {
-    if (machine->type < 0 || !machine->welcome() || !machine->heard) continue;
+    if (machine->type < 0 || !machine->schedulable() || !machine->heard) continue;
     free += std::max(0.0, machine->room[0]);
     all += machine->capacity[0];
   }
@@ -183,7 +185,7 @@
 }
 
 // Best-effort tasks leave the machines that are kept for a gang, unless it is one of theirs.
-void Part::clear_reserved(std::size_t& stops_left) {
+void ShardLeader::clear_reserved(std::size_t& stops_left) {
   for (auto& [name, machine] : machines_) {
     if (!machine->reserved_for || gives_way(*machine->reserved_for)) continue;
     const Yieldable room = yieldable(*machine);
@@ -201,13 +203,13 @@
 }
 
 // Stops best-effort tasks for other work that has waited for room for a moment.
-void Part::preempt() {
+void ShardLeader::preempt() {
   if (!best_effort_here_ || state_silent() || !ctx_.exclusive_owner()) return;
   const double wall = ctx_.env->wall();
   std::vector<const Job*> waiting;
   for (const auto& [name, job] : jobs_) {
     // (Room for a gang is made where it is reserved.)
-    if (wants_room(*job) && !gives_way(*job) && !job->is_gang() && wall - job->head.submitted > kPatience)
+    if (wants_room(*job) && !gives_way(*job) && !job->is_gang() && wall - job->record.submitted > kPatience)
       waiting.push_back(job.get());
   }
   std::size_t stops_left = kStopsPerTick;
@@ -217,7 +219,7 @@
   std::vector<Yieldable> machines;
   bool any = false;
   for (auto& [name, machine] : machines_) {
-    if (machine->type < 0 || !machine->welcome() || !machine->acked) continue;
+    if (machine->type < 0 || !machine->schedulable() || !machine->token_acknowledged) continue;
     if (now - machine->last_heard > fresh_s()) continue;
     machines.push_back(yieldable(*machine));
     any = any || !machines.back().candidates.empty();
--- a/src/coordination/part_progress.cpp
+++ b/src/coordination/shard/progress.cpp
@@ -1,5 +1,5 @@
-// Completions of jobs that are not over: folded from the journal's pages into records of their own when they
-// have grown long there, together with the blocks that others have completed.
+// Completions of jobs that are not over: folded from the journal's segments into records of their own when
+// they have grown long there, together with the delegations that others have completed.
 //
 // Record d/P/REF holds them as one text of ranges. Where that would be larger than the state service takes,
 // those of some hundreds of tasks each go to further records d/P/REF~N. What any of the records says is done
@@ -8,31 +8,32 @@
 
 #include <algorithm>
 
-#include "coordination/part.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMergeBlocks = 3;  // completed blocks worth a transaction of their own
-constexpr double kProgressFill = 0.85;   // of the value size
+constexpr std::size_t kMergeDelegations = 3;  // completed delegations worth a transaction of their own
+constexpr double kProgressFill = 0.85;        // of the value size
 // Tasks that a further record covers: however scattered, their text takes less than 1 KiB.
-constexpr int kTasksPerPart = 512;
+constexpr int kTasksPerChunk = 512;
 }  // namespace
 
 // What of the job's completions the main record has to hold.
-RangeSet Part::main_progress(const Job& job) {
+RangeSet ShardLeader::main_progress(const Job& job) {
   RangeSet out = job.done;
-  for (const auto& [number, part] : job.progress_parts) out.erase(part.done);
+  for (const auto& [number, chunk] : job.progress_chunks) out.erase(chunk.done);
   return out;
 }
 
 // The hundreds of tasks whose completions take most of the main record.
-int Part::longest_part(const Job& job, const RangeSet& main) {
+int ShardLeader::longest_chunk(const Job& job, const RangeSet& main) {
   int longest = 0;
   std::size_t most = 0;
-  const int count = (job.spec().task_count + kTasksPerPart - 1) / kTasksPerPart;
+  const int count = (job.spec().task_count + kTasksPerChunk - 1) / kTasksPerChunk;
   for (int number = 0; number < count; number++) {
-    const std::size_t ranges = main.slice(number * kTasksPerPart, (number + 1) * kTasksPerPart).range_count();
+    const std::size_t ranges =
+        main.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk).range_count();
     if (ranges <= most) continue;
     most = ranges;
     longest = number;
@@ -41,10 +42,10 @@
 }
 
 // Puts what is done of the job into its records, or a first part of it.
-Part::ProgressWrite Part::add_progress(Transaction& txn, Job& job) const {
+ShardLeader::ProgressWrite ShardLeader::add_progress(Transaction& txn, Job& job) const {
   const std::string& ref = job.spec().ref;
-  // (The head, too: it ends with the job, so that no late copy of this leaves a record behind.)
-  txn.guard(keys::head(id_, ref), job.job_revision);
+  // (The job record, too: it ends with the job, so that no late copy of this leaves a record behind.)
+  txn.guard(keys::job_record(id_, ref), job.job_revision);
   const RangeSet main = main_progress(job);
   job.fold_due = false;
   if (static_cast<double>(main.text_bytes()) <= kProgressFill * value_bytes_) {
@@ -52,43 +53,44 @@
     txn.put(keys::progress(id_, ref), {{"done", main.to_text()}});
     return {ProgressWrite::kMain, job.done};
   }
-  const int number = longest_part(job, main);
-  RangeSet slice = job.done.slice(number * kTasksPerPart, (number + 1) * kTasksPerPart);
-  const auto known = job.progress_parts.find(number);
-  txn.guard(keys::progress_part(id_, ref, number),
-            known == job.progress_parts.end() ? 0 : known->second.revision);
-  txn.put(keys::progress_part(id_, ref, number), {{"done", slice.to_text()}});
+  const int number = longest_chunk(job, main);
+  RangeSet slice = job.done.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk);
+  const auto known = job.progress_chunks.find(number);
+  txn.guard(keys::progress_chunk(id_, ref, number),
+            known == job.progress_chunks.end() ? 0 : known->second.revision);
+  txn.put(keys::progress_chunk(id_, ref, number), {{"done", slice.to_text()}});
   job.fold_due = true;  // the rest follows
   return {number, std::move(slice)};
 }
 
-bool Part::commit_progress() {
+bool ShardLeader::commit_progress() {
   Transaction txn = guarded();
   struct Item {
     JobPtr job;
     ProgressWrite write;
-    std::vector<std::string> merged;  // blocks
+    std::vector<std::string> merged;  // delegations
   };
   std::vector<Item> items;
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (auto& [ref, job] : jobs_) {
-    if (job->borrowed() || job->finishing || job->cancelling || job->progress_inflight || job->head.aborted)
+    if (job->delegated_here() || job->finishing || job->cancelling || job->progress_inflight ||
+        job->record.aborted)
       continue;
     std::size_t complete = 0;
-    for (const auto& [key, lent] : job->lent) complete += lent.complete() ? 1 : 0;
-    // A completed job comes here only when it has too many blocks to end in one go.
+    for (const auto& [key, delegated] : job->delegated) complete += delegated.complete() ? 1 : 0;
+    // A completed job comes here only when it has too many delegations to end in one go.
     const bool too_many = job->complete() && changes_to_end(*job) > most;
     const bool due = job->fold_due && !job->complete();
-    if (!due && !too_many && (job->complete() || complete < kMergeBlocks)) continue;
+    if (!due && !too_many && (job->complete() || complete < kMergeDelegations)) continue;
     if (txn.then.size() + 1 + (complete > 0 ? 1 : 0) > most) break;
     Item item;
     item.job = job;
     item.write = add_progress(txn, *job);
-    for (const auto& [key, lent] : job->lent) {
-      RangeSet missing = lent.done;
+    for (const auto& [key, delegated] : job->delegated) {
+      RangeSet missing = delegated.done;
       missing.erase(item.write.done);
-      if (!lent.complete() || !missing.empty() || txn.then.size() + 1 > most) continue;
-      txn.guard(key, lent.revision);
+      if (!delegated.complete() || !missing.empty() || txn.then.size() + 1 > most) continue;
+      txn.guard(key, delegated.revision);
       txn.remove(key);
       item.merged.push_back(key);
     }
@@ -100,11 +102,11 @@
     for (const Item& item : items) {
       Job& job = *item.job;
       job.progress_inflight = false;
-      for (const std::string& key : item.merged) job.lent.erase(key);
-      if (item.write.part == ProgressWrite::kMain) {
+      for (const std::string& key : item.merged) job.delegated.erase(key);
+      if (item.write.chunk == ProgressWrite::kMain) {
         job.progress_revision = revision;
       } else {
-        job.progress_parts[item.write.part] = {revision, item.write.done};
+        job.progress_chunks[item.write.chunk] = {revision, item.write.done};
       }
       folded(item.job, job.spec().ref, item.write.done);
     }
@@ -118,29 +120,29 @@
     }
     return true;
   };
-  send_commit(Lane::kDone, kDoneSlot, txn, done, conflict);
+  send_commit(RequestPriority::kDone, kDoneSlot, txn, done, conflict);
   return true;
 }
 
 // The job's own record holds these now.
-void Part::folded(const JobPtr& job, const std::string& name, const RangeSet& done) {
+void ShardLeader::folded(const JobPtr& job, const std::string& name, const RangeSet& done) {
   job->saved(done);
-  for (auto& [number, page] : pages_) {
-    const auto it = page.done.find(name);
-    if (it == page.done.end()) continue;
+  for (auto& [number, segment] : segments_) {
+    const auto it = segment.done.find(name);
+    if (it == segment.done.end()) continue;
     it->second.erase(done);
-    if (it->second.empty()) page.done.erase(it);
+    if (it->second.empty()) segment.done.erase(it);
   }
 }
 
 // The job is over; its further records of progress go when there is nothing better to do.
-void Part::discard_progress_parts(const Job& job) {
-  if (job.borrowed()) return;
-  for (const auto& [number, part] : job.progress_parts)
-    discarded_.push_back({keys::progress_part(id_, job.spec().ref, number), job.spec().ref, part.revision});
+void ShardLeader::discard_progress_chunks(const Job& job) {
+  if (job.delegated_here()) return;
+  for (const auto& [number, chunk] : job.progress_chunks)
+    discarded_.push_back({keys::progress_chunk(id_, job.spec().ref, number), job.spec().ref, chunk.revision});
 }
 
-bool Part::commit_discarded() {
+bool ShardLeader::commit_discarded() {
   if (discarded_.empty()) return false;
   Transaction txn = guarded();
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
@@ -148,12 +150,12 @@
     const DiscardedRecord record = std::move(discarded_.front());
     discarded_.pop_front();
     txn.guard(record.key, record.revision);
-    txn.guard(keys::head(id_, record.ref), 0);
+    txn.guard(keys::job_record(id_, record.ref), 0);
     txn.remove(record.key);
   }
   // (They are of no use to anyone: where something is not as it was expected they are left alone.)
   send_commit(
-      Lane::kRest, kRestSlot, txn, [](std::uint64_t) {},
+      RequestPriority::kRest, kRestSlot, txn, [](std::uint64_t) {},
       [](const std::vector<std::string>&) { return true; });
   return true;
 }
--- a/src/coordination/part.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -1,4 +1,4 @@
-#include "coordination/part.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 #include <spdlog/spdlog.h>
 
@@ -18,9 +18,10 @@
 constexpr double kSilentAfter = 1.5;
 constexpr double kLeaseMargin = 1.0;
 constexpr double kDrift = 0.002;
-constexpr int kUnheard = 3;  // launches sent in vain, one report after the other: not a lost answer
+constexpr int kMaxIneffectiveLaunches =
+    3;  // launches sent in vain, one report after the other: not a lost answer
 constexpr std::size_t kReturned = 10000;  // remembered
-constexpr std::size_t kMaxEarly = 10000;  // reports that wait while a part loads: one a machine
+constexpr std::size_t kMaxEarly = 10000;  // reports that wait while a shard loads: one a machine
 constexpr double kDirectSeconds = 3.0;
 // So long a user waits for a cancellation; the next try finds it made.
 constexpr double kCancelPatience = 2.0;
@@ -32,7 +33,7 @@
 constexpr double kRaiseEvery = 3.5;
 }  // namespace
 
-Part::Part(Context context, int id, std::uint64_t fencing_token)
+ShardLeader::ShardLeader(Context context, int id, std::uint64_t fencing_token)
     : ctx_(std::move(context)), id_(id), fencing_token_(fencing_token), teams_(ctx_.settings->teams) {
   const Tuning& tuning = ctx_.settings->tuning;
   weights_.fitness = tuning.weight_fitness;
@@ -50,28 +51,28 @@
   }
 }
 
-Part::~Part() = default;
+ShardLeader::~ShardLeader() = default;
 
 // ---------------------------------------------------------------- questions
 
 // A terminal write whose answer has not come may be durable already, and others may have read and told it. So
 // from the moment it is sent until its outcome is certain our memory does not tell whether the job is open.
-JobFinding Part::find(const std::string& ref) const {
+JobFinding ShardLeader::find(const std::string& ref) const {
   const auto it = jobs_.find(ref);
   if (it == jobs_.end()) return {JobFinding::Kind::kUnknownJob, {}};
   const Job& job = *it->second;
   if (job.confirmed) return {JobFinding::Kind::kStatus, {JobPhase::kCancelled, 0, 0}};
-  if (job.called_off()) return {JobFinding::Kind::kBeingCancelled, {}};
+  if (job.cancel_requested()) return {JobFinding::Kind::kBeingCancelled, {}};
   if (const auto held = unaccounted_.find(ref); held != unaccounted_.end() && held->second.silent())
     return {JobFinding::Kind::kUndecided, {}};
-  JobStatus status{JobPhase::kQueued, job.done.size(), job.placed + job.lent_open()};
+  JobStatus status{JobPhase::kQueued, job.done.size(), job.placed + job.delegated_open()};
   if (job.is_gang()) status.running = gang_tasks_running(job);
   // Only a durable ending is told: a completed job that is not written yet counts as running.
   if (status.running > 0 || job.complete()) status.phase = JobPhase::kRunning;
   return {job.finishing ? JobFinding::Kind::kUndecided : JobFinding::Kind::kStatus, status};
 }
 
-void Part::cancel(const std::string& ref, Responder responder) {
+void ShardLeader::cancel(const std::string& ref, Responder responder) {
   const JobPtr& job = jobs_.at(ref);
   if (job->confirmed) {
     responder.send(200, cancellation_body(ref, JobPhase::kCancelled));
@@ -87,15 +88,17 @@
   }
   // When the job is finishing, the ending decides what the user hears.
   job->cancel_waiters.push_back({std::move(responder), ctx_.env->now() + kCancelPatience});
-  pump();
-  press_cancels();
+  send_queued();
+  retry_cancellations();
 }
 
-bool Part::state_silent() const { return stuck_since_ != 0 && ctx_.env->now() - stuck_since_ > kSilentAfter; }
+bool ShardLeader::state_silent() const {
+  return stuck_since_ != 0 && ctx_.env->now() - stuck_since_ > kSilentAfter;
+}
 
 // ---------------------------------------------------------------- reports
 
-void Part::shape_machine(Machine& machine) {
+void ShardLeader::shape_machine(Machine& machine) {
   machine.type = ctx_.types->find(machine.record.machine_type);
   machine.zone = ctx_.zones->intern(machine.record.zone);
   if (machine.type >= 0) {
@@ -105,22 +108,22 @@
   machine.room = machine.capacity;
 }
 
-Machine& Part::machine_for(const Report& report) {
-  auto& slot = machines_[report.host];
+Machine& ShardLeader::machine_for(const Report& report) {
+  auto& slot = machines_[report.machine_name];
   if (!slot) {
     slot = std::make_unique<Machine>();
-    slot->name = report.host;
+    slot->name = report.machine_name;
     slot->record = {
         report.address, report.machine_type, report.zone, report.spot, report.worker_incarnation, {}, {}};
     slot->first_heard = slot->busy_at = ctx_.env->now();
     shape_machine(*slot);
-    spdlog::info("{} reports: {} in {}{}", report.host, report.machine_type, report.zone,
+    spdlog::info("{} reports: {} in {}{}", report.machine_name, report.machine_type, report.zone,
                  report.spot ? ", spot" : "");
   }
   return *slot;
 }
 
-void Part::on_report(Report report, bool relayed, Responder responder) {
+void ShardLeader::on_report(Report report, bool relayed, Responder responder) {
   if (!active_) {
     if (early_.size() < kMaxEarly) {
       early_.push_back({std::move(report), relayed, std::move(responder)});
@@ -138,7 +141,7 @@
   }
   // Late copies of reports, even of machines long returned, are evidence of nothing. Without a token the
   // answer is dropped and renews no lease, should a worker be waiting for it after all.
-  if (returned_.count(report.host) > 0) {
+  if (returned_.count(report.machine_name) > 0) {
     responder.send(200, R"({"orders":[]})");
     return;
   }
@@ -154,8 +157,8 @@
                                  [](const Placement& p) { return p.stage == Placement::Stage::kNew; });
   // An idle machine has nothing to tell: its report is answered when there is work, or a little later.
   // (Workers wait 4 s, and their lease counts from when the report was sent.)
-  const bool nothing_to_say =
-      machine.strays.empty() && machine.acked && machine.welcome() && ctx_.exclusive_owner();
+  const bool nothing_to_say = machine.unmatched.empty() && machine.token_acknowledged &&
+                              machine.schedulable() && ctx_.exclusive_owner();
   const bool idle = nothing_to_say && machine.placements.empty();
   const bool roomy =
       nothing_to_say && machine.room[0] >= 1 &&
@@ -168,12 +171,12 @@
   } else if (!waits) {
     answer(machine);
   }
-  pump();
+  send_queued();
 }
 
 // There is new work: machines whose reports are held can start it at once, those that have an image of it
 // first.
-void Part::wake() {
+void ShardLeader::wake() {
   if (waking_ || !active_) return;
   waking_ = true;
   ctx_.env->after(0, alive([this] {
@@ -196,13 +199,13 @@
                       machine->held = false;
                       machine->answer_by = ctx_.env->now() + kAnswerPatience;
                     }
-                    pump();
+                    send_queued();
                   }));
 }
 
 // Works a report into the books. `direct`: it answered /commands, so a launch in the answer to an ordinary
 // report may still be on its way, and what is missing proves nothing about launches we sent.
-bool Part::take_report(Machine& machine, const Report& report, bool direct) {
+bool ShardLeader::take_report(Machine& machine, const Report& report, bool direct) {
   const double now = ctx_.env->now();
   if (machine.heard && std::pair(report.worker_incarnation, report.sequence) <=
                            std::pair(machine.record.worker_incarnation, machine.sequence)) {
@@ -217,13 +220,13 @@
   machine.sequence = report.sequence;
   if (machine.incarnation_since == 0) machine.incarnation_since = now;
   if (machine.record.address != report.address) machine.record.address = report.address;
-  if (report.fencing_token == fencing_token_ && !machine.acked) {
-    machine.acked = true;
+  if (report.fencing_token == fencing_token_ && !machine.token_acknowledged) {
+    machine.token_acknowledged = true;
     machine.last_answer = std::max(machine.last_answer, now);
   }
   if (report.eviction_notice_s) {
     if (!machine.evicted_at) {
-      spdlog::info("{} will be taken in {} s", machine.name, *report.eviction_notice_s);
+      spdlog::info("{} will be evicted in {} s", machine.name, *report.eviction_notice_s);
       machine.evicted_at = now + *report.eviction_notice_s;
     }
   } else {
@@ -236,7 +239,7 @@
   // (The tasks of a gang share an attempt number.)
   std::map<std::pair<std::uint64_t, int>, const TaskReport*> by_attempt;
   for (const TaskReport& task : report.tasks) by_attempt.emplace(std::pair(task.attempt, task.index), &task);
-  machine.strays.clear();
+  machine.unmatched.clear();
   std::vector<const TaskReport*> exits;
   for (Placement& placement : machine.placements) {
     const auto it = by_attempt.find({placement.attempt, placement.index});
@@ -245,7 +248,7 @@
       const TaskReport& task = *it->second;
       by_attempt.erase(it);
       placement.seen_sequence = report.sequence;
-      if (placement.sent_sequence != 0) machine.unheard = 0;
+      if (placement.sent_sequence != 0) machine.ineffective_launches = 0;
       if (placement.phase == TaskPhase::kFetchingImage && task.phase != TaskPhase::kFetchingImage &&
           task.phase != TaskPhase::kExited) {
         machine.use_image(placement.job->image, placement.job->spec().image_gb,
@@ -258,10 +261,10 @@
       placement.phase = task.phase;
       if (task.phase == TaskPhase::kExited) {
         if (placement.stage == Placement::Stage::kFreeing) {
-          machine.strays.push_back(task);
+          machine.unmatched.push_back(task);
         } else {
           exits.push_back(&task);
-          machine.strays.push_back(task);
+          machine.unmatched.push_back(task);
         }
       }
     } else if (placement.stage == Placement::Stage::kRecorded && report.fencing_token == fencing_token_) {
@@ -269,13 +272,13 @@
       const bool settled = direct ? placement.inherited && placement.sent_sequence == 0
                                   : placement.sent_sequence < report.sequence;
       if (settled && (placement.job->over() || placement.job->cancelling || placement.preempted ||
-                      attempt_over(*placement.job) || !machine.welcome() ||
+                      attempt_over(*placement.job) || !machine.schedulable() ||
                       placement.job->done.contains(placement.index))) {
         free_placement(placement, 0);
       }
     }
   }
-  for (const auto& [attempt, task] : by_attempt) machine.strays.push_back(*task);
+  for (const auto& [attempt, task] : by_attempt) machine.unmatched.push_back(*task);
   for (const TaskReport* task : exits) {
     for (Placement& placement : machine.placements) {
       if (placement.job == nullptr || placement.attempt != task->attempt || placement.index != task->index)
@@ -285,7 +288,7 @@
     }
   }
   std::erase_if(machine.placements, [](const Placement& p) { return p.job == nullptr; });
-  if (!direct && report.fencing_token == fencing_token_) judge_hearing(machine);
+  if (!direct && report.fencing_token == fencing_token_) evaluate_reachability(machine);
   if (report.fencing_token == fencing_token_) {
     for (const auto& [attempt, task] : by_attempt) {
       // Completed under a record that is gone, or taken over before it was noted: the work is done all the
@@ -300,8 +303,8 @@
   return true;
 }
 
-// (b) the session that the placements belonged to is over: all are gone, launched or not.
-void Part::begin_incarnation(Machine& machine, std::uint64_t worker_incarnation) {
+// (b) the incarnation that the placements belonged to is over: all are gone, launched or not.
+void ShardLeader::begin_incarnation(Machine& machine, std::uint64_t worker_incarnation) {
   const double now = ctx_.env->now();
   std::size_t freed = 0;
   for (Placement& placement : machine.placements) {
@@ -310,7 +313,7 @@
     freed++;
   }
   if (freed > 0)
-    spdlog::info("{} is in session {}: {} placements freed", machine.name, worker_incarnation, freed);
+    spdlog::info("{} is in incarnation {}: {} placements freed", machine.name, worker_incarnation, freed);
   counters_.freed_by_incarnation += freed;
   // Its lease ran out although we had answered it. Once, that is a cut or a hang; while its reports came all
   // the time, or once more, the answers do not arrive. (A worker without answers goes from node to node: we
@@ -320,28 +323,28 @@
   const bool lasted = now - machine.incarnation_since > ctx_.settings->lease_s / 2;
   const bool all_along = now - machine.steady_since > 0.8 * ctx_.settings->lease_s;
   machine.expired_incarnations = answered && lasted ? machine.expired_incarnations + 1 : 0;
-  if ((answered && lasted && machine.acked && all_along) || machine.expired_incarnations >= 2) {
-    if (!machine.deaf) {
-      machine.deaf_since = now;
-      spdlog::info("{} does not hear us: its leases run out while it reports", machine.name);
+  if ((answered && lasted && machine.token_acknowledged && all_along) || machine.expired_incarnations >= 2) {
+    if (!machine.inbound_unreachable) {
+      machine.inbound_unreachable_since = now;
+      spdlog::info("{} is unreachable (inbound): its leases expire while it reports", machine.name);
     }
-    machine.deaf = true;
+    machine.inbound_unreachable = true;
   }
   machine.record.worker_incarnation = worker_incarnation;
   machine.last_answer = std::max(machine.last_answer, now);  // its lease counts from its beginning
   machine.incarnation_since = now;
-  machine.unheard = 0;
+  machine.ineffective_launches = 0;
   machine.images.clear();
 }
 
-// A worker starts a new session when no answer reached it for its lease; a session older than that has heard
-// one.
-void Part::judge_hearing(Machine& machine) {
+// A worker starts a new incarnation when no answer reached it for its lease; an incarnation older than that
+// has heard one.
+void ShardLeader::evaluate_reachability(Machine& machine) {
   const double now = ctx_.env->now();
-  if (!machine.deaf && machine.unheard >= kUnheard) {
-    machine.deaf = true;
-    machine.deaf_since = machine.incarnation_since = now;
-    machine.unheard = 0;
+  if (!machine.inbound_unreachable && machine.ineffective_launches >= kMaxIneffectiveLaunches) {
+    machine.inbound_unreachable = true;
+    machine.inbound_unreachable_since = machine.incarnation_since = now;
+    machine.ineffective_launches = 0;
     // What it was sent in vain has not begun, and no answer to an older report can begin it any more (a).
     for (Placement& placement : machine.placements) {
       const bool missing =
@@ -349,19 +352,20 @@
       if (placement.stage == Placement::Stage::kRecorded && missing && placement.sent_sequence != 0)
         free_placement(placement, 0);
     }
-    spdlog::info("{} does not hear us: {} launches had no effect", machine.name, kUnheard);
+    spdlog::info("{} is unreachable (inbound): {} launches had no effect", machine.name,
+                 kMaxIneffectiveLaunches);
   }
   if (machine.expired_incarnations > 0 && now - machine.incarnation_since > lease_over_s())
     machine.expired_incarnations = 0;
-  if (machine.deaf && now - machine.incarnation_since > lease_over_s()) {
-    machine.deaf = false;
-    spdlog::info("{} hears us again", machine.name);
+  if (machine.inbound_unreachable && now - machine.incarnation_since > lease_over_s()) {
+    machine.inbound_unreachable = false;
+    spdlog::info("{} is reachable again", machine.name);
   }
 }
 
-double Part::lease_over_s() const { return ctx_.settings->lease_s * (1 + kDrift) + kLeaseMargin; }
+double ShardLeader::lease_over_s() const { return ctx_.settings->lease_s * (1 + kDrift) + kLeaseMargin; }
 
-void Part::on_exit(Machine& machine, Placement& placement, ExitCause cause) {
+void ShardLeader::on_exit(Machine& machine, Placement& placement, ExitCause cause) {
   const JobPtr job = placement.job;
   if (cause == ExitCause::kDone) {
     counters_.completions++;
@@ -399,14 +403,14 @@
                                          [this](const std::string& ref) { return failed_on_one(ref); });
     const bool several = only_here >= kOnlyHere;
     const bool job_works = machine.error_streak >= 2 && (job->works || !job->done.empty());
-    if (!machine.sick && (several || job_works)) {
+    if (!machine.faulty && (several || job_works)) {
       spdlog::warn("{} fails what it starts ({} in a row): not used any more", machine.name,
                    machine.error_streak);
-      machine.sick = true;
+      machine.faulty = true;
     }
     machine.no_fill_until = ctx_.env->now() + std::min(8.0, 1.0 * machine.error_streak);
-    delay = machine.sick ? 0 : std::min(30.0, 0.5 * std::pow(2.0, std::min(job->error_streak, 6)));
-    spdlog::info("{} failed on {} (try {})", task_name(job->spec().ref, placement.index), machine.name,
+    delay = machine.faulty ? 0 : std::min(30.0, 0.5 * std::pow(2.0, std::min(job->error_streak, 6)));
+    spdlog::info("{} failed on {} (attempt {})", task_name(job->spec().ref, placement.index), machine.name,
                  placement.attempt);
   } else if (cause == ExitCause::kGangPeerLost || cause == ExitCause::kGangIncomplete) {
     job->fail_attempt();  // neither the machine's fault nor the job's
@@ -422,7 +426,7 @@
 // It fails wherever it is tried: the machines are cleared, and one task of it is tried now and then, until it
 // works or its user cancels it. (Incident db4e: five jobs submitted with a mistake failed 1 974 times within
 // minutes, and 156 good machines on which two of them had met were given back as faulty.)
-void Part::back_off_failing_job(Job& job) {
+void ShardLeader::back_off_failing_job(Job& job) {
   const std::string& ref = job.spec().ref;
   if (job.pause == 0) spdlog::info("{} fails on every machine: tried now and then", ref);
   // (What had started before it was found at fault fails within the first pause and does not lengthen it.)
@@ -437,14 +441,14 @@
     if (std::erase(machine.errors_of, ref) == 0 || !machine.errors_of.empty()) continue;
     machine.error_streak = 0;
     machine.no_fill_until = 0;
-    if (machine.sick && !machine.draining) machine.sick = false;
+    if (machine.faulty && !machine.draining) machine.faulty = false;
   }
 }
 
 // Of all our machines, on one.
-bool Part::failed_on_one(const std::string& ref) const {
+bool ShardLeader::failed_on_one(const std::string& ref) const {
   std::set<std::string> on;
-  const std::string prefix = keys::blocks(id_, ref);
+  const std::string prefix = keys::delegations(id_, ref);
   const auto add = [&on](const Job& job) {
     for (const auto& [name, failing] : job.failing) on.insert(name);
   };
@@ -454,7 +458,7 @@
   return on.size() == 1;
 }
 
-void Part::mark_done(const JobPtr& job, int index) {
+void ShardLeader::mark_done(const JobPtr& job, int index) {
   if (job->done.contains(index)) return;
   // The tasks of a gang complete together.
   const int first = job->is_gang() ? 0 : index;
@@ -464,27 +468,27 @@
   job->waiting.erase(job->waiting.slice(first, last));
   std::erase_if(job->backoff,
                 [first, last](const auto& item) { return item.second >= first && item.second < last; });
-  if (notes_since_ == 0) notes_since_ = ctx_.env->now();
+  if (unrecorded_since_ == 0) unrecorded_since_ = ctx_.env->now();
 }
 
-void Part::free_placement(Placement& placement, double delay) {
+void ShardLeader::free_placement(Placement& placement, double delay) {
   if (placement.stage == Placement::Stage::kFreeing) return;
   if (placement.job->is_gang()) gang_task_lost(*placement.job);
   placement.stage = Placement::Stage::kFreeing;
   placement.requeue_delay = delay;
-  freeing_ = true;
-  const auto page = pages_.find(placement.page);
-  if (page != pages_.end()) page->second.dirty = true;
+  has_freed_placements_ = true;
+  const auto segment = segments_.find(placement.segment);
+  if (segment != segments_.end()) segment->second.dirty = true;
 }
 
-void Part::take_room(Machine& machine, Job& job) {
+void ShardLeader::take_room(Machine& machine, Job& job) {
   teams_.add(job.team, job.demand);
   job.placed++;
   job.placed_by_zone[machine.zone]++;
   for (std::size_t r = 0; r < machine.room.size(); r++) machine.room[r] -= job.demand[r];
 }
 
-void Part::give_room(Machine& machine, Job& job) {
+void ShardLeader::give_room(Machine& machine, Job& job) {
   teams_.remove(job.team, job.demand);
   job.placed--;
   if (job.placed == 0) job.attempt = {};
@@ -492,14 +496,14 @@
   for (std::size_t r = 0; r < machine.room.size(); r++) machine.room[r] += job.demand[r];
 }
 
-void Part::drop_placement(Machine& machine, std::size_t at) {
+void ShardLeader::drop_placement(Machine& machine, std::size_t at) {
   const Placement placement = machine.placements[at];
   machine.placements.erase(machine.placements.begin() + static_cast<std::ptrdiff_t>(at));
   give_room(machine, *placement.job);
   requeue(placement.job, placement.index, placement.requeue_delay);
 }
 
-void Part::requeue(const JobPtr& job, int index, double delay) {
+void ShardLeader::requeue(const JobPtr& job, int index, double delay) {
   if (job->over() || job->done.contains(index)) return;
   if (delay > 0) {
     job->backoff.emplace_back(ctx_.env->now() + delay, index);
@@ -511,7 +515,7 @@
 
 // ---------------------------------------------------------------- direct commands (never launches)
 
-void Part::send_direct(Machine& machine, const std::vector<Order>& orders, bool raise) {
+void ShardLeader::send_direct(Machine& machine, const std::vector<Order>& orders, bool raise) {
   if (machine.direct_inflight) return;
   machine.direct_inflight = true;
   raising_ += raise ? 1 : 0;
@@ -530,24 +534,25 @@
                    if (found.stops_due) send_stops(found);
                    if (reply.status != 200 && reply.status != 409) return;
                    auto report = parse_report(parse_json(reply.body));
-                   if (!report || report->host != name) return;
+                   if (!report || report->machine_name != name) return;
                    if (report->fencing_token > fencing_token_) {
                      ctx_.deposed(report->fencing_token);
                      return;
                    }
-                   if (take_report(found, *report, true)) pump();
+                   if (take_report(found, *report, true)) send_queued();
                  }));
 }
 
 // Shows our token to machines with placements, a few at a time: a node that has taken over has leases to
 // renew and users to answer meanwhile. Machines that report go first; silent ones are tried now and then.
-void Part::raise_fencing_tokens() {
+void ShardLeader::raise_fencing_tokens() {
   if (!active_ || raising_ >= kRaiseAtOnce) return;
   const double now = ctx_.env->now();
   std::vector<Machine*> due;
   for (auto& [name, machine] : machines_) {
     const bool tried = machine->raise_tried != 0 && now - machine->raise_tried < kRaiseEvery;
-    if (machine->acked || machine->placements.empty() || machine->direct_inflight || tried) continue;
+    if (machine->token_acknowledged || machine->placements.empty() || machine->direct_inflight || tried)
+      continue;
     due.push_back(machine.get());
   }
   std::stable_sort(due.begin(), due.end(), [](const Machine* a, const Machine* b) {
@@ -561,16 +566,16 @@
 }
 
 // With which grace period the task is to be stopped, if it is.
-std::optional<double> Part::stop_wanted(const Placement& placement) {
+std::optional<double> ShardLeader::stop_wanted(const Placement& placement) {
   const Job& job = *placement.job;
-  if (job.called_off() || job.done.contains(placement.index) || job.attempt.failed) return 0;
+  if (job.cancel_requested() || job.done.contains(placement.index) || job.attempt.failed) return 0;
   const bool gracefully = placement.preempted || (job.attempt.stopping && job.attempt.stop_recorded);
   // (Whether a second stop ends a task that is saving already is not said.)
   if (!gracefully || placement.phase == TaskPhase::kCheckpointing) return std::nullopt;
   return stop_grace_s(job.spec());
 }
 
-void Part::stop_directly(const JobPtr& job) {
+void ShardLeader::stop_directly(const JobPtr& job) {
   for (auto& [name, machine] : machines_) {
     const auto& placements = machine->placements;
     if (std::any_of(placements.begin(), placements.end(), [&job](const auto& p) { return p.job == job; }))
@@ -578,8 +583,8 @@
   }
 }
 
-// For all on it that is called off or preempted; once the direct command that is under way is over.
-void Part::send_stops(Machine& machine) {
+// For all on it that is cancelled or preempted; once the direct command that is under way is over.
+void ShardLeader::send_stops(Machine& machine) {
   machine.stops_due = machine.direct_inflight;
   if (machine.direct_inflight) return;
   std::vector<Order> orders;
@@ -596,7 +601,7 @@
 
 // ---------------------------------------------------------------- time
 
-void Part::tick() {
+void ShardLeader::tick() {
   const double now = ctx_.env->now();
   for (auto& [ref, job] : jobs_) {
     // Not held: the user is told when to come back; the cancellation itself stays under way.
@@ -619,15 +624,15 @@
     }
   }
   std::erase_if(machines_, [](const auto& item) {
-    if (!item.second->gone || !item.second->placements.empty()) return false;
-    spdlog::info("{} is gone", item.first);
+    if (!item.second->removed || !item.second->placements.empty()) return false;
+    spdlog::info("{} is removed", item.first);
     return true;
   });
   const double lease = lease_over_s();
   for (auto& [name, machine] : machines_) {
     if (!machine->answer.answered() && now >= machine->answer_by) answer(*machine);
     // (c) it obeyed only us, and our last answer can have carried it no further than this.
-    if (machine->acked && machine->last_answer + lease < now && !machine->placements.empty()) {
+    if (machine->token_acknowledged && machine->last_answer + lease < now && !machine->placements.empty()) {
       std::size_t freed = 0;
       for (Placement& placement : machine->placements) {
         if (placement.stage != Placement::Stage::kRecorded) continue;
@@ -635,25 +640,25 @@
         freed++;
       }
       if (freed > 0) {
-        spdlog::info("{} silent, its lease is over: {} placements freed", name, freed);
+        spdlog::info("{} silent, its lease has expired: {} placements freed", name, freed);
         counters_.freed_by_lease += freed;
       }
     }
   }
   raise_fencing_tokens();
-  look_after_gangs();
+  maintain_gangs();
   look_for_best_effort();
   preempt();
-  pump();
-  press_cancels();
-  if (ctx_.parts > 1) {
-    borrow();
-    want_allowance();
+  send_queued();
+  retry_cancellations();
+  if (ctx_.shard_count > 1) {
+    request_tasks();
+    request_quota();
   }
   ctx_.env->after(kTick, alive([this] { tick(); }));
 }
 
-void Part::apply(const FleetOrders& orders) {
+void ShardLeader::apply(const FleetOrders& orders) {
   const std::set<std::string> draining(orders.draining.begin(), orders.draining.end());
   const std::set<std::string> cordoned(orders.cordoned.begin(), orders.cordoned.end());
   for (auto& [name, machine] : machines_) {
@@ -663,17 +668,17 @@
   headroom_share_ = orders.headroom_share;
   elsewhere_ = orders.waiting;
   for (WaitingHint& hint : elsewhere_) hint.least_cores = least_cores(std::nullopt, hint.demand);
-  for (const std::string& name : orders.gone) {
+  for (const std::string& name : orders.removed) {
     const auto it = machines_.find(name);
-    if (it != machines_.end()) machine_gone(*it->second);
+    if (it != machines_.end()) remove_machine(*it->second);
   }
-  pump();
+  send_queued();
 }
 
 // (d) the cloud confirmed that the machine and everything on it are gone.
-void Part::machine_gone(Machine& machine) {
-  if (machine.gone) return;
-  machine.gone = true;
+void ShardLeader::remove_machine(Machine& machine) {
+  if (machine.removed) return;
+  machine.removed = true;
   returned_.insert(machine.name);
   returned_order_.push_back(machine.name);
   if (returned_order_.size() > kReturned) {
--- a/src/coordination/part_summary.cpp
+++ b/src/coordination/shard/summary.cpp
@@ -4,12 +4,12 @@
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/part.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 namespace mothslip {
 
 namespace {
-constexpr double kDeafLeases = 2.5;
+constexpr double kUnreachableLeases = 2.5;
 }  // namespace
 
 namespace {
@@ -24,7 +24,7 @@
 }
 }  // namespace
 
-void Part::note_ordinary_use(const Job& job, double cores, OrdinaryUse& use) {
+void ShardLeader::note_ordinary_use(const Job& job, double cores, OrdinaryUse& use) {
   use.cores += cores;
   use.squares += cores * cores;
   const double at_once = job.is_gang() ? job.spec().task_count : 1;
@@ -32,11 +32,11 @@
     use.largest[r] = std::max(use.largest[r], at_once * job.demand[r]);
 }
 
-PartSummary Part::summary() const {
+ShardSummary ShardLeader::summary() const {
   constexpr double kBucket = 5;  // seconds: ends of tasks that are close count as one
   const double now = ctx_.env->now();
-  PartSummary out;
-  out.part = id_;
+  ShardSummary out;
+  out.shard = id_;
   out.fencing_token = fencing_token_;
   for (const auto& [name, machine] : machines_) {
     MachineSummary item;
@@ -45,13 +45,15 @@
     item.zone = machine->record.zone;
     item.address = machine->record.address;
     item.spot = machine->record.spot;
-    item.welcome =
-        machine->type >= 0 && machine->welcome() && now - machine->last_heard < ctx_.settings->lease_s / 2;
+    item.schedulable = machine->type >= 0 && machine->schedulable() &&
+                       now - machine->last_heard < ctx_.settings->lease_s / 2;
     // One that does not hear us for long is of no use either.
-    item.sick = machine->sick || (machine->deaf && now - machine->deaf_since > kDeafLeases * lease_over_s());
+    item.faulty =
+        machine->faulty || (machine->inbound_unreachable &&
+                            now - machine->inbound_unreachable_since > kUnreachableLeases * lease_over_s());
     item.draining = machine->draining;
     // Nothing is placed, and every completion it showed is durable and reaped.
-    item.empty = machine->placements.empty() && machine->strays.empty();
+    item.empty = machine->placements.empty() && machine->unmatched.empty();
     item.silent_s = now - machine->last_heard;
     item.idle_s = machine->placements.empty() ? now - machine->busy_at : 0;
     std::map<int, Resources> rooms;
@@ -79,8 +81,8 @@
     // Room is kept free for what demand varies by; best-effort work can wait.
     if (!gives_way(*job)) out.wanted_by_team[job->team] += (job->placed + waiting) * job->demand[0];
     out.used_by_team[job->team] += job->placed * job->demand[0];
-    if (!job->borrowed() && !gives_way(*job)) {
-      const double cores = (job->placed + count + job->lent_open()) * job->demand[0];
+    if (!job->delegated_here() && !gives_way(*job)) {
+      const double cores = (job->placed + count + job->delegated_open()) * job->demand[0];
       if (spec.allows_spot) {
         out.squares += cores * cores;
       } else {
@@ -96,12 +98,12 @@
     demand.urgency = gives_way(*job) ? 0 : std::max(1, static_cast<int>(spec.urgency));
     demand.estimated_s = spec.estimated_s;
     demand.image_gb = spec.image_gb;
-    if (spec.deadline_s) demand.time_left_s = job->head.submitted + *spec.deadline_s - wall;
+    if (spec.deadline_s) demand.time_left_s = job->record.submitted + *spec.deadline_s - wall;
     demand.job_class = spec.job_class;
     demand.allows_spot = spec.allows_spot;
     if (spec.machine_types) demand.machine_types = *spec.machine_types;
     if (spec.zone) demand.zone = *spec.zone;
-    demand.submitted = job->head.submitted;
+    demand.submitted = job->record.submitted;
     demand.starving = starving(*job);
     demand.gang = job->is_gang();
     out.demands.push_back(std::move(demand));
--- a/src/coordination/part_memory.cpp
+++ b/src/coordination/shard/unaccounted_tasks.cpp
@@ -2,28 +2,28 @@
 // nobody could account for.
 #include <spdlog/spdlog.h>
 
-#include "coordination/part.hpp"
+#include "coordination/shard/shard_leader.hpp"
 
 namespace mothslip {
 
 // A placement whose record was not yet durable was never launched: its task still waits.
-ShardMemory Part::memory() const {
+ShardMemory ShardLeader::memory() const {
   ShardMemory out;
   out.shard = id_;
   out.token = fencing_token_;
   for (const auto& [name, job] : jobs_) {
     JobMemory item;
-    item.head = job->head;
+    item.record = job->record;
     item.done = job->done;
-    item.borrowed = job->borrowed();
+    item.delegated_here = job->delegated_here();
     if (const auto held = unaccounted_.find(name); held != unaccounted_.end()) {
       item.held = held->second.held_of(job->spec().task_count);
       item.may_have_ended = held->second.silent();
     }
-    for (const auto& [key, lent] : job->lent) {
-      RangeSet open = lent.range;
-      open.erase(lent.done);
-      if (!open.empty()) item.lent[keys::block_part(key)].insert(open);
+    for (const auto& [key, delegated] : job->delegated) {
+      RangeSet open = delegated.range;
+      open.erase(delegated.done);
+      if (!open.empty()) item.delegated[keys::delegation_target(key)].insert(open);
     }
     out.jobs.push_back(std::move(item));
   }
@@ -31,7 +31,7 @@
     if (record.all && !record.rerun && jobs_.count(ref) == 0) out.without_description.push_back(ref);
   }
   for (const auto& [name, machine] : machines_) {
-    HostRecord record = machine->record;
+    MachineRecord record = machine->record;
     record.placements.clear();
     for (const Placement& placement : machine->placements) {
       if (placement.stage == Placement::Stage::kNew) continue;
@@ -42,11 +42,11 @@
   return out;
 }
 
-void Part::load_unaccounted() {
+void ShardLeader::load_unaccounted() {
   const std::string prefix = keys::kUnaccounted + std::to_string(id_) + "/";
-  ctx_.state->list(Lane::kLease, prefix,
+  ctx_.state->list(RequestPriority::kLease, prefix,
                    alive([this, prefix](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
-                     if (outcome != Outcome::kOk) return retry_load(&Part::load_unaccounted);
+                     if (outcome != Outcome::kOk) return retry_load(&ShardLeader::load_unaccounted);
                      for (const StateItem& item : items) {
                        auto record = UnaccountedRecord::from_json(item.data);
                        // (Nothing of a job may start while it is not known which of its tasks are held.)
@@ -55,11 +55,11 @@
                              UnaccountedRecord{true, {}, true, false, "its record cannot be read", "", ""};
                        unaccounted_.emplace(item.key.substr(prefix.size()), std::move(*record));
                      }
-                     load_heads();
+                     load_job_records();
                    }));
 }
 
-bool Part::resolve_held(const std::string& ref, HeldDecision decision) {
+bool ShardLeader::resolve_held(const std::string& ref, HeldDecision decision) {
   const auto found = unaccounted_.find(ref);
   if (found == unaccounted_.end()) return false;
   const auto known = jobs_.find(ref);
@@ -78,28 +78,28 @@
       break;
     case HeldDecision::kCancelled:
       job->cancel_waiters.push_back({Responder(), ctx_.env->now()});
-      pump();
-      press_cancels();
+      send_queued();
+      retry_cancellations();
       break;
   }
   return true;
 }
 
 // The ending that follows is what makes it durable: until then an operator may have to say it again.
-void Part::count_held_as_done(const JobPtr& job) {
+void ShardLeader::count_held_as_done(const JobPtr& job) {
   const RangeSet held = unaccounted_.at(job->spec().ref).held_of(job->spec().task_count);
   spdlog::info("{}: {} unaccounted tasks count as done, by an operator", job->spec().ref, held.size());
   for (const auto& [first, last] : held.ranges()) {
     for (int index = first; index < last; index++) mark_done(job, index);
   }
-  pump();
+  send_queued();
 }
 
-void Part::start_held(const JobPtr& job) {
+void ShardLeader::start_held(const JobPtr& job) {
   const std::string& ref = job->spec().ref;
   Transaction txn = guarded();
   txn.remove(keys::unaccounted(id_, ref));
-  send_commit(Lane::kRest, kRestSlot, txn, [this, job](std::uint64_t) {
+  send_commit(RequestPriority::kRest, kRestSlot, txn, [this, job](std::uint64_t) {
     const auto found = unaccounted_.find(job->spec().ref);
     if (found == unaccounted_.end()) return;  // said twice
     RangeSet held = found->second.held_of(job->spec().task_count);
@@ -113,10 +113,10 @@
 }
 
 // Nobody knows the job's description: it ends at once, or waits for its user to submit it again.
-void Part::resolve_without_description(const std::string& ref, HeldDecision decision) {
+void ShardLeader::resolve_without_description(const std::string& ref, HeldDecision decision) {
   const std::string key = keys::unaccounted(id_, ref);
   Transaction txn = guarded();
-  txn.guard(keys::head(id_, ref), 0);
+  txn.guard(keys::job_record(id_, ref), 0);
   if (decision == HeldDecision::kRerun) {
     UnaccountedRecord record = unaccounted_.at(ref);
     record.rerun = true;
@@ -136,7 +136,8 @@
     }
   };
   // (The description has come meanwhile: the operator says it again.)
-  send_commit(Lane::kRest, kRestSlot, txn, written, [](const std::vector<std::string>&) { return true; });
+  send_commit(RequestPriority::kRest, kRestSlot, txn, written,
+              [](const std::vector<std::string>&) { return true; });
 }
 
 }  // namespace mothslip
--- a/src/coordination/incarnation.cpp
+++ b/src/coordination/state/incarnation.cpp
@@ -1,4 +1,4 @@
-#include "coordination/incarnation.hpp"
+#include "coordination/state/incarnation.hpp"
 
 #include <limits>
 
--- a/src/coordination/state_client.cpp
+++ b/src/coordination/state/state_client.cpp
@@ -1,4 +1,4 @@
-#include "coordination/state_client.hpp"
+#include "coordination/state/state_client.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,7 +7,7 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMaxLane = 128;
+constexpr std::size_t kMaxQueueLength = 128;
 constexpr double kQueueSeconds = 2.0;
 constexpr double kCallSeconds = 1.5;
 constexpr double kOvercommit = 1.6;
@@ -59,7 +59,7 @@
       last_word_(env.now()) {}
 
 StateClient::~StateClient() {
-  if (pump_timer_ != 0) env_.cancel(pump_timer_);
+  if (send_timer_ != 0) env_.cancel(send_timer_);
 }
 
 void StateClient::set_share(double share) {
@@ -93,31 +93,31 @@
   if ((write ? write_rate_ : call_rate_).turned_down(now)) apply_share();
 }
 
-void StateClient::submit(Lane lane, HttpCall call, int writes, StateHandler handler) {
-  auto& queue = lanes_[static_cast<std::size_t>(lane)];
-  if (queue.size() >= kMaxLane) {
+void StateClient::submit(RequestPriority priority, HttpCall call, int writes, StateHandler handler) {
+  auto& queue = queues_[static_cast<std::size_t>(priority)];
+  if (queue.size() >= kMaxQueueLength) {
     counters_.refused_here++;
     env_.after(0, [handler = std::move(handler)] { handler({Outcome::kRefused, Json()}); });
     return;
   }
   call.destination = address_;
   queue.push_back({std::move(call), writes, env_.now() + kQueueSeconds, std::move(handler)});
-  pump();
+  send_queued();
 }
 
-bool StateClient::busy(Lane lane, double patience_s) {
+bool StateClient::busy(RequestPriority priority, double patience_s) {
   std::size_t ahead = 0;
   double writes = 1;
-  for (std::size_t i = 0; i <= static_cast<std::size_t>(lane); i++) {
-    ahead += lanes_[i].size();
-    for (const Pending& item : lanes_[i]) writes += item.writes;
+  for (std::size_t i = 0; i <= static_cast<std::size_t>(priority); i++) {
+    ahead += queues_[i].size();
+    for (const Pending& item : queues_[i]) writes += item.writes;
   }
   const double now = env_.now();
   return calls_.wait_s(static_cast<double>(ahead + 1), 0, now) > patience_s ||
          writes_.wait_s(writes, 0, now) > patience_s;
 }
 
-void StateClient::pump() {
+void StateClient::send_queued() {
   const double now = env_.now();
   if (now >= next_raise_) {
     next_raise_ = now + kRaiseEvery;
@@ -126,8 +126,8 @@
     if (calls_raised || writes_raised) apply_share();
   }
   double wait = -1;
-  for (std::size_t lane = 0; lane < lanes_.size(); lane++) {
-    auto& queue = lanes_[lane];
+  for (std::size_t priority = 0; priority < queues_.size(); priority++) {
+    auto& queue = queues_[priority];
     while (!queue.empty()) {
       Pending& next = queue.front();
       if (now >= next.give_up) {
@@ -136,20 +136,21 @@
         queue.pop_front();
         continue;
       }
-      // Each lane leaves a little for the lanes above it.
-      const double reserve = static_cast<double>(lane) * 0.5;
+      // Each priority class leaves a little for the priority classes above it.
+      const double reserve = static_cast<double>(priority) * 0.5;
       // (Users wait for what is accepted and cancelled; launches and completions go many to a write.)
-      const double writes_reserve = lane > static_cast<std::size_t>(Lane::kAccept) ? 1.5 : reserve * 0.5;
+      const double writes_reserve =
+          priority > static_cast<std::size_t>(RequestPriority::kAccept) ? 1.5 : reserve * 0.5;
       // Leases, ownership and loading do not wait for tokens: they are few, and all else waits for them. What
-      // they take is a debt that the other lanes pay.
-      const bool urgent = lane == static_cast<std::size_t>(Lane::kLease);
+      // they take is a debt that the other priority classes pay.
+      const bool urgent = priority == static_cast<std::size_t>(RequestPriority::kLease);
       if (urgent || (calls_.can_take(1, reserve, now) &&
                      (next.writes == 0 || writes_.can_take(next.writes, writes_reserve, now)))) {
         calls_.take(1, now);
         if (next.writes > 0) writes_.take(next.writes, now);
         Pending taken = std::move(next);
         queue.pop_front();
-        send(static_cast<Lane>(lane), std::move(taken));
+        send(static_cast<RequestPriority>(priority), std::move(taken));
         continue;
       }
       const double need = std::max(calls_.wait_s(1, reserve, now),
@@ -159,30 +160,30 @@
       break;
     }
   }
-  if (wait >= 0 && pump_timer_ == 0) {
-    pump_timer_ = env_.after(wait, [this] {
-      pump_timer_ = 0;
-      pump();
+  if (wait >= 0 && send_timer_ == 0) {
+    send_timer_ = env_.after(wait, [this] {
+      send_timer_ = 0;
+      send_queued();
     });
   }
 }
 
-void StateClient::send(Lane lane, Pending pending) {
+void StateClient::send(RequestPriority priority, Pending pending) {
   counters_.calls++;
   counters_.writes += static_cast<std::uint64_t>(pending.writes);
   const auto kept = std::make_shared<Pending>(std::move(pending));
   const std::uint64_t newest = monitor_ == nullptr ? 0 : monitor_->newest();
-  env_.call(kept->call, [this, lane, kept, newest](const HttpReply& reply) {
+  env_.call(kept->call, [this, priority, kept, newest](const HttpReply& reply) {
     if (!reply.unanswered() && reply.status != 503) last_word_ = env_.now();
     if (reply.status == 429) {
       too_many(kept->writes > 0);
-      // Not executed: it waits for the next tokens like the rest of its lane.
+      // Not executed: it waits for the next tokens like the rest of its priority class.
       if (env_.now() < kept->give_up) {
-        lanes_[static_cast<std::size_t>(lane)].push_front(std::move(*kept));
-        if (lane == Lane::kLease) {
-          env_.after(kLeaseAgain, [this] { pump(); });  // it does not wait for tokens, but not at once
+        queues_[static_cast<std::size_t>(priority)].push_front(std::move(*kept));
+        if (priority == RequestPriority::kLease) {
+          env_.after(kLeaseAgain, [this] { send_queued(); });  // it does not wait for tokens, but not at once
         } else {
-          pump();
+          send_queued();
         }
         return;
       }
@@ -204,21 +205,22 @@
   if (revision != 0) monitor_->on_revision(newest_when_asked, revision);
 }
 
-void StateClient::commit(Lane lane, const Transaction& txn, StateHandler handler) {
-  commit_body(lane, txn.body(), static_cast<int>(txn.then.size()), std::move(handler));
+void StateClient::commit(RequestPriority priority, const Transaction& txn, StateHandler handler) {
+  commit_body(priority, txn.body(), static_cast<int>(txn.then.size()), std::move(handler));
 }
 
-void StateClient::commit_body(Lane lane, std::string body, int writes, StateHandler handler) {
-  submit(lane, {"", "POST", "/commit", key_space_.stored_body(std::move(body)), kCallSeconds}, writes,
+void StateClient::commit_body(RequestPriority priority, std::string body, int writes, StateHandler handler) {
+  submit(priority, {"", "POST", "/commit", key_space_.stored_body(std::move(body)), kCallSeconds}, writes,
          std::move(handler));
 }
 
-void StateClient::get(Lane lane, const std::string& key, StateHandler handler) {
-  submit(lane, {"", "GET", "/keys/" + key_space_.stored_key(key), "", kCallSeconds}, 0, std::move(handler));
+void StateClient::get(RequestPriority priority, const std::string& key, StateHandler handler) {
+  submit(priority, {"", "GET", "/keys/" + key_space_.stored_key(key), "", kCallSeconds}, 0,
+         std::move(handler));
 }
 
 struct StateClient::Scan {
-  Lane lane = Lane::kRest;
+  RequestPriority priority = RequestPriority::kRest;
   std::string prefix;
   std::string from;
   std::uint64_t revision = 0;
@@ -226,10 +228,10 @@
   ScanEnd end;
 };
 
-void StateClient::list(Lane lane, const std::string& prefix, ListHandler handler) {
+void StateClient::list(RequestPriority priority, const std::string& prefix, ListHandler handler) {
   auto all = std::make_shared<std::vector<StateItem>>();
   scan(
-      lane, prefix,
+      priority, prefix,
       [all](std::vector<StateItem> items) {
         std::move(items.begin(), items.end(), std::back_inserter(*all));
       },
@@ -239,9 +241,9 @@
       });
 }
 
-void StateClient::scan(Lane lane, const std::string& prefix, PageHandler page, ScanEnd end) {
+void StateClient::scan(RequestPriority priority, const std::string& prefix, PageHandler page, ScanEnd end) {
   auto work = std::make_shared<Scan>();
-  work->lane = lane;
+  work->priority = priority;
   work->prefix = prefix;
   work->page = std::move(page);
   work->end = std::move(end);
@@ -251,7 +253,7 @@
 void StateClient::scan_page(const std::shared_ptr<Scan>& work) {
   std::string path = "/keys?prefix=" + key_space_.stored_key(work->prefix) + "&most=500";
   if (!work->from.empty()) path += "&from=" + key_space_.stored_key(work->from);
-  submit(work->lane, {"", "GET", path, "", kCallSeconds}, 0, [this, work](StateReply reply) {
+  submit(work->priority, {"", "GET", path, "", kCallSeconds}, 0, [this, work](StateReply reply) {
     if (!reply.ok()) {
       work->end(reply.outcome, 0);
       return;
@@ -281,16 +283,18 @@
               "&from=" + std::to_string(key_space_.to_stored(from)) +
               "&wait_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
   call.timeout_s = wait_s + 2;
-  submit(Lane::kLease, std::move(call), 0, std::move(handler));
+  submit(RequestPriority::kLease, std::move(call), 0, std::move(handler));
 }
 
 void StateClient::lease_create(double ttl_s, StateHandler handler) {
   const Json body = {{"ttl_ms", static_cast<int>(ttl_s * 1000)}};
-  submit(Lane::kLease, {"", "POST", "/leases", dump_json(body), kCallSeconds}, 0, std::move(handler));
+  submit(RequestPriority::kLease, {"", "POST", "/leases", dump_json(body), kCallSeconds}, 0,
+         std::move(handler));
 }
 
 void StateClient::lease_renew(std::uint64_t lease_id, double timeout_s, StateHandler handler) {
-  submit(Lane::kLease, {"", "POST", "/leases/" + std::to_string(lease_id) + "/renew", "{}", timeout_s}, 0,
+  submit(RequestPriority::kLease,
+         {"", "POST", "/leases/" + std::to_string(lease_id) + "/renew", "{}", timeout_s}, 0,
          std::move(handler));
 }
 
--- a/src/coordination/state_client.hpp
+++ b/src/coordination/state/state_client.hpp
@@ -1,5 +1,5 @@
-// The state service behind token buckets: calls wait in lanes, the most important lane first, and are
-// refused at once when their lane is full.
+// The state service behind token buckets: calls wait in one queue a priority class, the most important
+// first, and are refused at once when their queue is full.
 #pragma once
 
 #include <array>
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "coordination/incarnation.hpp"
-#include "coordination/state_monitor.hpp"
+#include "coordination/state/incarnation.hpp"
+#include "coordination/state/state_monitor.hpp"
 #include "protocol/messages.hpp"
 #include "transport/adaptive_rate.hpp"
 #include "transport/env.hpp"
@@ -18,7 +18,7 @@
 
 namespace mothslip {
 
-enum class Lane { kLease = 0, kCancel, kAccept, kLaunch, kDone, kRest, kCount };
+enum class RequestPriority { kLease = 0, kCancel, kAccept, kLaunch, kDone, kRest, kCount };
 
 enum class Outcome {
   kOk,
@@ -40,7 +40,7 @@
 };
 using StateHandler = std::function<void(StateReply)>;
 
-// Parts look for something to commit far more often than they find it: a transaction is cheap until it is
+// Shards look for something to commit far more often than they find it: a transaction is cheap until it is
 // sent.
 struct Transaction {
   std::vector<std::pair<std::string, std::uint64_t>> guards;
@@ -72,16 +72,16 @@
   // The part of the service's limits that this node may use, 0..1.
   void set_share(double share);
 
-  void commit(Lane lane, const Transaction& txn, StateHandler handler);
-  void commit_body(Lane lane, std::string body, int writes, StateHandler handler);
-  void get(Lane lane, const std::string& key, StateHandler handler);
+  void commit(RequestPriority priority, const Transaction& txn, StateHandler handler);
+  void commit_body(RequestPriority priority, std::string body, int writes, StateHandler handler);
+  void get(RequestPriority priority, const std::string& key, StateHandler handler);
   // All items under a prefix, page by page; the epoch is the first page's.
   using ListHandler = std::function<void(Outcome, std::vector<StateItem>, std::uint64_t revision)>;
-  void list(Lane lane, const std::string& prefix, ListHandler handler);
+  void list(RequestPriority priority, const std::string& prefix, ListHandler handler);
   // Likewise, each page as it comes: for what is too much to be held at once.
   using PageHandler = std::function<void(std::vector<StateItem>)>;
   using ScanEnd = std::function<void(Outcome, std::uint64_t revision)>;
-  void scan(Lane lane, const std::string& prefix, PageHandler page, ScanEnd end);
+  void scan(RequestPriority priority, const std::string& prefix, PageHandler page, ScanEnd end);
   void watch(const std::string& prefix, std::uint64_t from, double wait_s, StateHandler handler);
   void lease_create(double ttl_s, StateHandler handler);
   void lease_renew(std::uint64_t lease_id, double timeout_s, StateHandler handler);
@@ -98,8 +98,8 @@
   void shrink_transactions();
   // How much of the changes that may be made at once is left, 0..1.
   [[nodiscard]] double writes_left() { return writes_.level(env_.now()); }
-  // True when a call in this lane would have to wait longer than `patience_s`.
-  [[nodiscard]] bool busy(Lane lane, double patience_s);
+  // True when a call in this priority class would have to wait longer than `patience_s`.
+  [[nodiscard]] bool busy(RequestPriority priority, double patience_s);
 
   struct Counters {
     std::uint64_t calls = 0, writes = 0, refused_here = 0, too_many = 0, unanswered = 0;
@@ -116,9 +116,9 @@
   struct Scan;
   void apply_share();
   void too_many(bool write);
-  void submit(Lane lane, HttpCall call, int writes, StateHandler handler);
-  void pump();
-  void send(Lane lane, Pending pending);
+  void submit(RequestPriority priority, HttpCall call, int writes, StateHandler handler);
+  void send_queued();
+  void send(RequestPriority priority, Pending pending);
   void scan_page(const std::shared_ptr<Scan>& work);
 
   void tell_monitor(std::uint64_t newest_when_asked, const Json& answer) const;
@@ -135,8 +135,8 @@
   int writes_per_txn_;
   TokenBucket calls_;
   TokenBucket writes_;
-  std::array<std::deque<Pending>, static_cast<std::size_t>(Lane::kCount)> lanes_;
-  TimerId pump_timer_ = 0;
+  std::array<std::deque<Pending>, static_cast<std::size_t>(RequestPriority::kCount)> queues_;
+  TimerId send_timer_ = 0;
   double last_word_;
   Counters counters_;
 };
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -64,16 +64,17 @@
   try {
     mothslip::EventEnv env;
     mothslip::recovery::Controller controller(env, settings);
-    const mothslip::HttpServer front(env.base(), settings.front, mothslip::Node::kFrontBody,
-                                     mothslip::Node::most_front_connections(settings),
+    const mothslip::HttpServer front(env.base(), settings.client_address, mothslip::Node::kMaxClientBody,
+                                     mothslip::Node::max_client_connections(settings),
                                      [&controller](const auto& request, const auto& responder) {
-                                       controller.on_front(request, responder);
+                                       controller.on_client_request(request, responder);
                                      });
-    const mothslip::HttpServer back(env.base(), settings.back, mothslip::Node::kBackBody, 0,
+    const mothslip::HttpServer back(env.base(), settings.peer_address, mothslip::Node::kMaxPeerBody, 0,
                                     [&controller](const auto& request, const auto& responder) {
-                                      controller.on_back(request, responder);
+                                      controller.on_peer_request(request, responder);
                                     });
-    spdlog::info("{} starts: front {}, back {}", settings.node, settings.front, settings.back);
+    spdlog::info("{} starts: client address {}, peer address {}", settings.node, settings.client_address,
+                 settings.peer_address);
     controller.start();
     env.run();
   } catch (const std::exception& error) {
--- a/src/protocol/messages.cpp
+++ b/src/protocol/messages.cpp
@@ -281,13 +281,13 @@
 std::optional<Report> parse_report(const Json& body) {
   if (!body.is_object()) return std::nullopt;
   Report out;
-  if (!get_text(body, "host", out.host) || !get_text(body, "address", out.address) ||
+  if (!get_text(body, "host", out.machine_name) || !get_text(body, "address", out.address) ||
       !get_text(body, "flavour", out.machine_type) || !get_text(body, "hall", out.zone) ||
       !get_flag(body, "loaner", out.spot) || !get_count(body, "tenure", out.worker_incarnation) ||
       !get_count(body, "tick", out.sequence) || !get_count(body, "baton", out.fencing_token)) {
     return std::nullopt;
   }
-  if (out.host.find_first_of(" /") != std::string::npos) return std::nullopt;
+  if (out.machine_name.find_first_of(" /") != std::string::npos) return std::nullopt;
   if (present(body, "warning_s")) {
     double warning = 0;
     if (!body["warning_s"].is_number()) return std::nullopt;
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -114,7 +114,7 @@
 };
 
 struct Report {
-  std::string host;
+  std::string machine_name;
   std::string address;
   std::string machine_type;
   std::string zone;
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -39,12 +39,12 @@
   return hash;
 }
 
-inline int part_of(std::string_view name, int parts) {
+inline int shard_of(std::string_view name, int shard_count) {
   std::uint64_t hash = stable_hash(name);
   hash ^= hash >> 33;  // the low bits of FNV of numbered names are poor
   hash *= 0xff51afd7ed558ccdULL;
   hash ^= hash >> 33;
-  return static_cast<int>(hash % static_cast<std::uint64_t>(parts));
+  return static_cast<int>(hash % static_cast<std::uint64_t>(shard_count));
 }
 
 }  // namespace mothslip
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -136,8 +136,8 @@
   Settings out;
   out.node = root.text("node");
   out.area = root.text("area");
-  out.front = root.address("front");
-  out.back = root.address("back");
+  out.client_address = root.address("front");
+  out.peer_address = root.address("back");
   for (const Reader& item : root.tables("members")) {
     out.members.push_back({item.text("node"), item.text("area"), item.address("address")});
   }
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -48,8 +48,8 @@
 struct Settings {
   std::string node;
   std::string area;
-  std::string front;
-  std::string back;
+  std::string client_address;   // users and workers
+  std::string peer_address;     // other controllers and operators
   std::vector<Member> members;  // the others
   std::string cloud;
   std::string state;
--- a/src/recovery/controller.cpp
+++ b/src/recovery/controller.cpp
@@ -37,7 +37,7 @@
 
 Controller::~Controller() = default;
 
-const Part* Controller::part(int index) const { return node_ ? node_->part(index) : nullptr; }
+const ShardLeader* Controller::shard(int index) const { return node_ ? node_->shard(index) : nullptr; }
 
 void Controller::start() {
   if (!settings_.tuning.recovery) {
@@ -52,7 +52,8 @@
 }
 
 void Controller::look_at_meta() {
-  first_look_->get(Lane::kLease, keys::kMeta, [this](const StateReply& reply) { on_first_meta(reply); });
+  first_look_->get(RequestPriority::kLease, keys::kMeta,
+                   [this](const StateReply& reply) { on_first_meta(reply); });
 }
 
 void Controller::on_first_meta(const StateReply& reply) {
@@ -97,7 +98,7 @@
 }
 
 void Controller::look_for_loss() {
-  first_look_->get(Lane::kLease, keys::kNone, [this](const StateReply& reply) {
+  first_look_->get(RequestPriority::kLease, keys::kNone, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
       recovery_env_->after(kRetryEvery, [this] { look_for_loss(); });
     } else {
@@ -214,25 +215,26 @@
 
 // ---------------------------------------------------------------- requests
 
-void Controller::on_front(const HttpRequest& request, const Responder& responder) {
+void Controller::on_client_request(const HttpRequest& request, const Responder& responder) {
   if (node_) {
-    node_->on_front(request, responder);
+    node_->on_client_request(request, responder);
   } else {
-    suspended_->on_front(request, responder, env_.now());
+    suspended_->on_client_request(request, responder, env_.now());
   }
 }
 
-void Controller::on_back(const HttpRequest& request, const Responder& responder) {
-  if (!settings_.tuning.recovery) return node_->on_back(request, responder);
+void Controller::on_peer_request(const HttpRequest& request, const Responder& responder) {
+  if (!settings_.tuning.recovery) return node_->on_peer_request(request, responder);
   if (request.path == kEvidencePath) return on_evidence_request(request, responder);
   if (request.path == kStatusPath) return on_status_request(responder);
   if (!node_) {
-    if (request.path.rfind("/v2/", 0) == 0) return suspended_->on_front(request, responder, env_.now());
+    if (request.path.rfind("/v2/", 0) == 0)
+      return suspended_->on_client_request(request, responder, env_.now());
     return responder.send(503, R"({"error":"records are being rebuilt"})", 1);
   }
   if (request.path == kUnaccountedPath) return unaccounted_->list(responder);
   if (request.path == kResolvePath) return unaccounted_->resolve(request.body, responder);
-  node_->on_back(request, responder);
+  node_->on_peer_request(request, responder);
 }
 
 // Who asks leads a rebuilding. What we answer has to stay true, so we stop serving first; but a request that
--- a/src/recovery/controller.hpp
+++ b/src/recovery/controller.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/node.hpp"
+#include "coordination/node/node.hpp"
 #include "recovery/loss_detector.hpp"
 #include "recovery/recovery.hpp"
 #include "recovery/scoped_env.hpp"
@@ -26,11 +26,11 @@
   Controller& operator=(const Controller&) = delete;
 
   void start();
-  void on_front(const HttpRequest& request, const Responder& responder);
-  void on_back(const HttpRequest& request, const Responder& responder);
+  void on_client_request(const HttpRequest& request, const Responder& responder);
+  void on_peer_request(const HttpRequest& request, const Responder& responder);
 
   // The shard, if this controller owns it now and is serving.
-  [[nodiscard]] const Part* part(int index) const;
+  [[nodiscard]] const ShardLeader* shard(int index) const;
   [[nodiscard]] bool serving() const { return node_ != nullptr; }
   [[nodiscard]] const Incarnation& incarnation() const { return incarnation_; }
 
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -7,15 +7,15 @@
 namespace {
 
 // Of two descriptions of one job: they differ in the cancellation alone, and a cancellation stands.
-void merge_head(std::optional<HeadRecord>& head, const std::optional<HeadRecord>& other) {
+void merge_job_record(std::optional<JobRecord>& job_record, const std::optional<JobRecord>& other) {
   if (!other) return;
-  if (!head) {
-    head = other;
+  if (!job_record) {
+    job_record = other;
     return;
   }
-  head->aborted |= other->aborted;
-  head->spread |= other->spread;
-  head->submitted = std::max(head->submitted, other->submitted);
+  job_record->aborted |= other->aborted;
+  job_record->spread |= other->spread;
+  job_record->submitted = std::max(job_record->submitted, other->submitted);
 }
 
 // A job is done once only: should sources disagree, which none can, done is what cannot be taken back.
@@ -24,7 +24,7 @@
   if (!ending || *other == JobPhase::kDone) ending = other;
 }
 
-void merge_machine(HostRecord& machine, const HostRecord& other) {
+void merge_machine(MachineRecord& machine, const MachineRecord& other) {
   if (other.worker_incarnation > machine.worker_incarnation ||
       (other.worker_incarnation == machine.worker_incarnation && other.address > machine.address))
     machine = other;
@@ -46,7 +46,7 @@
 }
 
 void JobEvidence::merge(const JobEvidence& other) {
-  merge_head(head, other.head);
+  merge_job_record(record, other.record);
   merge_ending(ending, other.ending);
   in_store |= other.in_store;
   accepted |= other.accepted;
@@ -56,7 +56,7 @@
   done |= other.done;
   held |= other.held;
   seen |= other.seen;
-  for (const auto& [shard, tasks] : other.lent) lent[shard] |= tasks;
+  for (const auto& [shard, tasks] : other.delegated) delegated[shard] |= tasks;
   for (const auto& [task, placement] : other.placements) {
     PlacementEvidence& known = placements[task];
     if (std::pair(placement.attempt, placement.machine) > std::pair(known.attempt, known.machine))
@@ -65,13 +65,13 @@
 }
 
 bool operator==(const JobEvidence& a, const JobEvidence& b) {
-  const auto text = [](const std::optional<HeadRecord>& head) {
-    return head ? dump_json(head->to_json()) : std::string();
+  const auto text = [](const std::optional<JobRecord>& job_record) {
+    return job_record ? dump_json(job_record->to_json()) : std::string();
   };
-  return text(a.head) == text(b.head) && a.ending == b.ending && a.in_store == b.in_store &&
+  return text(a.record) == text(b.record) && a.ending == b.ending && a.in_store == b.in_store &&
          a.accepted == b.accepted && a.owner_knows_it == b.owner_knows_it && a.done == b.done &&
          a.without_description == b.without_description && a.held == b.held &&
-         a.may_have_ended == b.may_have_ended && a.seen == b.seen && a.lent == b.lent &&
+         a.may_have_ended == b.may_have_ended && a.seen == b.seen && a.delegated == b.delegated &&
          a.placements == b.placements;
 }
 
@@ -89,9 +89,9 @@
 Evidence evidence_of(const NodeMemory& memory) {
   Evidence out;
   out.shards = memory.shards;
-  for (const HeadRecord& head : memory.accepted) {
-    JobEvidence& job = out.jobs[head.spec.ref];
-    merge_head(job.head, head);
+  for (const JobRecord& job_record : memory.accepted) {
+    JobEvidence& job = out.jobs[job_record.spec.ref];
+    merge_job_record(job.record, job_record);
     job.accepted = true;
   }
   for (const auto& [ref, status] : memory.terminals) merge_ending(out.jobs[ref].ending, status.phase);
@@ -99,17 +99,17 @@
     out.newest = std::max(out.newest, shard.token);
     out.owners[shard.shard] = {shard.token, shard.loaded, shard.lease_left_s > 0, shard.lease_left_s};
     for (const JobMemory& known : shard.jobs) {
-      JobEvidence& job = out.jobs[known.head.spec.ref];
-      merge_head(job.head, known.head);
-      job.owner_knows_it |= !known.borrowed;
+      JobEvidence& job = out.jobs[known.record.spec.ref];
+      merge_job_record(job.record, known.record);
+      job.owner_knows_it |= !known.delegated_here;
       job.done |= to_task_set(known.done);
       job.held |= to_task_set(known.held);
       job.may_have_ended |= known.may_have_ended;
-      for (const auto& [to, tasks] : known.lent) job.lent[to] |= to_task_set(tasks);
+      for (const auto& [to, tasks] : known.delegated) job.delegated[to] |= to_task_set(tasks);
     }
     for (const std::string& ref : shard.without_description) out.jobs[ref].without_description = true;
     for (const auto& [name, machine] : shard.machines) {
-      HostRecord record = machine;
+      MachineRecord record = machine;
       record.placements.clear();
       for (const PlacementRecord& placed : machine.placements)
         out.jobs[placed.ref].placements[placed.index] = {name, placed.attempt};
@@ -140,9 +140,9 @@
 
 namespace {
 
-TaskSet all_tasks(const HeadRecord& head) {
+TaskSet all_tasks(const JobRecord& job_record) {
   TaskSet out;
-  out.addRange(0, static_cast<std::uint64_t>(head.spec.task_count));
+  out.addRange(0, static_cast<std::uint64_t>(job_record.spec.task_count));
   return out;
 }
 
@@ -153,10 +153,10 @@
   return home_heard && (job.owner_knows_it || job.accepted) && !job.may_have_ended;
 }
 
-// Tasks that were lent to shards whose owner was not heard.
+// Tasks that were delegated to shards whose owner was not heard.
 TaskSet lent_out_of_sight(const JobEvidence& job, const RebuildScope& scope) {
   TaskSet out;
-  for (const auto& [shard, tasks] : job.lent) {
+  for (const auto& [shard, tasks] : job.delegated) {
     const bool heard =
         shard >= 0 && shard < scope.shards && scope.owner_heard[static_cast<std::size_t>(shard)];
     if (!heard) out |= tasks;
@@ -169,7 +169,7 @@
 JobOutcome derive_outcome(const std::string& ref, const JobEvidence& job, const RebuildScope& scope) {
   JobOutcome out;
   out.done = job.done;
-  const bool cancelled = job.ending == JobPhase::kCancelled || (job.head && job.head->aborted);
+  const bool cancelled = job.ending == JobPhase::kCancelled || (job.record && job.record->aborted);
   if (!scope.nothing_runs) out.placements = job.placements;
   std::erase_if(out.placements, [&job](const auto& item) {
     return job.done.contains(static_cast<std::uint32_t>(item.first));
@@ -181,24 +181,24 @@
   }
   if (cancelled) {
     // What is placed of it has to be stopped first; its description is what the owner needs for that.
-    const bool ended = out.placements.empty() || !job.head;
+    const bool ended = out.placements.empty() || !job.record;
     out.kind = ended ? JobOutcome::Kind::kEnded : JobOutcome::Kind::kOpen;
     out.ending = JobPhase::kCancelled;
     out.cancelled = true;
     return out;
   }
-  if (!job.head) {
+  if (!job.record) {
     out.kind = JobOutcome::Kind::kWithoutDescription;
     return out;
   }
-  const auto shard = static_cast<std::size_t>(part_of(ref, scope.shards));
+  const auto shard = static_cast<std::size_t>(shard_of(ref, scope.shards));
   out.may_have_ended = !open_for_certain(job, scope.owner_heard[shard]);
-  out.held = out.may_have_ended ? all_tasks(*job.head) : lent_out_of_sight(job, scope) | job.held;
+  out.held = out.may_have_ended ? all_tasks(*job.record) : lent_out_of_sight(job, scope) | job.held;
   out.held -= out.done;
   for (const auto& [task, placement] : out.placements) out.held.remove(static_cast<std::uint32_t>(task));
-  if (job.head->spec.gang && !out.held.isEmpty()) {
+  if (job.record->spec.gang && !out.held.isEmpty()) {
     // The tasks of a gang complete together, or none does.
-    out.held = all_tasks(*job.head);
+    out.held = all_tasks(*job.record);
     out.placements.clear();
   }
   return out;
--- a/src/recovery/evidence.hpp
+++ b/src/recovery/evidence.hpp
@@ -18,8 +18,8 @@
 #include <vector>
 
 #include "bookkeeping/records.hpp"
-#include "coordination/job_status.hpp"
-#include "coordination/node_memory.hpp"
+#include "coordination/node/job_status.hpp"
+#include "coordination/node/node_memory.hpp"
 
 namespace mothslip::recovery {
 
@@ -35,7 +35,7 @@
 };
 
 struct JobEvidence {
-  std::optional<HeadRecord> head;    // the description; nothing: only its name is known
+  std::optional<JobRecord> record;   // the description; nothing: only its name is known
   std::optional<JobPhase> ending;    // kDone or kCancelled
   bool in_store = false;             // the surviving records list it as open
   bool accepted = false;             // a controller accepted it a short while ago
@@ -45,7 +45,7 @@
   TaskSet done;                      // completed
   TaskSet held;                      // by an earlier rebuilding, and not decided since
   TaskSet seen;                      // reported by a worker, in whatever state
-  std::map<int, TaskSet> lent;       // by the shard that borrowed them, as its home knows
+  std::map<int, TaskSet> delegated;  // by the shard to which they were delegated, as its home knows
   std::map<int, PlacementEvidence> placements;
 
   void merge(const JobEvidence& other);
@@ -69,7 +69,7 @@
   int shards = 0;
   std::uint64_t newest = 0;  // token or revision that anybody has seen
   std::map<int, OwnerEvidence> owners;
-  std::map<std::string, HostRecord> machines;  // by name; their placements are with the jobs
+  std::map<std::string, MachineRecord> machines;  // by name; their placements are with the jobs
   std::map<std::string, JobEvidence> jobs;
 
   void merge(const Evidence& other);
@@ -103,7 +103,7 @@
   Kind kind = Kind::kOpen;
   JobPhase ending = JobPhase::kDone;
   bool may_have_ended = false;  // open as far as is known: nothing may be told of it
-  bool cancelled = false;       // open, and called off: what is placed of it is to be stopped
+  bool cancelled = false;       // open, and cancelled: what is placed of it is to be stopped
   TaskSet done;
   TaskSet held;  // may have completed unseen: not started, not forgotten
   std::map<int, PlacementEvidence> placements;
--- a/src/recovery/evidence_json.cpp
+++ b/src/recovery/evidence_json.cpp
@@ -18,7 +18,7 @@
 
 Json job_json(const JobEvidence& job) {
   Json out = Json::object();
-  if (job.head) out["head"] = job.head->to_json();
+  if (job.record) out["head"] = job.record->to_json();
   if (job.ending) out["ending"] = wire_name(*job.ending);
   if (job.in_store) out["in_store"] = true;
   if (job.accepted) out["accepted"] = true;
@@ -28,7 +28,7 @@
   if (!job.held.isEmpty()) out["held"] = text_of(job.held);
   if (!job.done.isEmpty()) out["done"] = text_of(job.done);
   if (!job.seen.isEmpty()) out["seen"] = text_of(job.seen);
-  for (const auto& [shard, tasks] : job.lent) out["lent"][std::to_string(shard)] = text_of(tasks);
+  for (const auto& [shard, tasks] : job.delegated) out["lent"][std::to_string(shard)] = text_of(tasks);
   for (const auto& [task, placement] : job.placements)
     out["placed"].push_back({task, placement.machine, placement.attempt});
   return out;
@@ -37,8 +37,8 @@
 std::optional<JobEvidence> job_of(const Json& value) {
   JobEvidence out;
   if (value.contains("head")) {
-    out.head = HeadRecord::from_json(value["head"]);
-    if (!out.head) return std::nullopt;
+    out.record = JobRecord::from_json(value["head"]);
+    if (!out.record) return std::nullopt;
   }
   if (value.contains("ending")) {
     const auto status = terminal_status(value["ending"].get<std::string>(), 0);
@@ -57,11 +57,11 @@
   out.may_have_ended = value.value("may_have_ended", false);
   out.done = *done;
   out.seen = *seen;
-  const Json lent = value.value("lent", Json::object());
-  for (const auto& [shard, tasks] : lent.items()) {
+  const Json delegated = value.value("lent", Json::object());
+  for (const auto& [shard, tasks] : delegated.items()) {
     const auto set = task_set_of(tasks);
     if (!set) return std::nullopt;
-    out.lent[std::stoi(shard)] = *set;
+    out.delegated[std::stoi(shard)] = *set;
   }
   const Json placements = value.value("placed", Json::array());
   for (const Json& placed : placements)
@@ -93,7 +93,7 @@
                                             owner.at(3).get<bool>(), owner.at(4).get<double>()};
     const Json machine_map = value.value("machines", Json::object());
     for (const auto& [name, machine] : machine_map.items()) {
-      auto record = HostRecord::from_json(machine);
+      auto record = MachineRecord::from_json(machine);
       if (!record) return std::nullopt;
       out.machines.emplace(name, std::move(*record));
     }
--- a/src/recovery/loss_detector.hpp
+++ b/src/recovery/loss_detector.hpp
@@ -2,8 +2,8 @@
 //
 // What proves it, and nothing else does:
 //  * a revision lower than one that somebody had seen before the question was asked: revisions only rise;
-//  * a lease that ended before its time, or a page of a shard's journal that changed under its owner's eyes:
-//  what the
+//  * a lease that ended before its time, or a segment of a shard's journal that changed under its owner's
+//  eyes: what the
 //    service answered is no longer so;
 //  * a `meta` that is missing, or of another incarnation.
 // An outage, a lost or late answer and a watch that is too old are none of these.
@@ -12,7 +12,7 @@
 #include <functional>
 #include <string>
 
-#include "coordination/state_monitor.hpp"
+#include "coordination/state/state_monitor.hpp"
 
 namespace mothslip::recovery {
 
--- a/src/recovery/rebuild.cpp
+++ b/src/recovery/rebuild.cpp
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "coordination/ownership.hpp"
+#include "coordination/ownership/ownership.hpp"
 
 namespace mothslip::recovery {
 
@@ -104,7 +104,7 @@
 
 // No controller decides anything after its lease, which ends `kLeaseSeconds` after this rebuilding was
 // recorded at the latest; and none renews a worker's lease so that it would last for longer than `cancel_s`
-// after that. By then whatever ran has ended, and every machine is in a new session or gone.
+// after that. By then whatever ran has ended, and every machine is in a new incarnation or gone.
 double Rebuild::quiet_at() const {
   return began_ + (Ownership::kLeaseSeconds + settings_.cancel_s) * (1 + kDrift) + kMargin;
 }
@@ -185,7 +185,8 @@
   transaction.guard(kLeaderKey, plan_.leader_revision);
   transaction.put(keys::kMeta, next_meta_.to_json());
   transaction.remove(kLeaderKey);
-  store_.commit(Lane::kLease, transaction, [this](const StateReply& reply) { on_publish_reply(reply); });
+  store_.commit(RequestPriority::kLease, transaction,
+                [this](const StateReply& reply) { on_publish_reply(reply); });
 }
 
 void Rebuild::on_publish_reply(const StateReply& reply) {
--- a/src/recovery/rebuild.hpp
+++ b/src/recovery/rebuild.hpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "coordination/state_client.hpp"
+#include "coordination/state/state_client.hpp"
 #include "recovery/evidence_collector.hpp"
 #include "recovery/record_writer.hpp"
 #include "recovery/scoped_env.hpp"
--- a/src/recovery/rebuilt_records.cpp
+++ b/src/recovery/rebuilt_records.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kFill = 0.8;        // of the largest value: owners add to these records
-constexpr int kTasksPerPart = 512;   // that a further record of a job's progress covers
+constexpr int kTasksPerChunk = 512;  // that a further record of a job's progress covers
 constexpr double kCoreGrain = 0.25;  // shares of a team's limit are multiples of it
 
 class RecordBuilder {
@@ -26,7 +26,7 @@
 
   RebuiltRecords build() {
     for (const auto& [ref, job] : evidence_.jobs) add_job(ref, job);
-    add_pages();
+    add_segments();
     add_team_limits();
     return std::move(out_);
   }
@@ -40,7 +40,7 @@
   void add_job(const std::string& ref, const JobEvidence& job) {
     JobOutcome outcome = derive_outcome(ref, job, scope_);
     hold_on_unknown_machines(outcome);
-    const int shard = part_of(ref, scope_.shards);
+    const int shard = shard_of(ref, scope_.shards);
     switch (outcome.kind) {
       case JobOutcome::Kind::kEnded:
         add_ending(ref, shard, job, outcome);
@@ -49,7 +49,7 @@
         add_without_description(ref, shard, job);
         return;
       case JobOutcome::Kind::kOpen:
-        add_open(ref, shard, *job.head, outcome);
+        add_open(ref, shard, *job.record, outcome);
         return;
     }
   }
@@ -68,7 +68,7 @@
     out_.counts.ended++;
     const auto number = job_number(ref);
     if (number && stored_endings_.contains(*number)) return;
-    const int task_count = job.head ? job.head->spec.task_count : 0;
+    const int task_count = job.record ? job.record->spec.task_count : 0;
     out_.others.push_back({keys::ending(shard, ref), ending_json(wire_name(outcome.ending), task_count)});
   }
 
@@ -83,15 +83,15 @@
     out_.others.push_back({keys::unaccounted(shard, ref), record.to_json()});
   }
 
-  void add_open(const std::string& ref, int shard, const HeadRecord& known, const JobOutcome& outcome) {
+  void add_open(const std::string& ref, int shard, const JobRecord& known, const JobOutcome& outcome) {
     out_.counts.open++;
-    HeadRecord head = known;
-    head.aborted = outcome.cancelled;
-    head.spread = outcome.cancelled;  // (its new owner tells users once all have taken note)
-    out_.heads.push_back({keys::head(shard, ref), head.to_json()});
+    JobRecord job_record = known;
+    job_record.aborted = outcome.cancelled;
+    job_record.spread = outcome.cancelled;  // (its new owner tells users once all have taken note)
+    out_.job_records.push_back({keys::job_record(shard, ref), job_record.to_json()});
     add_progress(ref, shard, to_ranges(outcome.done));
-    if (!outcome.held.isEmpty() || outcome.may_have_ended) add_held(head.spec, shard, outcome);
-    add_placements(ref, shard, head, outcome);
+    if (!outcome.held.isEmpty() || outcome.may_have_ended) add_held(job_record.spec, shard, outcome);
+    add_placements(ref, shard, job_record, outcome);
   }
 
   void add_held(const JobSpec& spec, int shard, const JobOutcome& outcome) {
@@ -118,66 +118,69 @@
       return;
     }
     const int end = done.ranges().rbegin()->second;
-    for (int number = 0; number * kTasksPerPart < end; number++) {
-      const RangeSet slice = done.slice(number * kTasksPerPart, (number + 1) * kTasksPerPart);
+    for (int number = 0; number * kTasksPerChunk < end; number++) {
+      const RangeSet slice = done.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk);
       if (slice.empty()) continue;
-      out_.others.push_back({keys::progress_part(shard, ref, number), {{"done", slice.to_text()}}});
+      out_.others.push_back({keys::progress_chunk(shard, ref, number), {{"done", slice.to_text()}}});
     }
   }
 
-  // A task is recorded by the shard of its machine; where that is not its home, as part of a block that it
-  // borrows.
-  void add_placements(const std::string& ref, int home, const HeadRecord& head, const JobOutcome& outcome) {
-    std::map<int, RangeSet> borrowed;
-    const int team = settings_.team_index(head.spec.team);
+  // A task is recorded by the shard of its machine; where that is not its home, as part of a delegation that
+  // it borrows.
+  void add_placements(const std::string& ref, int home, const JobRecord& job_record,
+                      const JobOutcome& outcome) {
+    std::map<int, RangeSet> delegated_here;
+    const int team = settings_.team_index(job_record.spec.team);
     for (const auto& [task, placement] : outcome.placements) {
-      const int shard = part_of(placement.machine, scope_.shards);
+      const int shard = shard_of(placement.machine, scope_.shards);
       placed_[placement.machine].push_back({ref, task, placement.attempt});
       out_.counts.placed_tasks++;
       ShardUse& use = use_[{team, shard}];
-      use.cores += head.spec.cores;
-      use.gpus += head.spec.accelerators;
-      if (shard != home) borrowed[shard].insert(task);
+      use.cores += job_record.spec.cores;
+      use.gpus += job_record.spec.accelerators;
+      if (shard != home) delegated_here[shard].insert(task);
     }
-    for (auto& [shard, tasks] : borrowed) {
-      if (head.spec.gang || head.spec.together || head.spec.scatter) tasks = undone(head, outcome);
-      BlockRecord record;
-      record.home = home;
-      record.head = head;
+    for (auto& [shard, tasks] : delegated_here) {
+      if (job_record.spec.gang || job_record.spec.together || job_record.spec.scatter)
+        tasks = undone(job_record, outcome);
+      DelegationRecord record;
+      record.home_shard = home;
+      record.job = job_record;
       record.range = tasks;
-      out_.blocks.push_back({keys::blocks(shard, ref) + "rebuilt", keys::head(home, ref), std::move(record)});
+      out_.delegations.push_back(
+          {keys::delegations(shard, ref) + "rebuilt", keys::job_record(home, ref), std::move(record)});
     }
   }
 
-  // Tasks that may not be placed without regard to each other are lent whole.
-  static RangeSet undone(const HeadRecord& head, const JobOutcome& outcome) {
+  // Tasks that may not be placed without regard to each other are delegated whole.
+  static RangeSet undone(const JobRecord& job_record, const JobOutcome& outcome) {
     RangeSet out;
-    out.insert(0, head.spec.task_count);
+    out.insert(0, job_record.spec.task_count);
     out.erase(to_ranges(outcome.done | outcome.held));
     return out;
   }
 
-  void add_pages() {
-    std::map<int, PageRecord> pages;  // by shard: the one that is being filled
+  void add_segments() {
+    std::map<int, SegmentRecord> segments;  // by shard: the one that is being filled
     std::map<int, int> numbers;
     std::map<int, std::size_t> bytes;
     for (auto& [name, placements] : placed_) {
       const auto known = evidence_.machines.find(name);
       if (known == evidence_.machines.end()) continue;
-      HostRecord machine = known->second;
+      MachineRecord machine = known->second;
       machine.placements = std::move(placements);
-      const int shard = part_of(name, scope_.shards);
+      const int shard = shard_of(name, scope_.shards);
       const std::size_t needs = name.size() + dump_json(machine.to_json()).size() + 8;
-      if (bytes[shard] + needs > value_bytes_ && !pages[shard].hosts.empty()) {
-        out_.others.push_back({keys::page(shard, ++numbers[shard]), pages[shard].to_json()});
-        pages[shard] = {};
+      if (bytes[shard] + needs > value_bytes_ && !segments[shard].machines.empty()) {
+        out_.others.push_back({keys::segment(shard, ++numbers[shard]), segments[shard].to_json()});
+        segments[shard] = {};
         bytes[shard] = 0;
       }
-      pages[shard].hosts.emplace(name, std::move(machine));
+      segments[shard].machines.emplace(name, std::move(machine));
       bytes[shard] += needs;
     }
-    for (const auto& [shard, page] : pages)
-      out_.others.push_back({keys::page(shard, numbers[shard] + 1), page.to_json()});
+    for (const auto& [shard, segment] : segments)
+      out_.others.push_back({keys::segment(shard, numbers[shard] + 1), segment.to_json()});
   }
 
   // Every shard may use what it uses now, and an even part of what is left. A team of which nothing runs
@@ -193,8 +196,8 @@
         total.gpus += use.back().gpus;
       }
       if (total.cores == 0 && total.gpus == 0) continue;
-      const double spare_cores = even_part(limits.cpus_max - total.cores);
-      const double spare_gpus = even_part(limits.gpus_max - total.gpus);
+      const double spare_cores = even_share(limits.cpus_max - total.cores);
+      const double spare_gpus = even_share(limits.gpus_max - total.gpus);
       Json cores = Json::array();
       Json gpus = Json::array();
       for (const ShardUse& each : use) {
@@ -208,7 +211,7 @@
     }
   }
 
-  [[nodiscard]] double even_part(double amount) const {
+  [[nodiscard]] double even_share(double amount) const {
     return std::max(0.0, std::floor(amount / scope_.shards / kCoreGrain) * kCoreGrain);
   }
 
--- a/src/recovery/rebuilt_records.hpp
+++ b/src/recovery/rebuilt_records.hpp
@@ -14,16 +14,16 @@
   Json data;
 };
 
-// Blocks name the revision of their job's head, so heads are written first.
+// Delegations name the revision of their job record, so job records are written first.
 struct RebuiltRecords {
-  std::vector<RecordWrite> heads;
-  std::vector<RecordWrite> others;  // everything but heads and blocks
-  struct Block {
+  std::vector<RecordWrite> job_records;
+  std::vector<RecordWrite> others;  // everything but job records and delegations
+  struct Delegation {
     std::string key;
-    std::string head_key;
-    BlockRecord record;  // without the head's revision
+    std::string job_key;
+    DelegationRecord record;  // without the job record's revision
   };
-  std::vector<Block> blocks;
+  std::vector<Delegation> delegations;
 
   struct Counts {
     int open = 0;
--- a/src/recovery/record_writer.cpp
+++ b/src/recovery/record_writer.cpp
@@ -18,10 +18,10 @@
       leader_revision_(target.leader_revision),
       batch_bytes_(std::max(static_cast<std::size_t>(settings.value_kb * 1024), kTransactionBytes)),
       queue_(std::move(records.others)),
-      blocks_(std::move(records.blocks)) {
-  // Heads first: blocks, which are added when all else is written, name their revisions.
-  std::move(records.heads.begin(), records.heads.end(), std::back_inserter(queue_));
-  total_ = queue_.size() + blocks_.size();
+      delegations_(std::move(records.delegations)) {
+  // Job records first: delegations, which are added when all else is written, name their revisions.
+  std::move(records.job_records.begin(), records.job_records.end(), std::back_inserter(queue_));
+  total_ = queue_.size() + delegations_.size();
 }
 
 void RecordWriter::write(Handler handler) {
@@ -29,12 +29,12 @@
   next();
 }
 
-void RecordWriter::add_blocks() {
-  for (RebuiltRecords::Block& block : blocks_) {
-    block.record.job_revision = head_revisions_[block.head_key];
-    queue_.push_back({std::move(block.key), block.record.to_json()});
+void RecordWriter::add_delegations() {
+  for (RebuiltRecords::Delegation& delegation : delegations_) {
+    delegation.record.job_revision = job_revisions_[delegation.job_key];
+    queue_.push_back({std::move(delegation.key), delegation.record.to_json()});
   }
-  blocks_.clear();
+  delegations_.clear();
 }
 
 std::vector<RecordWrite> RecordWriter::take_batch() {
@@ -52,7 +52,7 @@
 }
 
 void RecordWriter::next() {
-  if (queue_.empty()) add_blocks();
+  if (queue_.empty()) add_delegations();
   if (queue_.empty()) {
     handler_(true);
     return;
@@ -68,7 +68,7 @@
 }
 
 void RecordWriter::send(const std::vector<RecordWrite>& batch, const std::string& body) {
-  store_.commit_body(Lane::kLaunch, body, static_cast<int>(batch.size()),
+  store_.commit_body(RequestPriority::kLaunch, body, static_cast<int>(batch.size()),
                      [this, batch, body](const StateReply& reply) {
                        if (reply.ok()) {
                          settle(batch, reply.revision());
@@ -82,7 +82,7 @@
 
 // Refused: a copy that went unanswered was carried out before, or the leader has been deposed.
 void RecordWriter::look_for(const std::vector<RecordWrite>& batch, const std::string& body) {
-  store_.get(Lane::kLaunch, key_space_.stored_key(batch.front().key),
+  store_.get(RequestPriority::kLaunch, key_space_.stored_key(batch.front().key),
              [this, batch, body](const StateReply& reply) {
                if (reply.ok()) {
                  settle(batch, reply.body.value("stamp", std::uint64_t{0}));
@@ -97,7 +97,7 @@
 void RecordWriter::settle(const std::vector<RecordWrite>& batch, std::uint64_t revision) {
   written_ += batch.size();
   for (const RecordWrite& record : batch) {
-    if (record.key.rfind(keys::kHeads, 0) == 0) head_revisions_[record.key] = key_space_.to_own(revision);
+    if (record.key.rfind(keys::kJobRecords, 0) == 0) job_revisions_[record.key] = key_space_.to_own(revision);
   }
   next();
 }
--- a/src/recovery/record_writer.hpp
+++ b/src/recovery/record_writer.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/state_client.hpp"
+#include "coordination/state/state_client.hpp"
 #include "recovery/rebuilt_records.hpp"
 
 namespace mothslip::recovery {
@@ -39,7 +39,7 @@
   void settle(const std::vector<RecordWrite>& batch, std::uint64_t revision);
   void look_for(const std::vector<RecordWrite>& batch, const std::string& body);
   [[nodiscard]] std::vector<RecordWrite> take_batch();
-  void add_blocks();
+  void add_delegations();
 
   Env& env_;
   StateClient& store_;
@@ -47,8 +47,8 @@
   std::uint64_t leader_revision_;
   std::size_t batch_bytes_;
   std::vector<RecordWrite> queue_;  // those to be written next stand last
-  std::vector<RebuiltRecords::Block> blocks_;
-  std::map<std::string, std::uint64_t> head_revisions_;  // as the new incarnation sees them
+  std::vector<RebuiltRecords::Delegation> delegations_;
+  std::map<std::string, std::uint64_t> job_revisions_;  // as the new incarnation sees them
   std::size_t total_;
   std::size_t written_ = 0;
   Handler handler_;
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "bookkeeping/records.hpp"
-#include "coordination/ownership.hpp"
+#include "coordination/ownership/ownership.hpp"
 
 namespace mothslip::recovery {
 
@@ -31,7 +31,7 @@
 }
 
 void Recovery::look() {
-  store_.get(Lane::kLease, keys::kMeta, [this](const StateReply& reply) { on_meta(reply); });
+  store_.get(RequestPriority::kLease, keys::kMeta, [this](const StateReply& reply) { on_meta(reply); });
 }
 
 void Recovery::on_meta(const StateReply& reply) {
@@ -54,7 +54,7 @@
 }
 
 void Recovery::look_for_leader(const MetaRecord& meta, std::uint64_t meta_revision) {
-  store_.get(Lane::kLease, kLeaderKey, [this, meta, meta_revision](const StateReply& reply) {
+  store_.get(RequestPriority::kLease, kLeaderKey, [this, meta, meta_revision](const StateReply& reply) {
     if (reply.outcome == Outcome::kMissing) {
       claim(meta, meta_revision);
     } else {
@@ -83,8 +83,8 @@
   transaction.put_with_lease(kLeaderKey, {{"node", ctx_.settings->node}, {"begun", next.begun}}, lease);
   const auto most = static_cast<std::size_t>(ctx_.settings->txn_ops);
   for (int shard = 0; shard < meta.shards && transaction.then.size() < most; shard++)
-    transaction.put(meta.incarnation.prefix + keys::part(shard), {{"node", kRebuiltOwner}});
-  store_.commit(Lane::kLease, transaction, [this, lease, next](const StateReply& reply) {
+    transaction.put(meta.incarnation.prefix + keys::shard(shard), {{"node", kRebuiltOwner}});
+  store_.commit(RequestPriority::kLease, transaction, [this, lease, next](const StateReply& reply) {
     if (reply.ok()) {
       lead(lease, next, reply.revision());
     } else {
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "coordination/state_client.hpp"
+#include "coordination/state/state_client.hpp"
 #include "recovery/rebuild.hpp"
 
 namespace mothslip::recovery {
--- a/src/recovery/surviving_records.cpp
+++ b/src/recovery/surviving_records.cpp
@@ -22,10 +22,10 @@
     out_.evidence = std::move(known);
     using Take = void (Reader::*)(const StateItem&);
     const auto plan = [this](const std::string& prefix, Take take) { steps_.push_back({prefix, take}); };
-    plan(current_ + keys::kHeads, &Reader::take_head);
+    plan(current_ + keys::kJobRecords, &Reader::take_job_record);
     plan(current_ + "d/", &Reader::take_progress);
-    plan(current_ + keys::kBlocks, &Reader::take_block);
-    plan(current_ + "h/", &Reader::take_page);
+    plan(current_ + keys::kDelegations, &Reader::take_delegation);
+    plan(current_ + "h/", &Reader::take_segment);
     plan(current_ + keys::kUnaccounted, &Reader::take_unaccounted);
     plan(current_ + "e/", &Reader::take_ending);
     for (const std::string& earlier : incarnation.earlier_prefixes)
@@ -40,7 +40,7 @@
     const Step step = steps_[at_];
     const auto self = shared_from_this();
     store_.scan(
-        Lane::kLease, "/" + step.prefix,
+        RequestPriority::kLease, "/" + step.prefix,
         [self, step](const std::vector<StateItem>& items) {
           for (const StateItem& item : items) (self.get()->*step.take)(item);
         },
@@ -77,28 +77,28 @@
     if (const auto done = RangeSet::from_text(text, kMostTasks)) open->second.done |= to_task_set(*done);
   }
 
-  void take_head(const StateItem& item) {
-    auto head = HeadRecord::from_json(item.data);
-    if (!head) return unreadable(item);
+  void take_job_record(const StateItem& item) {
+    auto job_record = JobRecord::from_json(item.data);
+    if (!job_record) return unreadable(item);
     JobEvidence job;
     job.in_store = true;
-    const std::string ref = head->spec.ref;
-    job.head = std::move(head);
+    const std::string ref = job_record->spec.ref;
+    job.record = std::move(job_record);
     out_.evidence.jobs[ref].merge(job);
   }
 
   void take_progress(const StateItem& item) { add_done(job_of(item.key), item.data.value("done", "")); }
 
-  void take_block(const StateItem& item) {
-    const auto block = BlockRecord::from_json(item.data);
-    if (!block) return unreadable(item);
-    add_done(block->head.spec.ref, block->done.to_text());
+  void take_delegation(const StateItem& item) {
+    const auto delegation = DelegationRecord::from_json(item.data);
+    if (!delegation) return unreadable(item);
+    add_done(delegation->job.spec.ref, delegation->done.to_text());
   }
 
-  void take_page(const StateItem& item) {
-    const auto page = PageRecord::from_json(item.data);
-    if (!page) return unreadable(item);
-    for (const auto& [name, text] : page->done) add_done(job_of(name), text);
+  void take_segment(const StateItem& item) {
+    const auto segment = SegmentRecord::from_json(item.data);
+    if (!segment) return unreadable(item);
+    for (const auto& [name, text] : segment->done) add_done(job_of(name), text);
   }
 
   void take_unaccounted(const StateItem& item) {
--- a/src/recovery/surviving_records.hpp
+++ b/src/recovery/surviving_records.hpp
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "coordination/state_client.hpp"
+#include "coordination/state/state_client.hpp"
 #include "recovery/evidence.hpp"
 
 namespace mothslip::recovery {
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -33,7 +33,7 @@
   return report.fencing_token > 0 || !report.tasks.empty();
 }
 
-void SuspendedService::on_front(const HttpRequest& request, const Responder& responder, double now) {
+void SuspendedService::on_client_request(const HttpRequest& request, const Responder& responder, double now) {
   if (request.path == "/ready") {
     responder.send(503, R"({"ready":false})", 1);
   } else if (request.path == "/hello") {
@@ -53,7 +53,7 @@
     if (task.phase == TaskPhase::kExited && task.cause == ExitCause::kDone)
       job.done.add(static_cast<std::uint32_t>(task.index));
   }
-  const auto renewal = shards_ > 0 ? renewals_.find(part_of(report.host, shards_)) : renewals_.end();
+  const auto renewal = shards_ > 0 ? renewals_.find(shard_of(report.machine_name, shards_)) : renewals_.end();
   if (renewal != renewals_.end() && report.fencing_token <= renewal->second.token &&
       now < renewal->second.until) {
     responder.send(200, orders_body(renewal->second.token, std::nullopt, {}));
--- a/src/recovery/suspended_service.hpp
+++ b/src/recovery/suspended_service.hpp
@@ -9,7 +9,7 @@
 #include <map>
 #include <string>
 
-#include "coordination/node_memory.hpp"
+#include "coordination/node/node_memory.hpp"
 #include "protocol/settings.hpp"
 #include "recovery/evidence.hpp"
 #include "transport/http.hpp"
@@ -21,7 +21,7 @@
   // `now`: by the clock that all later calls use.
   SuspendedService(const NodeMemory& memory, double now);
 
-  void on_front(const HttpRequest& request, const Responder& responder, double now);
+  void on_client_request(const HttpRequest& request, const Responder& responder, double now);
   // A report shows that the state service has known more than it says now: it was given a token, or tasks.
   [[nodiscard]] static bool shows_earlier_state(const Report& report);
   [[nodiscard]] const Evidence& reported() const { return reported_; }
--- a/src/recovery/unaccounted_jobs.cpp
+++ b/src/recovery/unaccounted_jobs.cpp
@@ -16,11 +16,11 @@
 
 struct DecisionName {
   const char* name;
-  Part::HeldDecision what;
+  ShardLeader::HeldDecision what;
 };
-constexpr DecisionName kDecisions[] = {{"done", Part::HeldDecision::kDone},
-                                       {"rerun", Part::HeldDecision::kRerun},
-                                       {"cancelled", Part::HeldDecision::kCancelled}};
+constexpr DecisionName kDecisions[] = {{"done", ShardLeader::HeldDecision::kDone},
+                                       {"rerun", ShardLeader::HeldDecision::kRerun},
+                                       {"cancelled", ShardLeader::HeldDecision::kCancelled}};
 
 Json entry_of(const StateItem& item) {
   const auto record = UnaccountedRecord::from_json(item.data);
@@ -78,16 +78,16 @@
     for (const StateItem& item : items) jobs.push_back(entry_of(item));
     responder.send(200, dump_json({{"unaccounted", std::move(jobs)}}));
   };
-  store_.list(Lane::kRest, keys::kUnaccounted, answer);
+  store_.list(RequestPriority::kRest, keys::kUnaccounted, answer);
 }
 
 void UnaccountedJobs::resolve(const std::string& body, const Responder& responder) {
   auto decision = Decision::from_json(parse_json(body));
   if (!decision) return responder.send(400, R"({"error":"job, and as: done, rerun or cancelled"})");
   if (node_.shards() == 0) return responder.send(503, R"({"error":"starting"})", kRetryAfterSeconds);
-  const int shard = part_of(decision->ref, node_.shards());
-  if (Part* part = node_.owned_part(shard); part != nullptr) {
-    if (part->resolve_held(decision->ref, decision->what)) {
+  const int shard = shard_of(decision->ref, node_.shards());
+  if (ShardLeader* leader = node_.owned_shard(shard); leader != nullptr) {
+    if (leader->resolve_held(decision->ref, decision->what)) {
       responder.send(202, dump_json({{"job", decision->ref}}));
     } else {
       responder.send(404, R"({"error":"the job is not unaccounted"})");
--- a/src/recovery/unaccounted_jobs.hpp
+++ b/src/recovery/unaccounted_jobs.hpp
@@ -4,8 +4,8 @@
 
 #include <string>
 
-#include "coordination/node.hpp"
-#include "coordination/state_client.hpp"
+#include "coordination/node/node.hpp"
+#include "coordination/state/state_client.hpp"
 #include "transport/http.hpp"
 
 namespace mothslip::recovery {
@@ -13,7 +13,7 @@
 // What an operator says about a job.
 struct Decision {
   std::string ref;
-  Part::HeldDecision what = Part::HeldDecision::kDone;
+  ShardLeader::HeldDecision what = ShardLeader::HeldDecision::kDone;
   bool relayed = false;  // by another controller
   [[nodiscard]] Json to_json() const;
   static std::optional<Decision> from_json(const Json& value);
--- a/src/scheduling/sizing.cpp
+++ b/src/scheduling/sizing.cpp
@@ -75,9 +75,9 @@
   for (auto it = machine.rooms.rbegin(); it != machine.rooms.rend(); ++it) {
     if (usable_at(*it, wanted) > at) continue;
     for (std::size_t r = 0; r < demand.size(); r++) {
-      const double part = std::min(demand[r], it->room[r]);
-      it->room[r] -= part;
-      demand[r] -= part;
+      const double taken = std::min(demand[r], it->room[r]);
+      it->room[r] -= taken;
+      demand[r] -= taken;
     }
   }
   const auto place = std::upper_bound(machine.rooms.begin(), machine.rooms.end(), back,
--- a/src/scheduling/sizing.hpp
+++ b/src/scheduling/sizing.hpp
@@ -53,7 +53,7 @@
   bool spot_allowed = true;
   bool spot_only = false;   // not worth an ordinary machine
   std::vector<char> types;  // allowed types, by index; empty: all
-  int zone = -1;            // the only hall, or -1
+  int zone = -1;            // the only zone, or -1
 };
 
 struct FleetPlan {
--- a/src/transport/event_env.cpp
+++ b/src/transport/event_env.cpp
@@ -148,10 +148,10 @@
     finish(exchange, {}, false);
   });
   slot->waiting.push_back(std::move(exchange));
-  pump(*slot);
+  send_queued(*slot);
 }
 
-void EventEnv::pump(Pool& pool) {
+void EventEnv::send_queued(Pool& pool) {
   while (!pool.waiting.empty() && pool.busy < kMaxConnectionsPerPeer) {
     auto exchange = pool.waiting.front();
     pool.waiting.pop_front();
@@ -233,7 +233,7 @@
       if (reusable) pool->idle.push_back(std::move(exchange->wire));
       exchange->wire.reset();
     }
-    pump(*pool);
+    send_queued(*pool);
     // Machines come and go by the thousand: nothing is kept of one that was called once.
     if (pool->busy == 0 && pool->idle.empty() && pool->waiting.empty())
       pools_.erase(exchange->call.destination);
--- a/src/transport/event_env.hpp
+++ b/src/transport/event_env.hpp
@@ -45,7 +45,7 @@
   static void on_timer(evutil_socket_t, short, void* arg);
   static void on_reply(evhttp_request* request, void* arg);
   void start(Pool& pool, const std::shared_ptr<Exchange>& exchange);
-  void pump(Pool& pool);
+  void send_queued(Pool& pool);
   void finish(const std::shared_ptr<Exchange>& exchange, HttpReply reply, bool reusable);
 
   event_base* base_ = nullptr;
--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -12,31 +12,31 @@
 
 namespace {
 
-constexpr double kPick = 60;  // the day's jobs run and are spread over the parts by then
+constexpr double kPick = 60;  // the day's jobs run and are spread over the shards by then
 
-int tasks_of(World& world, const std::string& ref, int part) {
+int tasks_of(World& world, const std::string& ref, int shard) {
   int count = 0;
   for (const auto& [name, worker] : world.workers) {
-    if (worker->dead || part_of(name, world.options.nodes) != part) continue;
+    if (worker->dead || shard_of(name, world.options.nodes) != shard) continue;
     for (const Task& task : worker->tasks) count += task.ref == ref && worker->on_machine(task) ? 1 : 0;
   }
   return count;
 }
 
-// A job of which tasks run on machines of its home part and of a part that has borrowed them, the two being
-// owned by different nodes.
+// A job of which tasks run on machines of its home shard and of a shard to which they were delegated, the two
+// being owned by different nodes.
 struct Spread {
   std::string ref;
-  int home = -1;
-  int borrower = -1;
+  int home_shard = -1;
+  int delegate = -1;
 };
 
 Spread find_spread(World& world) {
-  for (const auto& [key, block] : world.state.values()) {
-    if (key.rfind(keys::kBlocks, 0) != 0) continue;
-    Spread out{block["head"]["job"]["ref"], block["home"], keys::block_part(key)};
-    if (world.owner_of(out.home) == world.owner_of(out.borrower)) continue;
-    if (tasks_of(world, out.ref, out.borrower) > 0) return out;
+  for (const auto& [key, delegation] : world.state.values()) {
+    if (key.rfind(keys::kDelegations, 0) != 0) continue;
+    Spread out{delegation["head"]["job"]["ref"], delegation["home"], keys::delegation_target(key)};
+    if (world.owner_of(out.home_shard) == world.owner_of(out.delegate)) continue;
+    if (tasks_of(world, out.ref, out.delegate) > 0) return out;
   }
   return {};
 }
@@ -50,21 +50,21 @@
     out.loss = 0;
     return out;
   }
-  // Jobs of long tasks, more than any one part can hold; none is cancelled by itself.
+  // Jobs of long tasks, more than any one shard can hold; none is cancelled by itself.
   static void add_long_jobs(World& world, double run_s) {
     for (int i = 0; i < 6; i++) {
       world.submit(plain_job(world, i, world.uniform(2, 9), 12, run_s));
     }
   }
   static void cancel_all(World& world) {
-    for (auto& [ref, job] : world.jobs) world.call_off(ref);
+    for (auto& [ref, job] : world.jobs) world.cancel_job(ref);
   }
 };
 
-// The machines of the part reach only this node.
-void leave_alone_with(World& world, int part, int node) {
+// The machines of the shard reach only this node.
+void leave_alone_with(World& world, int shard, int node) {
   for (auto& [name, worker] : world.workers) {
-    if (part_of(name, world.options.nodes) != part) continue;
+    if (shard_of(name, world.options.nodes) != shard) continue;
     for (int i = 0; i < world.options.nodes; i++) {
       if (i != node) world.cuts.insert({name, node_name(i)});
     }
@@ -73,8 +73,8 @@
 
 }  // namespace
 
-// The gap: the state service refuses a borrower alone, the home confirms cancellations, then the service is
-// down for all, longer than cancel_s, while the workers report to the borrower. With a node that is refused
+// The gap: the state service refuses a delegate alone, the home confirms cancellations, then the service is
+// down for all, longer than cancel_s, while the workers report to the delegate. With a node that is refused
 // for less and for more than its lease.
 TEST_P(Cancelled, WhileABorrowerIsRefusedAndThenTheServiceIsDown) {
   World world(options());
@@ -84,8 +84,8 @@
   const double refused_for = GetParam() % 2 == 0 ? 1 : 7;
   world.at(kPick, [&] {
     spread = find_spread(world);
-    ASSERT_GE(spread.home, 0);
-    world.cut_node(world.owner_of(spread.borrower), false);
+    ASSERT_GE(spread.home_shard, 0);
+    world.cut_node(world.owner_of(spread.delegate), false);
   });
   world.at(kPick + refused_for, [&world] { cancel_all(world); });
   world.at(kPick + refused_for + 2, [&world] { world.state.set_outage(true); });
@@ -102,8 +102,8 @@
   EXPECT_TRUE(told);
 }
 
-// The same, and the borrower's owner is cut off from the other nodes as well, alone with its machines.
-// Another node takes the part over and the cancellation is confirmed; the old owner must end by itself what
+// The same, and the delegate's owner is cut off from the other nodes as well, alone with its machines.
+// Another node takes the shard over and the cancellation is confirmed; the old owner must end by itself what
 // it runs.
 TEST_P(Cancelled, WhileAnOldOwnerIsAloneWithItsMachines) {
   World world(options());
@@ -113,10 +113,10 @@
   int left = 0;
   world.at(kPick, [&] {
     spread = find_spread(world);
-    ASSERT_GE(spread.home, 0);
-    const int node = world.owner_of(spread.borrower);
+    ASSERT_GE(spread.home_shard, 0);
+    const int node = world.owner_of(spread.delegate);
     world.cut_node(node, true);
-    leave_alone_with(world, spread.borrower, node);
+    leave_alone_with(world, spread.delegate, node);
   });
   world.at(kPick + 8, [&world] { cancel_all(world); });
   const bool down = GetParam() % 2 == 0;
@@ -126,7 +126,7 @@
       if (told || !world.jobs.at(spread.ref).told_aborted) return;
       told = true;
       world.state.set_outage(down);
-      left = tasks_of(world, spread.ref, spread.borrower);
+      left = tasks_of(world, spread.ref, spread.delegate);
     });
   }
   world.at(kPick + 90, [&world] {
@@ -147,7 +147,7 @@
   int node = -1;
   world.at(kPick, [&] {
     const std::string ref = world.jobs.begin()->first;
-    const int home = part_of(ref, world.options.nodes);
+    const int home = shard_of(ref, world.options.nodes);
     node = world.owner_of(home);
     world.cut_node(node, true);
     leave_alone_with(world, home, node);
@@ -160,7 +160,7 @@
   EXPECT_TRUE(world.jobs.begin()->second.told_aborted);
 }
 
-// The home's owner ends between its write and the acknowledgements, and a new owner goes on; the borrower
+// The home's owner ends between its write and the acknowledgements, and a new owner goes on; the delegate
 // cannot be asked, nor hear of it from the state service, until later.
 TEST_P(Cancelled, WhileTheConfirmingOwnerEnds) {
   World world(options());
@@ -170,19 +170,19 @@
   bool ended = false;
   world.at(kPick, [&] {
     spread = find_spread(world);
-    ASSERT_GE(spread.home, 0);
-    world.cut_node(world.owner_of(spread.borrower), true);
+    ASSERT_GE(spread.home_shard, 0);
+    world.cut_node(world.owner_of(spread.delegate), true);
   });
   world.on_commit = [&](const std::string& from, const Json& body) {
-    if (ended || spread.home < 0) return;
+    if (ended || spread.home_shard < 0) return;
     for (const Json& change : body["then"]) {
-      if (change.value("put", "") != keys::head(spread.home, spread.ref)) continue;
+      if (change.value("put", "") != keys::job_record(spread.home_shard, spread.ref)) continue;
       ended = true;
       const int node = from.back() - '0';
       world.in(0, [&world, node] { world.crash_node(node, 30); });
     }
   };
-  world.at(kPick + 0.5, [&] { world.call_off(spread.ref); });
+  world.at(kPick + 0.5, [&] { world.cancel_job(spread.ref); });
   bool told_early = false;
   world.at(kPick + 3.5, [&] { told_early = world.jobs.at(spread.ref).told_aborted; });
   world.at(kPick + 70, [&world] { world.mend_nodes(); });
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -49,20 +49,20 @@
 }
 
 // All five nodes end at once, are back within a fraction of a second while the state service is slow, and
-// again after seconds; a tenth of the machines hang meanwhile. A part that must read many records one after
+// again after seconds; a tenth of the machines hang meanwhile. A shard that must read many records one after
 // the other stays away for as long.
 TEST_F(LargeFleet, AllNodesRestartWhileTheStateServiceIsSlow) {
   World world(large_fleet(2));
   add_crowd(world, 300, 120);
-  double down = 0;  // of any part, since the last restart
+  double down = 0;  // of any shard, since the last restart
   const auto until_active = [&world, &down](double since) {
     auto check = std::make_shared<std::function<void()>>();
     *check = [&world, &down, since, check] {
       for (int p = 0; p < world.options.nodes; p++) {
         bool active = false;
         for (const World::Process& process : world.nodes) {
-          const Part* part = process.node ? process.node->part(p) : nullptr;
-          active |= part != nullptr && part->active();
+          const ShardLeader* shard = process.node ? process.node->shard(p) : nullptr;
+          active |= shard != nullptr && shard->active();
         }
         if (!active) {
           world.in(0.1, [check] { (*check)(); });
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -69,7 +69,7 @@
 bool places_a_gang(const Json& txn) {
   for (const Json& change : txn["then"]) {
     if (!change.contains("put") || change["put"].get<std::string>().rfind("h/", 0) != 0) continue;
-    for (const auto& [host, record] : change["data"]["m"].items()) {
+    for (const auto& [machine_name, record] : change["data"]["m"].items()) {
       for (const auto& [ref, tasks] : record["p"].items()) {
         // Two tasks with one attempt number.
         for (std::size_t i = 1; i + 2 < tasks.size(); i += 2) {
@@ -151,14 +151,14 @@
   });
   world.at(40, [&world] {
     when_member(world, "running", false, [&world](Worker& worker) {
-      worker.mute = true;
-      world.in(40, [&worker] { worker.mute = false; });
+      worker.outbound_unreachable = true;
+      world.in(40, [&worker] { worker.outbound_unreachable = false; });
     });
   });
   world.at(45, [&world] {
     when_member(world, "running", true, [&world](Worker& worker) {
-      worker.deaf = true;
-      world.in(40, [&worker] { worker.deaf = false; });
+      worker.inbound_unreachable = true;
+      world.in(40, [&worker] { worker.inbound_unreachable = false; });
     });
   });
   world.troubles_end = 95;
@@ -223,7 +223,7 @@
   EXPECT_TRUE(ended);
 }
 
-// The part is sent home, and the limits of the state service fall, while the gang is being stopped.
+// The shard is sent home, and the limits of the state service fall, while the gang is being stopped.
 TEST_P(Gang, ThePartIsSentHomeInTheMiddleOfAStop) {
   Options day = options();
   day.market = 12;
@@ -233,13 +233,13 @@
   const UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   world.submit(job);
   add_gangs(world, 3, 60);
-  // Its home is away, and comes back: 15 s later the part is sent home.
-  const int home = part_of(job.ref, world.options.nodes);
+  // Its home is away, and comes back: 15 s later the shard is sent home.
+  const int home = shard_of(job.ref, world.options.nodes);
   world.at(50, [&world, home] { world.crash_node(home, 5); });
   bool met = false;
   world.on_commit = [&](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
-      const bool released = change.contains("delete") && change["delete"] == keys::part(home);
+      const bool released = change.contains("delete") && change["delete"] == keys::shard(home);
       if (!released || met) continue;
       met = true;
       world.in(0, [&world] {
@@ -312,7 +312,7 @@
         for (const Task& task : worker.tasks) {
           if (task.job == nullptr || !task.job->gang || task.phase != phase) continue;
           cancelled++;
-          world.call_off(task.ref);
+          world.cancel_job(task.ref);
           return;
         }
       });
@@ -392,11 +392,11 @@
   expect_all_done(world);
 }
 
-// More than one part's share of the team's limit: it is gathered.
+// More than one shard's share of the team's limit: it is gathered.
 TEST_P(Gang, TheTeamsLimitIsGathered) {
   Options day = options();
   day.team_cpus = 20;
-  day.team_max = 24;  // 8 a part
+  day.team_max = 24;  // 8 a shard
   World world(day);
   for (int i = 0; i < 3; i++) {
     UserJob gang = gang_job(world, 90 + i, 3 + i, 8, 15, 2);
@@ -440,7 +440,7 @@
   int told_to_wait = 0;
   world.at(36, [&world, &told_to_wait] {
     const UserJob early = gang_job(world, 90, 36, 4, 15);
-    world.send("user", {front_of(0), "POST", "/v2/runs", dump_json(early.body), 5},
+    world.send("user", {client_address_of(0), "POST", "/v2/runs", dump_json(early.body), 5},
                [&told_to_wait](const HttpReply& reply) { told_to_wait = reply.status; });
   });
   for (int i = 0; i < 4; i++) world.submit(gang_job(world, 95 + i, 70 + i, 4, 15));
@@ -472,10 +472,10 @@
       if (busiest == nullptr || worker->tasks.size() > busiest->tasks.size()) busiest = worker.get();
     }
     ASSERT_NE(busiest, nullptr);
-    busiest->sick = true;
+    busiest->faulty = true;
   });
   world.at(26, [&world] {
-    for (auto& [name, worker] : world.workers) worker->sick = false;
+    for (auto& [name, worker] : world.workers) worker->faulty = false;
   });
   world.troubles_end = 60;
   world.run_until(200);
@@ -491,7 +491,7 @@
   array.fail_attempt();
   EXPECT_FALSE(array.attempt.failed);
   Job gang;
-  gang.head.spec.gang = true;
+  gang.record.spec.gang = true;
   gang.fail_attempt();
   EXPECT_TRUE(gang.attempt.failed);
 }
--- a/tests/job_status_test.cpp
+++ b/tests/job_status_test.cpp
@@ -1,6 +1,6 @@
 // What may be told about a job: reads of the state service begin after the question, are shared and bounded,
 // and terminal states are final.
-#include "coordination/job_status.hpp"
+#include "coordination/node/job_status.hpp"
 
 #include <gtest/gtest.h>
 
@@ -12,9 +12,9 @@
 namespace {
 
 const std::string kJob = "job-000412";
-const char* const kOpenHead = R"({"k":"h","data":{"phase":"open"},"stamp":7})";
-const char* const kCancelledHead = R"({"k":"h","data":{"phase":"aborted","spread":false},"stamp":8})";
-const char* const kSpreadHead = R"({"k":"h","data":{"phase":"aborted","spread":true},"stamp":8})";
+const char* const kOpenJobRecord = R"({"k":"h","data":{"phase":"open"},"stamp":7})";
+const char* const kCancelledJobRecord = R"({"k":"h","data":{"phase":"aborted","spread":false},"stamp":8})";
+const char* const kSpreadJobRecord = R"({"k":"h","data":{"phase":"aborted","spread":true},"stamp":8})";
 const char* const kMissing = R"({"epoch":9})";
 const char* const kDone = R"({"k":"e","data":{"phase":"done","pieces":3},"stamp":9})";
 
@@ -53,7 +53,7 @@
   ask(first);
   ask(second);
   ASSERT_EQ(env_.calls.size(), 1u);
-  env_.answer(200, kOpenHead);
+  env_.answer(200, kOpenJobRecord);
   ASSERT_EQ(first.size(), 1u);
   EXPECT_TRUE(is_status(first[0], JobPhase::kQueued));
   ASSERT_TRUE(second.empty());
@@ -71,8 +71,8 @@
   const auto refused_at_once = findings.size();
   EXPECT_GT(refused_at_once, 100u);
   for (const JobFinding& found : findings) EXPECT_EQ(found.kind, JobFinding::Kind::kUndecided);
-  env_.answer(200, kOpenHead);
-  env_.answer(200, kOpenHead);
+  env_.answer(200, kOpenJobRecord);
+  env_.answer(200, kOpenJobRecord);
   EXPECT_EQ(findings.size(), 200u);
   EXPECT_TRUE(env_.calls.empty());
   for (std::size_t i = refused_at_once; i < findings.size(); i++)
@@ -87,7 +87,7 @@
   env_.answer(404, kMissing);
   env_.answer(0, "");
   ask(findings);
-  env_.answer(200, kSpreadHead);
+  env_.answer(200, kSpreadJobRecord);
   ASSERT_EQ(findings.size(), 3u);
   for (const JobFinding& found : findings) EXPECT_EQ(found.kind, JobFinding::Kind::kUndecided);
 }
@@ -107,7 +107,7 @@
   EXPECT_TRUE(is_status(*statuses_.from_memory(kJob), JobPhase::kRunning));
   std::vector<JobFinding> findings;
   ask(findings);
-  env_.answer(200, kCancelledHead);
+  env_.answer(200, kCancelledJobRecord);
   EXPECT_TRUE(is_status(*statuses_.from_memory(kJob), JobPhase::kCancelled));
   statuses_.note_terminal(kJob, {JobPhase::kDone, 3, 0});
   EXPECT_TRUE(is_status(*statuses_.from_memory(kJob), JobPhase::kCancelled));
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -41,7 +41,7 @@
   }
 };
 
-std::size_t largest_page(const World& world) {
+std::size_t largest_segment(const World& world) {
   std::size_t most = 0;
   for (const auto& [key, value] : world.state.values()) {
     if (key.rfind("h/", 0) == 0) most = std::max(most, value.dump().size());
@@ -94,7 +94,7 @@
   World world(day);
   add_many_tasks(world, 2, 70);
   std::size_t before = 0;
-  world.at(60, [&] { before = largest_page(world); });
+  world.at(60, [&] { before = largest_segment(world); });
   for (int i = 0; i < 3; i++) world.at(60 + 8 * i, [&world, i] { world.upgrade_node(i, 2); });
   world.at(95, [&world] { lower(world); });
   world.at(100, [&world] { world.crash_node(0, 0.3); });
@@ -113,7 +113,7 @@
   World world(day);
   add_many_tasks(world, 2, 60);
   world.at(40, [&world] { world.upgrade_node(0, 1); });
-  world.at(58, [&world] { world.crash_node(0, 9); });  // its part goes to an old one, and comes back
+  world.at(58, [&world] { world.crash_node(0, 9); });  // its shard goes to an old one, and comes back
   world.at(60, [&world] { world.crash_node(1, 0.3); });
   world.at(95, [&world] { world.upgrade_node(1, 1); });
   world.at(96, [&world] { world.crash_node(2, 5); });  // comes back old
@@ -124,7 +124,7 @@
   EXPECT_EQ(world.state.too_large, 0);
 }
 
-// Nothing was announced, and the service takes less all the same: writes are made smaller, and no part is
+// Nothing was announced, and the service takes less all the same: writes are made smaller, and no shard is
 // given up over and over.
 TEST_P(Limits, FallWithoutAnyAnnouncement) {
   Options day = options();
@@ -156,16 +156,16 @@
   const std::string ref = job.ref;
   RangeSet done;
   world.at(6, [&] {
-    HeadRecord head;
+    JobRecord job_record;
     std::string why;
-    head.spec = *parse_job(parse_json(dump_json(job.body)), why);
-    head.submitted = 1.7e9;
-    put(world, keys::head(0, ref), head.to_json());
-    for (int part = 0; part * 512 < 100000; part++) {
+    job_record.spec = *parse_job(parse_json(dump_json(job.body)), why);
+    job_record.submitted = 1.7e9;
+    put(world, keys::job_record(0, ref), job_record.to_json());
+    for (int chunk = 0; chunk * 512 < 100000; chunk++) {
       RangeSet scattered;
-      for (int i = part * 512; i < std::min(100000, (part + 1) * 512); i += 2) scattered.insert(i);
+      for (int i = chunk * 512; i < std::min(100000, (chunk + 1) * 512); i += 2) scattered.insert(i);
       done.insert(scattered);
-      put(world, keys::progress_part(0, ref, part), {{"done", scattered.to_text()}});
+      put(world, keys::progress_chunk(0, ref, chunk), {{"done", scattered.to_text()}});
     }
     for (int i = 0; i < 100000; i += 2) job.completed.insert(i);
     world.submit(job);
--- a/tests/loopback/real_cluster.cpp
+++ b/tests/loopback/real_cluster.cpp
@@ -114,11 +114,12 @@
   const sim::Options& options = world_.options;
   std::ostringstream text;
   text << "node = \"" << sim::node_name(node) << "\"\narea = \"a\"\nfront = \""
-       << to_loopback(sim::front_of(node)) << "\"\nback = \"" << to_loopback(sim::back_of(node)) << "\"\n";
+       << to_loopback(sim::client_address_of(node)) << "\"\nback = \""
+       << to_loopback(sim::peer_address_of(node)) << "\"\n";
   for (int other = 0; other < options.nodes; other++) {
     if (other == node) continue;
     text << "[[members]]\nnode = \"" << sim::node_name(other) << "\"\narea = \"a\"\naddress = \""
-         << to_loopback(sim::back_of(other)) << "\"\n";
+         << to_loopback(sim::peer_address_of(other)) << "\"\n";
   }
   text << "[outside]\ncloud = \"" << kCloud << "\"\nstate = \"" << kState << "\"\n"
        << "[settings]\ninitial_size = 3\nzones = [\"a\", \"b\"]\nskew_ms = 100.0\n";
@@ -170,7 +171,7 @@
 RealCluster::Output RealCluster::control(const std::string& arguments) {
   std::string command = MOTHSLIPCTL_PROGRAM;
   for (int node = 0; node < world_.options.nodes; node++)
-    command += " --at " + to_loopback(sim::back_of(node));
+    command += " --at " + to_loopback(sim::peer_address_of(node));
   command += " " + arguments + " 2>&1";
   FILE* pipe = popen(command.c_str(), "r");
   if (pipe == nullptr) throw std::runtime_error("popen");
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -39,8 +39,8 @@
 
 }  // namespace
 
-// Reports that a cut held back arrive at the owner that has taken the part over meanwhile and acted; with
-// them come copies of reports from before, also of earlier sessions.
+// Reports that a cut held back arrive at the owner that has taken the shard over meanwhile and acted; with
+// them come copies of reports from before, also of earlier incarnations.
 TEST_P(Meeting, HeldBackReportsArriveAtANewOwner) {
   Options late = options();
   late.copies = 0.3;
@@ -85,31 +85,31 @@
   expect_kept(world);
 }
 
-// Machines reach no node, while direct commands still reach them; their part's owner changes meanwhile, and
+// Machines reach no node, while direct commands still reach them; their shard's owner changes meanwhile, and
 // shows them its token.
 TEST_P(Meeting, MuteMachinesAndANewOwner) {
   World world(options());
   add_jobs(world, 2, 100);
-  int mute = 0;
+  int outbound_unreachable = 0;
   for (double t = 30; t < 110; t += 13) {
     world.at(t, [&] {
       Worker* worker = busy_worker(world);
       if (worker == nullptr) return;
-      worker->mute = true;
-      mute++;
-      world.in(world.uniform(4, 50), [worker] { worker->mute = false; });
-      const int part = part_of(worker->name, world.options.nodes);
-      if (const int owner = world.owner_of(part); owner >= 0 && world.rng() % 2 == 0)
+      worker->outbound_unreachable = true;
+      outbound_unreachable++;
+      world.in(world.uniform(4, 50), [worker] { worker->outbound_unreachable = false; });
+      const int shard = shard_of(worker->name, world.options.nodes);
+      if (const int owner = world.owner_of(shard); owner >= 0 && world.rng() % 2 == 0)
         world.in(world.uniform(0.5, 6), [&world, owner] { world.crash_node(owner, world.uniform(0.1, 9)); });
     });
   }
   world.troubles_end = 165;
   world.run_until(600);
   expect_kept(world);
-  EXPECT_GT(mute, 1);
+  EXPECT_GT(outbound_unreachable, 1);
 }
 
-// All nodes are away for longer than lease_s: every machine has lost its tasks, and is in a new session.
+// All nodes are away for longer than lease_s: every machine has lost its tasks, and is in a new incarnation.
 TEST_P(Meeting, AllNodesAreAwayForLongerThanALease) {
   World world(options());
   add_jobs(world, 2, 100);
@@ -137,7 +137,7 @@
     world.at(20 + i * 12, [&world, i] { world.crash_node(i % world.options.nodes, i % 3 == 0 ? 0.1 : 6); });
     world.at(19 + i * 12, [&] {
       for (int p = 0; p < world.options.nodes; p++)
-        fencing_tokens.insert(world.state.revision(keys::part(p)));
+        fencing_tokens.insert(world.state.revision(keys::shard(p)));
     });
   }
   for (const double t : {50.0, 100.0}) {
@@ -150,7 +150,7 @@
   EXPECT_GE(fencing_tokens.size(), 8u);
 }
 
-// Arrays bound to one hall lose machines of that hall, again and again.
+// Arrays bound to one zone lose machines of that zone, again and again.
 TEST_P(Meeting, JobsBoundToOneHallLoseMachines) {
   World world(options());
   for (int i = 0; i < 12; i++) {
@@ -240,7 +240,7 @@
   world.on_last_done = [&](const std::string& ref) {
     met++;
     const double when = world.rng() % 2 == 0 ? 0 : world.uniform(0, 1.5);  // before or after it is known
-    world.in(when, [&world, ref] { world.call_off(ref); });
+    world.in(when, [&world, ref] { world.cancel_job(ref); });
     world.in(world.uniform(0, 2), [&world, ref] { world.submit_again(ref); });
   };
   world.run_until(300);
@@ -271,28 +271,28 @@
   for (int i = 0; i < 20; i++) {
     UserJob job = plain_job(world, i, i < 14 ? 2 : 50, 8, i < 8 ? 160 : i < 14 ? 34 : 60, 2);
     job.body["owner"] = i >= 8 && i < 14 ? "blue" : "red";
-    // The red jobs have one home: the other parts borrow of them.
-    for (int n = 5000 + 100 * i; i < 8 && part_of(job.ref, 3) != 0; n++)
+    // The red jobs have one home: their tasks are delegated to the other shards.
+    for (int n = 5000 + 100 * i; i < 8 && shard_of(job.ref, 3) != 0; n++)
       job.ref = "job-00" + std::to_string(n);
     job.body["ref"] = job.ref;
     world.submit(job);
   }
   double used = 0;
-  int borrowed = 0;  // tasks of borrowed blocks on machines that cannot be asked
+  int delegated_here = 0;  // delegated tasks on machines that cannot be asked
   world.at(60, [&] {
     std::set<std::string> away;
     for (auto& [name, worker] : world.workers) {
       for (const Task& task : worker->tasks) {
         if (!worker->on_machine(task) || task.job->team != "red") continue;
         used += task.job->cores;
-        if (part_of(task.ref, 3) == part_of(name, 3)) continue;
-        borrowed++;
+        if (shard_of(task.ref, 3) == shard_of(name, 3)) continue;
+        delegated_here++;
         away.insert(name);
       }
     }
     for (const std::string& name : away) world.cut_off(name);
     for (auto& [ref, job] : world.jobs) {
-      if (job.run_s > 100) world.call_off(ref);
+      if (job.run_s > 100) world.cancel_job(ref);
     }
   });
   world.at(61.5, [&world] { crash_all(world, 0.2); });
@@ -301,7 +301,7 @@
   world.run_until(1500);
   expect_kept(world);
   EXPECT_GE(used, 36);
-  EXPECT_GE(borrowed, 1);
+  EXPECT_GE(delegated_here, 1);
 }
 
 // Commands and their answers are held up for seconds, and the machines then go on: hung ones take what came
@@ -326,7 +326,7 @@
       }
       for (const Task& task : worker->tasks) {
         if (task.job != nullptr && world.rng() % 4 == 0) {
-          world.call_off(task.ref);
+          world.cancel_job(task.ref);
           break;
         }
       }
@@ -340,7 +340,7 @@
 }
 
 // A node that stands still for seconds or a minute, its clocks running on, does nothing on waking that it is
-// no longer entitled to; its parts are served by others meanwhile.
+// no longer entitled to; its shards are served by others meanwhile.
 TEST_P(Meeting, ANodeStandsStillAndWakes) {
   World world(options());
   add_jobs(world, 2, 150);
@@ -351,7 +351,7 @@
       if (world.rng() % 2 == 0) {
         world.in(6, [&world] {
           for (auto& [ref, job] : world.jobs) {
-            if (job.accepted && !job.told_done && world.rng() % 3 == 0) world.call_off(ref);
+            if (job.accepted && !job.told_done && world.rng() % 3 == 0) world.cancel_job(ref);
           }
         });
       }
@@ -388,7 +388,7 @@
       if (!worker->up()) continue;
       if (faulty.empty()) {
         faulty = name;
-        worker->sick = true;
+        worker->faulty = true;
       } else {
         good.insert(name);
       }
@@ -411,7 +411,7 @@
   EXPECT_LT(tries, 250);
 }
 
-// A node stands still; its parts get a new owner, which knows the machines without tasks only once they
+// A node stands still; its shards get a new owner, which knows the machines without tasks only once they
 // report. They are up, and must not go back as if they had never come.
 TEST_P(Meeting, IdleMachinesOutlastATakeover) {
   Options calm = options();
@@ -419,10 +419,10 @@
   calm.nodes = 3;
   World world(calm);
   for (int i = 0; i < 8; i++) world.submit(plain_job(world, i, 2, 8, 25, 2));
-  std::map<int, std::set<std::string>> idle;  // by part
+  std::map<int, std::set<std::string>> idle;  // by shard
   world.at(72, [&] {
     for (auto& [name, worker] : world.workers) {
-      if (worker->up() && worker->tasks.empty()) idle[part_of(name, 3)].insert(name);
+      if (worker->up() && worker->tasks.empty()) idle[shard_of(name, 3)].insert(name);
     }
     idle.erase(0);  // its owner rents and returns: that one goes on
     ASSERT_FALSE(idle.empty());
@@ -430,7 +430,7 @@
   });
   int lost = 0;
   world.at(84, [&] {
-    for (const auto& [part, names] : idle) {
+    for (const auto& [shard, names] : idle) {
       for (const std::string& name : names) lost += world.workers.at(name)->dead ? 1 : 0;
     }
   });
@@ -471,13 +471,13 @@
           break;
         case 4:
           if (worker == nullptr) break;
-          worker->deaf = true;
-          world.in(for_s, [worker] { worker->deaf = false; });
+          worker->inbound_unreachable = true;
+          world.in(for_s, [worker] { worker->inbound_unreachable = false; });
           break;
         case 5:
           if (worker == nullptr) break;
-          worker->mute = true;
-          world.in(for_s, [worker] { worker->mute = false; });
+          worker->outbound_unreachable = true;
+          world.in(for_s, [worker] { worker->outbound_unreachable = false; });
           break;
         case 6:
           if (worker != nullptr) world.hang(*worker, for_s);
@@ -487,7 +487,7 @@
           break;
         default:
           for (auto& [ref, job] : world.jobs) {
-            if (job.accepted && !job.told_done && world.rng() % 6 == 0) world.call_off(ref);
+            if (job.accepted && !job.told_done && world.rng() % 6 == 0) world.cancel_job(ref);
           }
       }
     });
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -1,7 +1,7 @@
 // Workers that cannot reach the owner of their shard, while other nodes reach both of them.
 #include <gtest/gtest.h>
 
-#include "coordination/report_relay.hpp"
+#include "coordination/node/report_relay.hpp"
 #include "sim/checks.hpp"
 #include "sim/days.hpp"
 #include "sim/world.hpp"
@@ -113,7 +113,7 @@
   world.at(45, [&] {
     lost_before = world.lost_to_leases;
     for (auto& [name, worker] : world.workers) {
-      if (world.owner_of(part_of(name, world.options.nodes)) == 0)
+      if (world.owner_of(shard_of(name, world.options.nodes)) == 0)
         on_its_machines += static_cast<int>(worker->tasks.size());
     }
     world.cut_from_workers(0);
@@ -139,7 +139,7 @@
     for (auto& [name, worker] : world.workers) {
       if (!worker->up() || worker->zone != "a") continue;
       world.cuts.insert({name, node_name(1)});
-      cut += worker->tasks.empty() || world.owner_of(part_of(name, 5)) != 1 ? 0 : 1;
+      cut += worker->tasks.empty() || world.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
     }
     world.cuts.insert({node_name(1), node_name(2)});  // the next node that they try
   });
--- a/tests/recovery_merge_test.cpp
+++ b/tests/recovery_merge_test.cpp
@@ -17,25 +17,25 @@
 
 std::string name_of(int number) { return "job-" + std::to_string(1000 + number); }
 
-HeadRecord head_of(int number) {
-  HeadRecord head;
-  head.spec.ref = name_of(number);
-  head.spec.job_class = "w";
-  head.spec.team = "red";
-  head.spec.task_count = kTaskCount;
-  head.spec.cores = 1;
-  head.spec.memory_gb = 1;
-  head.spec.image = "img";
-  head.spec.estimated_s = 5;
-  return head;
+JobRecord job_record_of(int number) {
+  JobRecord job_record;
+  job_record.spec.ref = name_of(number);
+  job_record.spec.job_class = "w";
+  job_record.spec.team = "red";
+  job_record.spec.task_count = kTaskCount;
+  job_record.spec.cores = 1;
+  job_record.spec.memory_gb = 1;
+  job_record.spec.image = "img";
+  job_record.spec.estimated_s = 5;
+  return job_record;
 }
 
 // What one source says of one job. Placements name one machine an attempt, as attempts are unique.
 JobEvidence draw_job(int number) {
   JobEvidence out;
   if (*rc::gen::arbitrary<bool>()) {
-    out.head = head_of(number);
-    out.head->aborted = *rc::gen::arbitrary<bool>();
+    out.record = job_record_of(number);
+    out.record->aborted = *rc::gen::arbitrary<bool>();
   }
   // A job ends in one way only.
   if (*rc::gen::inRange(0, 4) == 0) out.ending = number % 2 == 0 ? JobPhase::kDone : JobPhase::kCancelled;
@@ -46,7 +46,7 @@
   for (std::uint32_t task = 0; task < kTaskCount; task++) {
     const int state = *rc::gen::inRange(0, 5);
     if (state == 0) out.done.add(task);
-    if (state == 1) out.lent[*rc::gen::inRange(0, kShards)].add(task);
+    if (state == 1) out.delegated[*rc::gen::inRange(0, kShards)].add(task);
     if (state == 2) {
       const int attempt = *rc::gen::inRange(1, 5);
       out.placements[static_cast<int>(task)] = {"host-" + std::to_string(attempt),
@@ -70,7 +70,7 @@
     if (*rc::gen::arbitrary<bool>()) out.jobs[name_of(number)] = draw_job(number);
   }
   for (int machine = 1; machine < 5; machine++) {
-    HostRecord record;
+    MachineRecord record;
     record.address = "10.1.0." + std::to_string(machine) + ":9000";
     record.machine_type = "c4";
     record.zone = "a";
@@ -134,7 +134,7 @@
         if (known.ending == JobPhase::kDone) RC_ASSERT(outcome.ending == JobPhase::kDone);
       }
       RC_ASSERT(known.done.isSubset(outcome.done));
-      if (known.head && known.head->aborted && outcome.kind == JobOutcome::Kind::kOpen)
+      if (known.record && known.record->aborted && outcome.kind == JobOutcome::Kind::kOpen)
         RC_ASSERT(outcome.cancelled);
     }
   }
@@ -148,7 +148,7 @@
   for (const auto& [ref, job] : all.jobs) {
     const JobOutcome outcome = derive_outcome(ref, job, scope);
     if (outcome.kind != JobOutcome::Kind::kOpen || outcome.cancelled) continue;
-    const bool home_heard = scope.owner_heard[static_cast<std::size_t>(part_of(ref, kShards))];
+    const bool home_heard = scope.owner_heard[static_cast<std::size_t>(shard_of(ref, kShards))];
     for (std::uint32_t task = 0; task < kTaskCount; task++) {
       const bool placed = outcome.placements.count(static_cast<int>(task)) > 0;
       const int ways =
@@ -160,7 +160,7 @@
       RC_ASSERT(!job.may_have_ended);
       RC_ASSERT(job.owner_knows_it || job.accepted);
       RC_ASSERT(scope.nothing_runs || job.placements.count(static_cast<int>(task)) == 0);
-      for (const auto& [shard, tasks] : job.lent)
+      for (const auto& [shard, tasks] : job.delegated)
         RC_ASSERT(!tasks.contains(task) || scope.owner_heard[static_cast<std::size_t>(shard)]);
     }
   }
@@ -184,11 +184,11 @@
       for (const Json& cores : record.data["c"]) shared_out += cores.get<double>();
     }
     if (record.key.rfind("h/", 0) != 0) continue;
-    const auto page = PageRecord::from_json(record.data);
-    RC_ASSERT(page.has_value());
-    for (const auto& [name, host] : page->hosts) {
-      placed += static_cast<int>(host.placements.size());
-      RC_ASSERT(record.key.rfind(keys::pages(part_of(name, kShards)), 0) == 0);
+    const auto segment = SegmentRecord::from_json(record.data);
+    RC_ASSERT(segment.has_value());
+    for (const auto& [name, machine] : segment->machines) {
+      placed += static_cast<int>(machine.placements.size());
+      RC_ASSERT(record.key.rfind(keys::segments(shard_of(name, kShards)), 0) == 0);
     }
   }
   RC_ASSERT(placed == records.counts.placed_tasks);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -42,7 +42,7 @@
 void decide_as_operator(World& world) {
   const int node = some_node(world);
   world.send(
-      "operator", {back_of(node), "GET", "/ops/recovery/unaccounted", "", 2.0},
+      "operator", {peer_address_of(node), "GET", "/ops/recovery/unaccounted", "", 2.0},
       [&world, node](const HttpReply& reply) {
         if (reply.status != 200) return;
         const Json list = parse_json(reply.body);
@@ -52,7 +52,8 @@
           const bool done = static_cast<int>(job.completed.size()) == job.task_count;
           const bool cancelled = job.told_aborted || (job.cancel_asked && !done);
           const Json decision = {{"job", ref}, {"as", cancelled ? "cancelled" : done ? "done" : "rerun"}};
-          world.send("operator", {back_of(node), "POST", "/ops/recovery/resolve", dump_json(decision), 2.0},
+          world.send("operator",
+                     {peer_address_of(node), "POST", "/ops/recovery/resolve", dump_json(decision), 2.0},
                      [](const HttpReply&) {});
         }
       });
--- a/tests/sim/days.hpp
+++ b/tests/sim/days.hpp
@@ -12,7 +12,7 @@
 UserJob gang_job(World& world, int number, double at, int task_count, double run_s, int cores = 2);
 // As many as the options say, submitted between these times.
 void add_jobs(World& world, double from, double to);
-// Five nodes and up to sixteen times so many machines: two types, four halls, ordinary and spot.
+// Five nodes and up to sixteen times so many machines: two types, four zones, ordinary and spot.
 inline constexpr int kLargeMarket = 125;
 Options large_fleet(std::uint64_t seed, int market = kLargeMarket);
 // Jobs of three sizes, a third of them in the first seconds.
--- a/tests/sim/gangs.cpp
+++ b/tests/sim/gangs.cpp
@@ -91,7 +91,7 @@
   int running = 0;
   for (Member& member : members) {
     if (member.task->phase == "running" && !member.worker->hung) running++;
-    const bool fails = member.worker->sick || job.mistaken;
+    const bool fails = member.worker->faulty || job.mistaken;
     if (fails && member.task->phase == "running" && world_.now - attempt.begun_at > kFailsAfter)
       exit(member, "error");
   }
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -22,11 +22,12 @@
 }
 
 void Users::ask(Question question, const std::string& ref, int node, Handler handler) {
-  HttpCall call{front_of(node), "GET", "/v2/runs/" + ref, "", kPollPatience};
+  HttpCall call{client_address_of(node), "GET", "/v2/runs/" + ref, "", kPollPatience};
   if (question == Question::kSubmission) {
-    call = {front_of(node), "POST", "/v2/runs", dump_json(world_.jobs.at(ref).body), kSubmitPatience};
+    call = {client_address_of(node), "POST", "/v2/runs", dump_json(world_.jobs.at(ref).body),
+            kSubmitPatience};
   } else if (question == Question::kCancellation) {
-    call = {front_of(node), "POST", "/v2/runs/" + ref + "/cancel", "{}", kSubmitPatience};
+    call = {client_address_of(node), "POST", "/v2/runs/" + ref + "/cancel", "{}", kSubmitPatience};
   }
   world_.send(
       "user", call,
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -29,10 +29,10 @@
   Settings out;
   out.node = node_name(node);
   out.area = "a";
-  out.front = front_of(node);
-  out.back = back_of(node);
+  out.client_address = client_address_of(node);
+  out.peer_address = peer_address_of(node);
   for (int i = 0; i < nodes; i++) {
-    if (i != node) out.members.push_back({node_name(i), "a", back_of(i)});
+    if (i != node) out.members.push_back({node_name(i), "a", peer_address_of(i)});
   }
   out.cloud = kCloud;
   out.state = kState;
@@ -56,8 +56,8 @@
 }
 }  // namespace
 
-std::string front_of(int node) { return "10.0.0." + std::to_string(node + 1) + ":8080"; }
-std::string back_of(int node) { return "10.0.0." + std::to_string(node + 1) + ":8081"; }
+std::string client_address_of(int node) { return "10.0.0." + std::to_string(node + 1) + ":8080"; }
+std::string peer_address_of(int node) { return "10.0.0." + std::to_string(node + 1) + ":8081"; }
 
 std::string node_name(int index) { return "roost-" + std::to_string(index); }
 
@@ -118,10 +118,10 @@
   }
   if (path == "/hosts/return") {
     if (json["hosts"].size() > 100) world_.broken("more than 100 machines returned in one call");
-    for (const Json& host : json["hosts"]) {
-      const auto it = world_.workers.find(host);
+    for (const Json& machine_name : json["hosts"]) {
+      const auto it = world_.workers.find(machine_name);
       if (it != world_.workers.end()) it->second->dead = true;
-      const auto row = rows_.find(host);
+      const auto row = rows_.find(machine_name);
       if (row != rows_.end()) row->second.gone = std::min(row->second.gone, world_.now);
     }
     return reply(200, Json::object());
@@ -130,7 +130,7 @@
     const std::string name = json["rental"];
     if (rentals_.count(name) > 0) return reply(200, rentals_[name]);
     if (json["how_many"].get<int>() > 50) world_.broken("more than 50 machines rented in one call");
-    int alive = 0;  // each type, hall and kind has room for so many
+    int alive = 0;  // each type, zone and kind has room for so many
     for (const auto& [ref, row] : rows_) {
       const bool same = row.item["flavour"] == json["flavour"] && row.item["hall"] == json["hall"] &&
                         row.item["loaner"] == json["loaner"];
@@ -138,7 +138,7 @@
     }
     const int count = std::min(json["how_many"].get<int>(), world_.options.market - alive);
     if (count <= 0) return reply(503, {{"error", "no capacity"}});
-    Json hosts = Json::array();
+    Json machine_names = Json::array();
     for (int i = 0; i < count; i++) {
       std::ostringstream ref;
       ref << "host-" << std::string(6 - std::to_string(next_).size(), '0') << next_;
@@ -159,9 +159,9 @@
                            {"phase", "running"}},
                           world_.now};
       if (world_.uniform(0, 1) >= fail_share) world_.in(world_.uniform(3, 15), [raw] { raw->boot(); });
-      hosts.push_back(ref.str());
+      machine_names.push_back(ref.str());
     }
-    rentals_[name] = {{"hosts", hosts}};
+    rentals_[name] = {{"hosts", machine_names}};
     return reply(200, rentals_[name]);
   }
   if (path == "/hosts") {
@@ -170,18 +170,18 @@
     const std::size_t most = std::stoul(query(target, "most"));
     if (most > 500) return reply(400, {{"error", "too many at once"}});
     bool more = false;
-    Json hosts = Json::array();
+    Json machine_names = Json::array();
     for (const auto& [ref, row] : rows_) {
       if (ref <= from || row.created > as_of || row.gone <= as_of) continue;
-      if (hosts.size() == most) {
+      if (machine_names.size() == most) {
         more = true;
         break;
       }
       Json item = row.item;
       item["age_s"] = as_of - row.created;
-      hosts.push_back(item);
+      machine_names.push_back(item);
     }
-    return reply(200, {{"hosts", hosts}, {"more", more}});
+    return reply(200, {{"hosts", machine_names}, {"more", more}});
   }
   reply(404, Json::object());
 }
@@ -290,11 +290,11 @@
         task.phase = "running";
         const double takes = job.spread_ends > 0 ? job.run_s + job.spread_ends * task.index
                                                  : job.run_s * world_.uniform(0.7, 1.3);
-        task.until = world_.now + (sick || job.mistaken ? 0.5 : takes);
+        task.until = world_.now + (faulty || job.mistaken ? 0.5 : takes);
         world_.on_start(*this, task);
       } else {
         task.phase = "exited";
-        const bool fails = sick || task.job->mistaken;
+        const bool fails = faulty || task.job->mistaken;
         task.cause = fails ? "error" : "done";
         if (!fails) world_.on_done(task);
       }
@@ -317,18 +317,20 @@
   next_report_ = sent + world_.options.report_s * world_.uniform(0.75, 1.25);
   const std::uint64_t worker_incarnation = worker_incarnation_;
   int index = node_.back() - '0';
-  HttpCall call{front_of(index), "POST", "/hello", dump_json(report()), 4.0};
+  HttpCall call{client_address_of(index), "POST", "/hello", dump_json(report()), 4.0};
   world_.in(4.05, [this, flight] {
-    if (dead || hung || flight != flight_ || !in_flight_ || !(deaf || muffled || mute)) return;
+    if (dead || hung || flight != flight_ || !in_flight_ ||
+        !(inbound_unreachable || muffled || outbound_unreachable))
+      return;
     in_flight_ = false;
     node_ = node_name((node_.back() - '0' + 1) % world_.options.nodes);
     next_report_ = now() + 1;
   });
-  if (mute) return;
+  if (outbound_unreachable) return;
   world_.send(name, call, [this, flight, sent, worker_incarnation, index](const HttpReply& reply) {
     const auto act = [this, flight, sent, worker_incarnation, index, reply] {
       if (dead || flight != flight_ || !in_flight_) return;
-      if ((deaf || muffled) && reply.status != 0) return;  // the time-out comes instead
+      if ((inbound_unreachable || muffled) && reply.status != 0) return;  // the time-out comes instead
       in_flight_ = false;
       const int nodes = world_.options.nodes;
       if (reply.status == 200) {
@@ -365,7 +367,7 @@
 
 void Worker::handle(const std::string& target, const std::string& body,
                     const std::function<void(int, Json)>& reply) {
-  if (deaf) return;
+  if (inbound_unreachable) return;
   const auto act = [this, target, body, reply] {
     if (dead) return;
     check_lease();
@@ -447,8 +449,8 @@
       users(*this),
       gangs(*this),
       nodes(static_cast<std::size_t>(options_in.nodes)) {
-  if (options.parts > 0) {
-    const Json meta = {{"parts", options.parts}, {"form", kRecordForm}};
+  if (options.shard_count > 0) {
+    const Json meta = {{"parts", options.shard_count}, {"form", kRecordForm}};
     const Json txn = {{"guards", Json::array()}, {"then", {{{"put", "meta"}, {"data", meta}}}}};
     state.handle("POST", "/commit", txn.dump(), [](int, const Json&) {});
   }
@@ -528,8 +530,8 @@
   isolated.clear();
 }
 
-int World::owner_of(int part) const {
-  const auto it = state.values().find(keys::part(part));
+int World::owner_of(int shard) const {
+  const auto it = state.values().find(keys::shard(shard));
   return it == state.values().end() ? -1 : it->second["node"].get<std::string>().back() - '0';
 }
 
@@ -594,10 +596,10 @@
   if (uniform(0, 1) < options.loss) return;  // the request is lost
   std::string to = call.destination;
   for (int i = 0; i < options.nodes; i++) {
-    if (to == front_of(i) || to == back_of(i)) to = node_name(i);
+    if (to == client_address_of(i) || to == peer_address_of(i)) to = node_name(i);
   }
-  const auto host = by_address.find(call.destination);
-  if (host != by_address.end()) to = host->second->name;
+  const auto machine_name = by_address.find(call.destination);
+  if (machine_name != by_address.end()) to = machine_name->second->name;
   double delay = uniform(0.001, 0.006) + (uniform(0, 1) < 0.01 ? uniform(0.05, 0.4) : 0);
   if (to == kState) delay += state.slow_s;
   if (!reachable(from, to)) {
@@ -618,7 +620,7 @@
     in(delay + uniform(1, options.copy_late), [this, from, call, delivered] {
       HttpCall copy = call;
       // (Nobody can tell one for a copy that overtakes the message itself, held back at a cut, or whose
-      // message was turned away where it came to: for the owner of the part it is the first.)
+      // message was turned away where it came to: for the owner of the shard it is the first.)
       if (*delivered) copy.path += "#copy";
       deliver(from, copy, [](const HttpReply&) {});
     });
@@ -636,7 +638,7 @@
 // False for a node whose process has ended.
 bool World::is_up(const std::string& address) const {
   for (int i = 0; i < options.nodes; i++) {
-    if (address == front_of(i) || address == back_of(i))
+    if (address == client_address_of(i) || address == peer_address_of(i))
       return nodes[static_cast<std::size_t>(i)].node != nullptr;
   }
   return true;
@@ -661,13 +663,13 @@
     // Its lease in the state service is over by then.
     if (since != isolated.end() && now - since->second > 6)
       broken(std::string("started alone: ").append(node).append(" on ").append(from));
-    if (worker != workers.end() && worker->second->deaf) {
+    if (worker != workers.end() && worker->second->inbound_unreachable) {
       std::string attempt = from;
       attempt.append(" ")
           .append(order["piece"].get<std::string>())
           .append(" ")
           .append(order["try_no"].dump());
-      launches_to_deaf[attempt]++;
+      launches_to_unreachable[attempt]++;
     }
   }
 }
@@ -712,8 +714,8 @@
   }
   if (call.destination == kCloud) return cloud.handle(call.path, call.body, answer);
   for (int i = 0; i < options.nodes; i++) {
-    const bool front = call.destination == front_of(i);
-    if (!front && call.destination != back_of(i)) continue;
+    const bool front = call.destination == client_address_of(i);
+    if (!front && call.destination != peer_address_of(i)) continue;
     if (call_node) return call_node(call, reply);
     recovery::Controller* node = nodes[static_cast<std::size_t>(i)].node.get();
     if (node == nullptr) return;  // refused: the same as silence here
@@ -722,7 +724,7 @@
     note_size(front  ? "request"
               : peer ? call.path
                      : "forwarded",
-              call.body.size(), front ? Node::kFrontBody : Node::kBackBody);
+              call.body.size(), front ? Node::kMaxClientBody : Node::kMaxPeerBody);
     const HttpRequest request{call.method, call.path, call.body};
     const Responder responder([this, reply, from, call, copy, front, i](const HttpAnswer& out) {
       if (front) note_size("answer", out.body.size(), kBody);
@@ -732,17 +734,17 @@
     });
     on_node(i, [node, front, request, responder] {
       if (front) {
-        node->on_front(request, responder);
+        node->on_client_request(request, responder);
       } else {
-        node->on_back(request, responder);
+        node->on_peer_request(request, responder);
       }
     });
     return;
   }
-  const auto host = by_address.find(call.destination);
-  if (host != by_address.end()) {
+  const auto machine_name = by_address.find(call.destination);
+  if (machine_name != by_address.end()) {
     note_size("command", call.body.size(), kBody);
-    if (!host->second->dead) host->second->handle(call.path, call.body, answer);
+    if (!machine_name->second->dead) machine_name->second->handle(call.path, call.body, answer);
     return;
   }
   if (outside) outside(call);
@@ -857,8 +859,8 @@
   std::map<std::string, int> in_zone;
   for (const auto& [name, worker] : workers) {
     if (!worker->up()) continue;
-    const bool well = !worker->hung && !worker->deaf && !worker->muffled && !worker->mute && !worker->sick &&
-                      worker->eviction_notice_s < 0;
+    const bool well = !worker->hung && !worker->inbound_unreachable && !worker->muffled &&
+                      !worker->outbound_unreachable && !worker->faulty && worker->eviction_notice_s < 0;
     const bool allowed = (!worker->spot || job.body["loaner"].get<bool>()) &&
                          (job.body["hall"].is_null() || job.body["hall"] == worker->zone);
     if (well && allowed) in_zone[worker->zone] += static_cast<int>(worker->free_cores() / job.cores);
@@ -885,7 +887,8 @@
   bool room = false;
   for (const auto& [name, worker] : workers) {
     if (!worker->up()) continue;
-    const bool well = !worker->hung && !worker->deaf && !worker->muffled && !worker->mute && !worker->sick;
+    const bool well = !worker->hung && !worker->inbound_unreachable && !worker->muffled &&
+                      !worker->outbound_unreachable && !worker->faulty;
     const bool fits = worker->free_cores() >= job.cores &&
                       (!worker->spot || job.body["loaner"].get<bool>()) &&
                       (job.body["hall"].is_null() || job.body["hall"] == worker->zone);
@@ -922,9 +925,9 @@
     }
   }
   for (const auto& [key, value] : state.values()) {
-    const bool block = key.rfind(keys::kBlocks, 0) == 0;
+    const bool delegation = key.rfind(keys::kDelegations, 0) == 0;
     if (key.rfind(keys::kWatched, 0) != 0 && key.rfind("d/", 0) != 0) continue;
-    out << key << " " << (block ? value["range"].dump() + " done " + value["done"].dump() : value.dump())
+    out << key << " " << (delegation ? value["range"].dump() + " done " + value["done"].dump() : value.dump())
         << "\n";
   }
   out << jobs.size() << " jobs, " << open << " open, " << starts << " starts, " << workers.size()
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "coordination/node.hpp"
+#include "coordination/node/node.hpp"
 #include "protocol/settings.hpp"
 #include "recovery/controller.hpp"
 #include "sim/answer_history.hpp"
@@ -27,9 +27,9 @@
 
 std::string node_name(int index);
 // The address at which a node serves users and workers.
-std::string front_of(int node);
+std::string client_address_of(int node);
 // And other nodes and operators.
-std::string back_of(int node);
+std::string peer_address_of(int node);
 // Simulated days are silent unless SIM_LOG is set.
 void set_up_log();
 
@@ -155,19 +155,19 @@
   bool spot;
   bool dead = false;
   bool hung = false;
-  bool sick = false;
-  double eviction_notice_s = -1;  // the cloud takes it away in so long; negative: it does not
-  bool deaf = false;              // its reports arrive; answers and commands do not reach it
-  bool muffled = false;           // only the answers to its reports are lost; commands arrive
-  bool stubborn = false;          // it takes no notice of stops
-  bool mute = false;              // its reports reach nobody; commands arrive
+  bool faulty = false;
+  double eviction_notice_s = -1;      // the cloud takes it away in so long; negative: it does not
+  bool inbound_unreachable = false;   // its reports arrive; answers and commands do not reach it
+  bool muffled = false;               // only the answers to its reports are lost; commands arrive
+  bool stubborn = false;              // it takes no notice of stops
+  bool outbound_unreachable = false;  // its reports reach nobody; commands arrive
   std::vector<Task> tasks;
   void unhang();
   [[nodiscard]] bool up() const { return !dead && booted_; }
   [[nodiscard]] double capacity() const { return machine_type == "c4" ? 4.0 : 16.0; }
   [[nodiscard]] double free_cores() const;
-  // The machine is back at once after losing power: all on it is gone. It may have forgotten which session
-  // it was in.
+  // The machine is back at once after losing power: all on it is gone. It may have forgotten which
+  // incarnation it was in.
   void reboot(bool forgets);
 
  private:
@@ -256,9 +256,9 @@
   double late_writes = 0;   // share of transactions that get no answer and are carried out 2 to 12 s later
   double copy_late = 45;    // seconds, at the most
   int jobs = 24;
-  int parts = 0;  // as recorded before the first start; 0: the nodes decide
+  int shard_count = 0;  // as recorded before the first start; 0: the nodes decide
   // The deployment.
-  int market = 2;  // machines of each type, hall and kind
+  int market = 2;  // machines of each type, zone and kind
   std::vector<std::string> zones = {"a", "b"};
   double report_s = 1.5;
   double lease_s = 12;
@@ -302,8 +302,8 @@
   void cut_from_workers(int index) { no_workers.insert(node_name(index)); }
   // All such cuts are over.
   void mend_nodes();
-  // The node that owns the part, by the state service; -1: nobody.
-  [[nodiscard]] int owner_of(int part) const;
+  // The node that owns the shard, by the state service; -1: nobody.
+  [[nodiscard]] int owner_of(int shard) const;
   // Stands still: nothing is received or sent, no timer fires; its clocks run on.
   void freeze_node(int index, double for_s);
   void hang(Worker& worker, double for_s);
@@ -312,7 +312,7 @@
   // Sends a message over the simulated network. Exactly one reply; {0} is silence.
   void send(const std::string& from, const HttpCall& call, std::function<void(HttpReply)> reply);
   void submit(UserJob job);
-  void call_off(const std::string& ref) { users.cancel(ref); }
+  void cancel_job(const std::string& ref) { users.cancel(ref); }
   void submit_again(const std::string& ref) { users.submit(ref, now + 1); }
 
   [[nodiscard]] bool reachable(const std::string& a, const std::string& b) const;
@@ -345,10 +345,10 @@
   std::function<void(const HttpCall&)> outside;  // hears what is sent to an address that nobody has
   std::set<std::string> no_workers;              // nodes that no machine reaches
   std::map<std::string, double> isolated;        // nodes that reach their workers only, and since when
-  double troubles_end = 1e18;                   // from here on every question must find an answer within 75 s
-  bool all_runs = true;                         // and no job may wait for 90 s beside a machine with room
-  int orders_to_copies = 0;                     // launches in answers to copies of reports: they go nowhere
-  std::map<std::string, int> launches_to_deaf;  // by attempt
+  double troubles_end = 1e18;  // from here on every question must find an answer within 75 s
+  bool all_runs = true;        // and no job may wait for 90 s beside a machine with room
+  int orders_to_copies = 0;    // launches in answers to copies of reports: they go nowhere
+  std::map<std::string, int> launches_to_unreachable;  // by attempt
   int drop_state_answers = 0;  // so many answers to commits get lost, though the commits are carried out
   double hold_share = 0.5;     // of what meets a cut: delivered late rather than lost
   std::map<std::string, double> cut_until;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -95,7 +95,7 @@
           world.hang(*worker, world.uniform(2, 40));
           break;
         case 2:
-          worker->sick = true;
+          worker->faulty = true;
           break;
         default:
           world.cut_off(name);
@@ -179,7 +179,7 @@
     for (int i = 1; i < world.options.nodes; i++) {
       world.cuts.insert({"roost-0", node_name(i)});
       for (auto& [name, worker] : world.workers) {
-        if (part_of(name, world.options.nodes) == 0) world.cuts.insert({name, node_name(i)});
+        if (shard_of(name, world.options.nodes) == 0) world.cuts.insert({name, node_name(i)});
       }
     }
   });
@@ -196,7 +196,7 @@
 
 // Several machines that fall silent together are more likely cut off than dead: they are waited for, and
 // serve again.
-// (No message is lost on this day: a part that is taken over meanwhile counts its machines' silence anew.)
+// (No message is lost on this day: a shard that is taken over meanwhile counts its machines' silence anew.)
 TEST_P(Cluster, MachinesThatAreCutOffTogetherAreNotReturned) {
   Options quiet = options();
   quiet.loss = 0;
@@ -229,23 +229,23 @@
   for (double t = 25; t < 150; t += 12) {
     world.at(t, [&world, &for_good] {
       Worker* worker = some_worker(world);
-      if (worker == nullptr || worker->deaf || worker->muffled) return;
+      if (worker == nullptr || worker->inbound_unreachable || worker->muffled) return;
       if (world.rng() % 3 == 0) {
         worker->muffled = true;
       } else {
-        worker->deaf = true;
+        worker->inbound_unreachable = true;
       }
       if (world.rng() % 3 == 0) {
         for_good.push_back(worker->name);
       } else {
-        world.in(world.uniform(3, 60), [worker] { worker->deaf = worker->muffled = false; });
+        world.in(world.uniform(3, 60), [worker] { worker->inbound_unreachable = worker->muffled = false; });
       }
     });
   }
   world.troubles_end = 250;
   world.run_until(600);
   expect_kept(world);
-  for (const auto& [attempt, count] : world.launches_to_deaf) EXPECT_LE(count, 5) << attempt;
+  for (const auto& [attempt, count] : world.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
   for (const std::string& name : for_good)
     EXPECT_TRUE(world.workers.at(name)->dead) << name << " is still kept";
 }
@@ -296,9 +296,9 @@
       for (int i = 0; i < world.options.nodes; i++) {
         if (node_name(i) == name) continue;
         world.cuts.insert({name, node_name(i)});
-        for (auto& [host, worker] : world.workers) {
-          if (unreached && part_of(host, world.options.nodes) == name.back() - '0')
-            world.cuts.insert({host, node_name(i)});
+        for (auto& [machine_name, worker] : world.workers) {
+          if (unreached && shard_of(machine_name, world.options.nodes) == name.back() - '0')
+            world.cuts.insert({machine_name, node_name(i)});
         }
       }
       world.in(world.uniform(5, 40), [&world] {
@@ -313,7 +313,7 @@
   expect_kept(world);
 }
 
-// Processes are back within a fraction of a second: alone, in pairs, while parts go home, while an election
+// Processes are back within a fraction of a second: alone, in pairs, while shards go home, while an election
 // is under way, and while what they sent before is still being carried out.
 TEST_P(Cluster, ProcessesAreBackWithinAFractionOfASecond) {
   Options late = options();
@@ -341,7 +341,7 @@
 }
 
 // Machines lose power and are back within a fraction of a second, without anything that ran on them; some
-// have forgotten which session they were in, and count their reports from one again. Nothing is taken for
+// have forgotten which incarnation they were in, and count their reports from one again. Nothing is taken for
 // still running, and nothing is started twice.
 TEST_P(Cluster, MachinesAreBackWithinAFractionOfASecond) {
   World world(options());
@@ -388,15 +388,15 @@
   }
 }
 
-// A page of a part's journal that cannot be read: what runs is not known, so the part stays inactive and
-// nothing of it runs twice; every job stays known. (What was lent to it waits until an operator has dealt
-// with the record.)
+// A segment of a shard's journal that cannot be read: what runs is not known, so the shard stays inactive and
+// nothing of it runs twice; every job stays known. (What was delegated to it waits until an operator has
+// dealt with the record.)
 TEST_P(Cluster, AnUnreadableRecordLeavesNoJobUnanswered) {
   World world(options());
   add_jobs(world, 2, 60);
   world.at(40, [&world] {
-    const std::string page = keys::page(0, 1);
-    if (world.state.values().count(page) > 0) world.state.spoil(page);
+    const std::string segment = keys::segment(0, 1);
+    if (world.state.values().count(segment) > 0) world.state.spoil(segment);
     world.crash_node(0, 0.2);
   });
   world.troubles_end = 45;
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -17,7 +17,7 @@
 Options one_node() {
   Options out;
   out.nodes = 1;
-  out.parts = 3;
+  out.shard_count = 3;
   out.loss = 0;
   return out;
 }
@@ -86,13 +86,15 @@
 
   // hello HOST FLAVOUR HALL tenure=N tick=N baton=B [REF/I:T:PHASE[:CAUSE]]...
   void hello(std::istringstream& in) {
-    std::string host;
+    std::string machine_name;
     std::string machine_type;
     std::string zone;
     std::string word;
-    in >> host >> machine_type >> zone;
-    Json report = {{"host", host},    {"address", host + ":9000"}, {"flavour", machine_type}, {"hall", zone},
-                   {"loaner", false}, {"warning_s", nullptr},      {"pieces", Json::array()}};
+    in >> machine_name >> machine_type >> zone;
+    Json report = {{"host", machine_name},    {"address", machine_name + ":9000"},
+                   {"flavour", machine_type}, {"hall", zone},
+                   {"loaner", false},         {"warning_s", nullptr},
+                   {"pieces", Json::array()}};
     while (in >> word) {
       const auto eq = word.find('=');
       if (eq != std::string::npos) {
@@ -100,16 +102,16 @@
         report[word.substr(0, eq)] = value[0] == 'B' ? fencing_tokens_.at(value) : std::stoull(value);
         continue;
       }
-      std::istringstream parts(word);
+      std::istringstream fields(word);
       std::string task;
       std::string attempt;
       std::string phase;
       std::string cause;
-      std::getline(parts, task, ':');
-      std::getline(parts, attempt, ':');
-      std::getline(parts, phase, ':');
+      std::getline(fields, task, ':');
+      std::getline(fields, attempt, ':');
+      std::getline(fields, phase, ':');
       Json item = {{"piece", task}, {"try_no", tries_.at(attempt)}, {"phase", phase}};
-      if (std::getline(parts, cause, ':')) item["exit_cause"] = cause;
+      if (std::getline(fields, cause, ':')) item["exit_cause"] = cause;
       report["pieces"].push_back(item);
     }
     const HttpReply reply = ask("POST", "/hello", report.dump());
