--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -114,19 +114,19 @@
 
 TEST(Records, SurviveTheRoundTrip) {
   std::string why;
-  HeadRecord head{*parse_job(good_job(), why), 12.5, true};
-  const auto head2 = HeadRecord::from_json(parse_json(dump_json(head.to_json())));
+  JobRecord job_record{*parse_job(good_job(), why), 12.5, true};
+  const auto head2 = JobRecord::from_json(parse_json(dump_json(job_record.to_json())));
   ASSERT_TRUE(head2.has_value());
   EXPECT_TRUE(head2->aborted);
-  EXPECT_EQ(job_to_json(head2->spec), job_to_json(head.spec));
+  EXPECT_EQ(job_to_json(head2->spec), job_to_json(job_record.spec));
 
-  HostRecord host{
+  MachineRecord machine_name{
       "10.1.0.2:9000", "g8", "a", true, 3, {{"job-2", 5, 9}, {"job-1", 0, 7}, {"job-2", 6, 10}}, {}};
-  const auto host2 = HostRecord::from_json(parse_json(dump_json(host.to_json())));
+  const auto host2 = MachineRecord::from_json(parse_json(dump_json(machine_name.to_json())));
   ASSERT_TRUE(host2.has_value());
-  EXPECT_EQ(host2->to_json(), host.to_json());
+  EXPECT_EQ(host2->to_json(), machine_name.to_json());
   EXPECT_EQ(host2->placements.size(), 3u);
-  EXPECT_FALSE(HostRecord::from_json(parse_json(R"({"a":1})")).has_value());
+  EXPECT_FALSE(MachineRecord::from_json(parse_json(R"({"a":1})")).has_value());
 }
 
 TEST(Submission, AGoodJobIsReadInFull) {
@@ -264,7 +264,7 @@
   TeamLedger ledger({{"t", 8, 16, 0, 0}});
   const Resources four = {4, 1, 0};
   EXPECT_FALSE(ledger.room(0, four)) << "nothing before the allowance is known";
-  ledger.allow(0, 16, 0, 1);
+  ledger.set_quota(0, 16, 0, 1);
   EXPECT_EQ(ledger.tasks_within(0, four), 4);
   for (int i = 0; i < 4; i++) {
     EXPECT_TRUE(ledger.room(0, four));
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 
 #include "bookkeeping/records.hpp"
-#include "coordination/summary.hpp"
+#include "coordination/fleet/shard_summary.hpp"
 #include "sim/checks.hpp"
 #include "sim/collector.hpp"
 #include "sim/days.hpp"
@@ -85,20 +85,20 @@
 TEST(Versions, RecordsOfTheOneInProductionAreReadAndKept) {
   const Json records = samples()["records"];
   for (const Json& value : records["w/j"]) {
-    const auto head = HeadRecord::from_json(value);
-    ASSERT_TRUE(head.has_value()) << value;
-    EXPECT_EQ(head->to_json(), value);
-    EXPECT_FALSE(head->spec.gang);
+    const auto job_record = JobRecord::from_json(value);
+    ASSERT_TRUE(job_record.has_value()) << value;
+    EXPECT_EQ(job_record->to_json(), value);
+    EXPECT_FALSE(job_record->spec.gang);
   }
   for (const Json& value : records["w/b"]) {
-    const auto block = BlockRecord::from_json(value);
-    ASSERT_TRUE(block.has_value()) << value;
-    EXPECT_EQ(block->to_json(), value);
+    const auto delegation = DelegationRecord::from_json(value);
+    ASSERT_TRUE(delegation.has_value()) << value;
+    EXPECT_EQ(delegation->to_json(), value);
   }
   for (const Json& value : records["h"]) {
-    const auto page = PageRecord::from_json(value);
-    ASSERT_TRUE(page.has_value()) << value;
-    EXPECT_EQ(page->to_json(), value);
+    const auto segment = SegmentRecord::from_json(value);
+    ASSERT_TRUE(segment.has_value()) << value;
+    EXPECT_EQ(segment->to_json(), value);
   }
   for (const Json& value : records["types"]) {
     const auto types = MachineTypes::parse(value);
@@ -112,7 +112,7 @@
 TEST(Versions, MessagesOfTheOneInProductionAreReadAndKept) {
   const Json messages = samples()["messages"];
   for (const Json& message : messages["/peer/summary"]) {
-    const auto summary = PartSummary::from_json(message["request"]["body"]);
+    const auto summary = ShardSummary::from_json(message["request"]["body"]);
     ASSERT_TRUE(summary.has_value()) << message;
     EXPECT_TRUE(covers(summary->to_json(), message["request"]["body"])) << summary->to_json();
     if (message["status"] != 200) continue;
@@ -168,8 +168,8 @@
 
 }  // namespace
 
-// Parts, blocks, quota shares, relayed reports and cancellations go to and fro between the versions, while
-// processes of either end, come back as they were, or are cut off.
+// Shards, delegations, quota shares, relayed reports and cancellations go to and fro between the versions,
+// while processes of either end, come back as they were, or are cut off.
 TEST_P(Upgrade, TroublesInTheMiddleOfIt) {
   World world(options());
   add_jobs(world, 2, 100);
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -26,11 +26,11 @@
 // It ends a job: its ending is written.
 bool is_ending(const Json& transaction) { return changes_key(transaction, "put", "e/"); }
 
-// It cancels one: the head is written again, though it exists.
+// It cancels one: the job record is written again, though it exists.
 bool is_cancellation(const Json& transaction) {
   for (const Json& guard : transaction["guards"]) {
-    const bool head = guard["k"].get<std::string>().rfind(keys::kHeads, 0) == 0;
-    if (head && guard["stamp"] != 0 && changes_key(transaction, "put", guard["k"])) return true;
+    const bool job_record = guard["k"].get<std::string>().rfind(keys::kJobRecords, 0) == 0;
+    if (job_record && guard["stamp"] != 0 && changes_key(transaction, "put", guard["k"])) return true;
   }
   return false;
 }
@@ -108,7 +108,7 @@
   for (double t = 25; t < 110; t += 6) {
     world.at(t, [&world] {
       for (auto& [ref, job] : world.jobs) {
-        if (job.accepted && !job.told_done && world.rng() % 4 == 0) world.call_off(ref);
+        if (job.accepted && !job.told_done && world.rng() % 4 == 0) world.cancel_job(ref);
       }
     });
   }
@@ -127,7 +127,7 @@
   world.at(24, [&world] { world.crash_node(0, 10); });
   int handed_back = 0;
   world.commit_answer = [&](const std::string& from, const Json& transaction) {
-    if (!changes_key(transaction, "delete", keys::part(0)) || handed_back++ > 0) return 0.0;
+    if (!changes_key(transaction, "delete", keys::shard(0)) || handed_back++ > 0) return 0.0;
     world.state_unheard.insert(from);
     cut_all_peers(world);
     world.cut_from_workers(from.back() - '0');
@@ -138,7 +138,7 @@
     for (const double t : {0.1, 0.3, 0.5, 0.8}) {
       world.in(t, [&world] {
         for (auto& [ref, job] : world.jobs) {
-          if (job.accepted && part_of(ref, world.options.nodes) == 0) world.call_off(ref);
+          if (job.accepted && shard_of(ref, world.options.nodes) == 0) world.cancel_job(ref);
         }
       });
     }
@@ -157,7 +157,7 @@
 // it depends: the repeat is refused, and that must not be taken for the first copy's success.
 TEST_P(WentBack, AnEndingThatWasNeverWritten) {
   Options five = options();
-  five.nodes = 5;  // more is lent among five shards than among three
+  five.nodes = 5;  // more is delegated among five shards than among three
   World world(five);
   world.hold_share = 0;
   for (int i = 0; i < 20; i++) world.submit(plain_job(world, i, world.uniform(2, 50), 12, 25));
@@ -165,9 +165,9 @@
   world.lose_commit = [&](const std::string&, const Json& transaction) {
     if (!is_ending(transaction)) return false;
     for (const Json& change : transaction["then"]) {
-      const std::string block = change.value("delete", "");
-      if (block.rfind(keys::kBlocks, 0) != 0 || !spoiled.insert(block).second) continue;
-      world.state.write_again(block);
+      const std::string delegation = change.value("delete", "");
+      if (delegation.rfind(keys::kDelegations, 0) != 0 || !spoiled.insert(delegation).second) continue;
+      world.state.write_again(delegation);
       return true;
     }
     return false;
@@ -193,17 +193,17 @@
   for (int i = 6; i < 26; i++) world.submit(plain_job(world, i, 40 + i, 1, 0.2, 1));
   int slow = 0;
   world.commit_answer = [&](const std::string&, const Json& transaction) {
-    if (world.now < 40 || is_ending(transaction) || !changes_key(transaction, "put", keys::kHeads))
+    if (world.now < 40 || is_ending(transaction) || !changes_key(transaction, "put", keys::kJobRecords))
       return 0.0;
     slow++;
     return 1.45;
   };
   std::uint64_t token = 0;
-  world.at(39, [&] { token = world.state.revision(keys::part(0)); });
+  world.at(39, [&] { token = world.state.revision(keys::shard(0)); });
   world.run_until(200);
   expect_kept(world);
   EXPECT_GT(slow, 10);
-  EXPECT_EQ(world.state.revision(keys::part(0)), token) << "a job that had ended made the shard start over";
+  EXPECT_EQ(world.state.revision(keys::shard(0)), token) << "a job that had ended made the shard start over";
 }
 
 // More jobs are accepted and end while the watch tells nothing than any short memory would hold.
@@ -223,7 +223,7 @@
   world.at(49, [&world] { world.state.hold_watches = true; });
   world.at(58.5, [&world] { world.state.release_watches(); });
   std::uint64_t token = 0;
-  world.at(48, [&] { token = world.state.revision(keys::part(0)); });
+  world.at(48, [&] { token = world.state.revision(keys::shard(0)); });
   std::size_t ended = 0;
   world.at(58, [&] {
     for (const auto& [key, value] : world.state.values()) ended += key.rfind("e/", 0) == 0 ? 1 : 0;
@@ -231,11 +231,11 @@
   world.run_until(200);
   expect_kept(world);
   EXPECT_GT(ended, 300u) << "too few ended behind the watch";
-  EXPECT_EQ(world.state.revision(keys::part(0)), token) << "a job that had ended made the shard start over";
+  EXPECT_EQ(world.state.revision(keys::shard(0)), token) << "a job that had ended made the shard start over";
 }
 
-// What the watch tells comes after the answers to newer writes: blocks that were given back, and jobs that
-// have ended, do not come back with it.
+// What the watch tells comes after the answers to newer writes: delegations that were given back, and jobs
+// that have ended, do not come back with it.
 TEST_P(WentBack, TheWatchTellsOldNews) {
   Options five = options();
   five.nodes = 5;
@@ -247,14 +247,14 @@
   world.troubles_end = 250;
   world.run_until(600);
   expect_kept(world);
-  int given_back = 0;
+  int tasks_returned = 0;
   for (int i = 0; i < five.nodes; i++) {
     for (int p = 0; p < five.nodes; p++) {
-      const Part* part = world.nodes[static_cast<std::size_t>(i)].node->part(p);
-      if (part != nullptr) given_back += static_cast<int>(part->counters().given_back);
+      const ShardLeader* shard = world.nodes[static_cast<std::size_t>(i)].node->shard(p);
+      if (shard != nullptr) tasks_returned += static_cast<int>(shard->counters().tasks_returned);
     }
   }
-  EXPECT_GT(given_back, 5);
+  EXPECT_GT(tasks_returned, 5);
 }
 
 // Everything at once, with users who look closely all the time.
@@ -290,7 +290,7 @@
     });
     world.at(t + 3, [&world] {
       for (auto& [ref, job] : world.jobs) {
-        if (job.accepted && !job.told_done && world.rng() % 8 == 0) world.call_off(ref);
+        if (job.accepted && !job.told_done && world.rng() % 8 == 0) world.cancel_job(ref);
       }
     });
   }
