--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -1,45 +1,105 @@
-// A cancellation is told to users only once it is durable and every shard that may hold tasks of the job has
-// taken note: a delegate that the state service refuses would otherwise go on renewing the leases of machines
-// that run cancelled tasks, and so it did, through an outage longer than cancel_s.
-//
-// Taken note has a delegate whose owner has answered our message while its lease was valid, or whose key
-// showed that very owner, or no owner, or a later one, after the cancellation: who owns the shard later loads
-// its records later. One that shrank, completed or deleted its delegation, or wrote the cancellation into it,
-// has shown it too. (Owners that were deposed before are bounded by Ownership::may_renew.)
+#include "coordination/shard/cancellation.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
+#include <vector>
 
-#include "coordination/shard/shard_leader.hpp"
+#include "coordination/shard/record_committer.hpp"
+#include "coordination/shard/task_delegation.hpp"
+#include "coordination/shard/worker_commands.hpp"
 
 namespace mothslip {
 
 namespace {
+// So long a user waits for a cancellation; the next try finds it made.
+constexpr double kCancelPatience = 2.0;
+constexpr int kUnaccountedRetrySeconds = 10;  // until an operator has decided
 constexpr double kCancellationRetry = 0.25;
 // Machines that can be reached have stopped the tasks by then; the others do so within their leases.
 constexpr double kStopPatience = 1.2;
 constexpr double kWriteNote = 3.0;  // a home that has not asked by then may not reach us
 }  // namespace
 
-// Its tasks are gone, as far as can be waited for: a launch on its way has arrived and is stopped.
-bool ShardLeader::stopped(const Job& job) const {
-  return job.placed == 0 || ctx_.env->now() - job.aborted_at >= kStopPatience;
+Cancellation::Cancellation(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
+                           TaskDelegation& delegation, WorkerCommands& commands)
+    : ctx_(context), model_(model), committer_(committer), delegation_(delegation), commands_(commands) {}
+
+void Cancellation::cancel(const std::string& ref, Responder responder) {
+  const JobPtr& job = model_.jobs().at(ref);
+  if (job->confirmed) {
+    responder.send(200, cancellation_body(ref, JobPhase::kCancelled));
+    return;
+  }
+  if (committer_.state_silent()) {
+    responder.send(503, R"({"error":"state service away"})", 2);
+    return;
+  }
+  if (const auto held = model_.unaccounted().find(ref);
+      held != model_.unaccounted().end() && held->second.silent()) {
+    responder.send(503, R"({"error":"not known whether it has ended"})", kUnaccountedRetrySeconds);
+    return;
+  }
+  // When the job is finishing, the ending decides what the user hears.
+  job->cancel_waiters.push_back({std::move(responder), ctx_.env->now() + kCancelPatience});
+  committer_.send_due_writes();
+  retry_cancellations();
+}
+
+// Not held: the user is told when to come back; the cancellation itself stays under way.
+void Cancellation::expire_waiters(Job& job) {
+  const double now = ctx_.env->now();
+  std::erase_if(job.cancel_waiters, [this, now](const Job::CancelWaiter& waiter) {
+    if (committer_.state_silent()) {
+      waiter.responder.send(503, R"({"error":"state service away"})", 2);
+    } else if (now >= waiter.answer_by) {
+      waiter.responder.send(503, R"({"error":"being cancelled"})", 1);
+    }
+    return waiter.responder.answered();
+  });
+}
+
+bool Cancellation::commit_cancels() {
+  for (auto& [ref, job] : model_.jobs()) {
+    if (job->delegated_here() || job->cancel_waiters.empty() || job->finishing || job->cancelling ||
+        job->record.aborted)
+      continue;
+    if (job->complete()) continue;  // commit_dones ends it
+    job->cancelling = true;
+    JobRecord job_record = job->record;
+    job_record.aborted = true;
+    job_record.spread = !job->all_delegated_complete();
+    Transaction txn = committer_.guarded_transaction();
+    txn.guard(keys::job_record(ctx_.shard, ref), job->job_revision);
+    txn.put(keys::job_record(ctx_.shard, ref), job_record.to_json());
+    committer_.commit(RequestPriority::kCancel, RecordCommitter::kCancelSlot, txn,
+                      [this, job = job, job_record](std::uint64_t revision) {
+                        job->cancelling = false;
+                        job->record = job_record;
+                        job->job_revision = revision;
+                        job->waiting.clear();
+                        job->backoff.clear();
+                        spdlog::info("{} cancelled, {} tasks to stop", job->spec().ref, job->placed);
+                        on_cancellation_durable(job);
+                      });
+    commands_.stop_directly(job);
+    return true;
+  }
+  return false;
 }
 
-// At home: it is durable now, or was when we loaded it.
-void ShardLeader::cancelled(const JobPtr& job) {
+void Cancellation::on_cancellation_durable(const JobPtr& job) {
   job->aborted_at = ctx_.env->now();
   for (const auto& [key, delegated] : job->delegated) {
     if (!delegated.complete()) job->unaware.insert(keys::delegation_target(key));
   }
-  stop_directly(job);
+  commands_.stop_directly(job);
   retry_cancellations();
 }
 
-// Looks at every cancellation that is not confirmed yet.
-void ShardLeader::retry_cancellations() {
+void Cancellation::retry_cancellations() {
   bool left = false;
-  for (const auto& [ref, job] : jobs_) {
+  for (const auto& [ref, job] : model_.jobs()) {
     if (job->delegated_here() || !job->record.aborted || job->confirmed) continue;
     for (auto it = job->unaware.begin(); it != job->unaware.end();) {
       const int shard = *it;
@@ -53,7 +113,7 @@
       if (job->asking.insert(shard).second) ask_delegate(job, shard);
       ++it;
     }
-    if (job->unaware.empty() && stopped(*job)) {
+    if (job->unaware.empty() && tasks_stopped(*job)) {
       confirm(job);
     } else {
       left = true;
@@ -61,15 +121,15 @@
   }
   if (!left || cancellation_timer_armed_) return;
   cancellation_timer_armed_ = true;
-  ctx_.env->after(kCancellationRetry, alive([this] {
+  ctx_.env->after(kCancellationRetry, alive_([this] {
                     cancellation_timer_armed_ = false;
                     retry_cancellations();
                   }));
 }
 
-void ShardLeader::ask_delegate(const JobPtr& job, int shard) {
+void Cancellation::ask_delegate(const JobPtr& job, int shard) {
   ctx_.ask(shard, "/peer/called_off", {{"ref", job->spec().ref}},
-           alive([this, job, shard](const Json& answer) {
+           alive_([this, job, shard](const Json& answer) {
              const bool noted = answer.is_object() && answer.value("noted", false);
              if (noted && answer.value("valid", false)) {
                job->asking.erase(shard);
@@ -78,26 +138,27 @@
              } else if (answer.is_object() && answer.contains("noted") && !noted) {
                job->asking.erase(shard);  // it knows, and its machines are still stopping
              } else {
-               look_for_owner(job, shard, noted ? answer.value("baton", std::uint64_t{0}) : 0);
+               check_owner_changed(job, shard, noted ? answer.value("baton", std::uint64_t{0}) : 0);
              }
            }));
 }
 
 // `noted`: the token of the owner that has taken note, but whose lease may be over.
-void ShardLeader::look_for_owner(const JobPtr& job, int shard, std::uint64_t noted) {
-  ctx_.state->get(
-      RequestPriority::kCancel, keys::shard(shard), alive([this, job, shard, noted](const StateReply& reply) {
-        job->asking.erase(shard);
-        const auto found = reply.ok() ? reply.body.value("stamp", std::uint64_t{0}) : 0;
-        const bool knows = reply.outcome == Outcome::kMissing ||
-                           (reply.ok() && (found > job->job_revision || (noted != 0 && found == noted)));
-        if (!knows) return;
-        job->unaware.erase(shard);
-        retry_cancellations();
-      }));
+void Cancellation::check_owner_changed(const JobPtr& job, int shard, std::uint64_t noted) {
+  ctx_.state->get(RequestPriority::kCancel, keys::shard(shard),
+                  alive_([this, job, shard, noted](const StateReply& reply) {
+                    job->asking.erase(shard);
+                    const auto found = reply.ok() ? reply.body.value("stamp", std::uint64_t{0}) : 0;
+                    const bool knows =
+                        reply.outcome == Outcome::kMissing ||
+                        (reply.ok() && (found > job->job_revision || (noted != 0 && found == noted)));
+                    if (!knows) return;
+                    job->unaware.erase(shard);
+                    retry_cancellations();
+                  }));
 }
 
-void ShardLeader::confirm(const JobPtr& job) {
+void Cancellation::confirm(const JobPtr& job) {
   if (job->confirmed) return;
   job->confirmed = true;
   const std::string& ref = job->spec().ref;
@@ -109,41 +170,45 @@
   ctx_.ended(ref, {JobPhase::kCancelled, 0, 0});
 }
 
-// Delegate: the home's owner says that a job is cancelled.
-Json ShardLeader::on_job_cancelled(const Json& body) {
-  const std::string prefix = keys::delegations(id_, body.value("ref", ""));
+// Its tasks are gone, as far as can be waited for: a launch on its way has arrived and is stopped.
+bool Cancellation::tasks_stopped(const Job& job) const {
+  return job.placed == 0 || ctx_.env->now() - job.aborted_at >= kStopPatience;
+}
+
+Json Cancellation::on_job_cancelled(const Json& body) {
+  const std::string prefix = keys::delegations(ctx_.shard, body.value("ref", ""));
   bool noted = true;
-  for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it) {
-    drop_delegated(it->second);
-    noted = noted && stopped(*it->second);
+  for (auto it = model_.jobs().lower_bound(prefix);
+       it != model_.jobs().end() && it->first.rfind(prefix, 0) == 0; ++it) {
+    delegation_.drop_delegated(it->second);
+    noted = noted && tasks_stopped(*it->second);
     it->second->acknowledged = true;
   }
-  send_queued();
-  return {{"noted", noted}, {"valid", ctx_.exclusive_owner()}, {"baton", fencing_token_}};
+  committer_.send_due_writes();
+  return {{"noted", noted}, {"valid", ctx_.exclusive_owner()}, {"baton", ctx_.fencing_token}};
 }
 
-// Delegate: where the home does not reach us, it reads that we know. (A delegation without tasks on machines
-// is deleted instead.)
-bool ShardLeader::note_cancels() {
-  Transaction txn = guarded();
+bool Cancellation::record_seen_cancellations() {
+  Transaction txn = committer_.guarded_transaction();
   std::vector<JobPtr> noted;
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
-  for (const auto& [key, job] : jobs_) {
+  for (const auto& [key, job] : model_.jobs()) {
     if (!job->delegated_here() || !job->record.aborted || job->acknowledged || job->note_written ||
         job->cleaning || job->progress_inflight || job->placed == 0 ||
         ctx_.env->now() - job->aborted_at < kWriteNote) {
       continue;
     }
     if (txn.then.size() + 1 > most) break;
-    Json record = delegation_record(*job).to_json();
-    if (static_cast<double>(dump_json(record).size()) > value_bytes_) continue;  // it is only asked for then
+    Json record = delegation_.delegation_record(*job).to_json();
+    if (static_cast<double>(dump_json(record).size()) > committer_.value_bytes())
+      continue;  // it is only asked for then
     txn.guard(key, job->delegation_revision);
     txn.put(key, std::move(record));
     job->note_written = job->progress_inflight = true;
     noted.push_back(job);
   }
   if (noted.empty()) return false;
-  send_commit(RequestPriority::kRest, kRestSlot, txn, [noted](std::uint64_t revision) {
+  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [noted](std::uint64_t revision) {
     for (const JobPtr& job : noted) {
       job->progress_inflight = false;
       job->delegation_revision = revision;
--- a/src/coordination/shard/gang_scheduling.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -1,16 +1,17 @@
-// Gangs: jobs whose tasks start together or not at all.
-//
-// All tasks of an attempt share one attempt number and are placed in one durable write; nothing is launched
-// before. A task that is lost before the gang has started is replaced under the same number. Once it has
-// started, or when it does not become complete in time, the attempt has failed: nothing of it is launched any
-// more, all of it is stopped, and the next attempt begins when evidence shows that every old task is gone. A
-// gang that has to give way is stopped as a whole, once that decision is durable.
+#include "coordination/shard/gang_scheduler.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/shard/shard_leader.hpp"
+#include "coordination/shard/journal.hpp"
+#include "coordination/shard/placement_rules.hpp"
+#include "coordination/shard/quota_shares.hpp"
+#include "coordination/shard/record_committer.hpp"
+#include "coordination/shard/task_delegation.hpp"
+#include "coordination/shard/task_placement.hpp"
+#include "coordination/shard/worker_commands.hpp"
 
 namespace mothslip {
 
@@ -26,7 +27,6 @@
 constexpr double kTellEvery = 2.0;
 constexpr double kToldGood = 6.0;  // what a delegate has said of a gang is believed this long
 constexpr double kStopMargin = 5.0;
-
 double total(const Resources& amounts, const Resources& weights) {
   double sum = 0;
   for (std::size_t r = 0; r < amounts.size(); r++) sum += amounts[r] * weights[r];
@@ -34,21 +34,28 @@
 }
 }  // namespace
 
-bool ShardLeader::attempt_over(const Job& job) { return job.attempt.failed || job.attempt.stopping; }
-
-// Users are told that a gang runs only while all its tasks do.
-int ShardLeader::gang_tasks_running(const Job& job) const {
+GangScheduler::GangScheduler(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
+                             Journal& journal, PlacementRules& rules, TaskPlacement& placement,
+                             TaskDelegation& delegation, QuotaShares& quotas, WorkerCommands& commands)
+    : ctx_(context),
+      model_(model),
+      committer_(committer),
+      journal_(journal),
+      rules_(rules),
+      placement_(placement),
+      delegation_(delegation),
+      quotas_(quotas),
+      commands_(commands) {}
+
+bool GangScheduler::attempt_over(const Job& job) { return job.attempt.failed || job.attempt.stopping; }
+
+int GangScheduler::gang_tasks_running(const Job& job) const {
   const bool delegated_gang_runs = job.delegated_open() > 0 && job.delegated_gang_runs &&
                                    ctx_.env->now() - job.delegated_gang_heard_at < kToldGood;
   return job.gang_runs() || delegated_gang_runs ? job.spec().task_count : 0;
 }
 
-bool ShardLeader::within_quota(const Job& job) const {
-  if (!job.is_gang()) return teams_.room(job.team, job.demand);
-  return teams_.tasks_within(job.team, job.demand) >= job.waiting.size();
-}
-
-bool ShardLeader::gang_may_be_placed(const Job& job) const {
+bool GangScheduler::gang_may_be_placed(const Job& job) const {
   if (job.attempt.number == 0) return job.placed == 0 && job.waiting.size() == job.spec().task_count;
   if (attempt_over(job) || job.attempt.started) return false;
   const double since = job.attempt.launched_at;
@@ -56,16 +63,16 @@
 }
 
 // Nothing of it is placed, delegated or paused.
-bool ShardLeader::gang_waits(const Job& job) const {
+bool GangScheduler::gang_waits(const Job& job) const {
   return job.is_gang() && job.attempt.number == 0 && !job.over() && !job.cancel_requested() &&
          gang_may_be_placed(job);
 }
 
-bool ShardLeader::gang_may_be_launched(const Job& job) {
+bool GangScheduler::gang_may_be_launched(const Job& job) {
   return !job.is_gang() || job.attempt.launched_at != 0;
 }
 
-GangNeeds ShardLeader::gang_needs(const Job& job) {
+GangNeeds GangScheduler::gang_needs(const Job& job) {
   GangNeeds out;
   out.demand = job.demand;
   out.tasks = job.waiting.size();
@@ -75,25 +82,25 @@
   return out;
 }
 
-bool ShardLeader::open_to_gang(const Job& job, const Machine& machine) const {
+bool GangScheduler::open_to_gang(const Job& job, const Machine& machine) const {
   const double now = ctx_.env->now();
   if (machine.type < 0 || !machine.schedulable() || !machine.token_acknowledged || !machine.heard)
     return false;
-  if (now < machine.no_fill_until || now - machine.last_heard > fresh_s()) return false;
+  if (now < machine.no_fill_until || now - machine.last_heard > ctx_.report_freshness_s()) return false;
   if (machine.reserved_for && machine.reserved_for.get() != &job) return false;
-  return !(machine.cordoned && small_on(job, machine.type)) && allowed_on(job, machine);
+  return !(machine.cordoned && rules_.fits_smaller_type(job, machine.type)) &&
+         rules_.allowed_on(job, machine);
 }
 
-double ShardLeader::fetch_s(const Job& job, const Machine& machine) const {
+double GangScheduler::fetch_s(const Job& job, const Machine& machine) const {
   if (machine.has_image(job.image)) return 0;
   return fetch_seconds(job.spec(), ctx_.types->at(machine.type));
 }
 
-// Places all tasks that wait: the whole gang, or those that were lost before it started.
-bool ShardLeader::place_gang(const JobPtr& job) {
+bool GangScheduler::place_gang(const JobPtr& job) {
   std::vector<Machine*> open;
   std::vector<GangMachine> rooms;
-  for (auto& [name, machine] : machines_) {
+  for (auto& [name, machine] : model_.machines()) {
     if (!open_to_gang(*job, *machine)) continue;
     open.push_back(machine.get());
     rooms.push_back({machine->room, machine->zone, fetch_s(*job, *machine)});
@@ -109,35 +116,23 @@
     // Larger than that of any attempt before, also at another shard: what ended that one, and brought the
     // gang here, are revisions that we know.
     const std::uint64_t revision =
-        std::max({fencing_token_, watched_, job->job_revision, job->delegation_revision});
-    attempt.number = (revision << kAttemptShift) + ++attempt_counter_;
+        std::max({ctx_.fencing_token, model_.watched(), job->job_revision, job->delegation_revision});
+    attempt.number = (revision << kAttemptShift) + model_.next_count();
     attempt.placed_at = now;
   }
   const std::uint64_t number = attempt.number;
   for (const GangShare& share : shares) {
-    for (int i = 0; i < share.tasks; i++) place_task(*open[share.machine], job, number);
+    for (int i = 0; i < share.tasks; i++) placement_.place_task(*open[share.machine], job, number);
     open[share.machine]->held = false;
   }
   if (reserving_ == job) release_reservation();
   return true;
 }
 
-std::vector<std::pair<Machine*, Placement*>> ShardLeader::placements_of(const Job& job) const {
-  std::vector<std::pair<Machine*, Placement*>> out;
-  if (job.placed == 0) return out;
-  for (const auto& [name, machine] : machines_) {
-    for (Placement& placement : machine->placements) {
-      if (placement.job.get() == &job) out.emplace_back(machine.get(), &placement);
-    }
-  }
-  return out;
-}
-
-// New placements of these gangs are durable. Once all are, they may be launched.
-void ShardLeader::gangs_written(const std::set<JobPtr>& gangs) {
+void GangScheduler::gangs_written(const std::set<JobPtr>& gangs) {
   for (const JobPtr& job : gangs) {
     if (job->attempt.launched_at != 0 || job->placed < job->spec().task_count) continue;
-    const auto placements = placements_of(*job);
+    const auto placements = model_.placements_of(*job);
     const bool all = std::all_of(placements.begin(), placements.end(), [](const auto& item) {
       return item.second->stage == Placement::Stage::kRecorded;
     });
@@ -145,47 +140,37 @@
   }
 }
 
-// Called when it is known that a task of the attempt is gone, or will never be launched.
-void ShardLeader::gang_task_lost(Job& job) {
-  if (job.over() || job.cancel_requested()) return;
-  if (job.attempt.started && !job.attempt.stopping) job.attempt.failed = true;
-}
-
-// ---------------------------------------------------------------- stopping
-
-void ShardLeader::stop_gang(const JobPtr& job, const char* why) {
+void GangScheduler::stop_gang(const JobPtr& job, const char* why) {
   spdlog::info("{} is stopped: {}", job->spec().ref, why);
   job->attempt.stopping = true;
   job->attempt.stopping_since = ctx_.env->now();
-  for (const auto& [machine, placement] : placements_of(*job)) {
-    const auto segment = segments_.find(placement->segment);
-    if (segment != segments_.end()) segment->second.dirty = true;
+  for (const auto& [machine, placement] : model_.placements_of(*job)) {
+    journal_.mark_dirty(placement->segment);
   }
 }
 
-// All must be told within gang_peer_s of the first: directly, and in answers to reports.
-void ShardLeader::stops_written(const std::set<JobPtr>& gangs) {
+void GangScheduler::stops_written(const std::set<JobPtr>& gangs) {
   for (const JobPtr& job : gangs) {
     if (job->attempt.stop_recorded || !job->attempt.stopping) continue;
-    const auto placements = placements_of(*job);
+    const auto placements = model_.placements_of(*job);
     job->attempt.stop_recorded = std::all_of(placements.begin(), placements.end(), [](const auto& item) {
       return item.second->stop_recorded || item.second->stage == Placement::Stage::kFreeing;
     });
-    if (job->attempt.stop_recorded) stop_directly(job);
+    if (job->attempt.stop_recorded) commands_.stop_directly(job);
   }
 }
 
-void ShardLeader::maintain_gangs() {
-  for (const auto& [name, job] : jobs_) {
+void GangScheduler::maintain() {
+  for (const auto& [name, job] : model_.jobs()) {
     if (!job->is_gang() || job->over() || job->cancel_requested()) continue;
     if (job->attempt.number != 0) maintain_attempt(job);
-    if (job->delegated_here()) tell_home(job);
+    if (job->delegated_here()) report_to_home(job);
   }
-  reserve_for_gangs();
-  seek_capacity();
+  update_reservation();
+  request_capacity();
 }
 
-void ShardLeader::maintain_attempt(const JobPtr& job) {
+void GangScheduler::maintain_attempt(const JobPtr& job) {
   GangAttempt& attempt = job->attempt;
   const JobSpec& spec = job->spec();
   const double now = ctx_.env->now();
@@ -196,12 +181,12 @@
   if (attempt.failed) {
     if (!attempt.failure_told) {
       attempt.failure_told = true;
-      stop_directly(job);
+      commands_.stop_directly(job);
     }
     return;
   }
   if (attempt.stopping) return;
-  const auto placements = placements_of(*job);
+  const auto placements = model_.placements_of(*job);
   const bool goes = std::any_of(placements.begin(), placements.end(), [](const auto& item) {
     const Machine& machine = *item.first;
     return machine.evicted_at || (machine.draining && machine.faulty);
@@ -214,22 +199,20 @@
   }
 }
 
-// ---------------------------------------------------------------- room that has to gather
-
-void ShardLeader::release_reservation() {
-  for (auto& [name, machine] : machines_) machine->reserved_for.reset();
+void GangScheduler::release_reservation() {
+  for (auto& [name, machine] : model_.machines()) machine->reserved_for.reset();
   reserving_.reset();
 }
 
 // Small tasks that take every bit of room as it comes free would keep a gang waiting for ever. Machines are
 // kept for one gang at a time, the first in order, so that two do not hold half of their room each.
-void ShardLeader::reserve_for_gangs() {
+void GangScheduler::update_reservation() {
   const double now = ctx_.env->now();
   const double wall = ctx_.env->wall();
   JobPtr first;
-  for (const auto& [name, job] : jobs_) {
+  for (const auto& [name, job] : model_.jobs()) {
     const bool waits = gang_waits(*job) && !job->at_fault();
-    if (!waits || now < job->next_reservation || !within_quota(*job)) continue;
+    if (!waits || now < job->next_reservation || !rules_.within_quota(*job)) continue;
     if (wall - job->record.submitted < kReserveAfter || now - job->idle_since < kReserveAfter) continue;
     if (!first || goes_before(*job, *first)) first = job;
   }
@@ -249,10 +232,10 @@
 }
 
 // The machines that hold it when they are empty, those with most of their room free first.
-std::vector<Machine*> ShardLeader::capacity_for(const Job& job) const {
+std::vector<Machine*> GangScheduler::capacity_for(const Job& job) const {
   std::vector<Machine*> machines;
   std::vector<GangMachine> rooms;
-  for (const auto& [name, machine] : machines_) {
+  for (const auto& [name, machine] : model_.machines()) {
     if (!open_to_gang(job, *machine)) continue;
     Resources capacity = machine->capacity;
     for (const Placement& placement : machine->placements) {
@@ -260,8 +243,8 @@
       if (!placement.job->is_gang()) continue;
       for (std::size_t r = 0; r < capacity.size(); r++) capacity[r] -= placement.job->demand[r];
     }
-    const double all = std::max(1e-9, total(machine->capacity, weights_.resource));
-    const double busy = 1 - total(machine->room, weights_.resource) / all;
+    const double all = std::max(1e-9, total(machine->capacity, rules_.weights().resource));
+    const double busy = 1 - total(machine->room, rules_.weights().resource) / all;
     machines.push_back(machine.get());
     rooms.push_back({capacity, machine->zone, std::round(busy * 4)});
   }
@@ -271,7 +254,7 @@
   return out;
 }
 
-void ShardLeader::reserve_for(const JobPtr& job) {
+void GangScheduler::reserve_for(const JobPtr& job) {
   const std::vector<Machine*> machines = capacity_for(*job);
   if (machines.empty()) return;
   for (Machine* machine : machines) machine->reserved_for = job;
@@ -283,46 +266,45 @@
 
 // Where our machines could not hold a gang even if they were empty, another shard's may: it is delegated to a
 // shard that says so, and that shard reserves machines for it.
-void ShardLeader::seek_capacity() {
+void GangScheduler::request_capacity() {
   const double now = ctx_.env->now();
-  if (ctx_.shard_count < 2 || now < next_seek_ || seeking_ || state_silent() || !ctx_.exclusive_owner())
+  if (ctx_.shard_count < 2 || now < next_seek_ || seeking_ || committer_.state_silent() ||
+      !ctx_.exclusive_owner())
     return;
   next_seek_ = now + kSeekEvery;
-  for (const auto& [name, job] : jobs_) {
-    if (job->delegated_here() || !gang_waits(*job) || !starving(*job)) continue;
+  for (const auto& [name, job] : model_.jobs()) {
+    if (job->delegated_here() || !gang_waits(*job) || !rules_.starving(*job)) continue;
     if (!capacity_for(*job).empty()) continue;
-    asked_for_capacity_ = next_shard(asked_for_capacity_);
+    asked_for_capacity_ = ctx_.next_shard(asked_for_capacity_);
     seeking_ = true;
     ctx_.ask(asked_for_capacity_, "/peer/gang_capacity", {{"job", job_to_json(job->spec())}},
-             alive([this, job = job, shard = asked_for_capacity_](const Json& answer) {
+             alive_([this, job = job, shard = asked_for_capacity_](const Json& answer) {
                seeking_ = false;
                if (!answer.is_object() || !answer.value("capacity", false)) return;
                if (gang_waits(*job))
-                 delegate_tasks(job, shard, answer.value("baton", std::uint64_t{0}), job->waiting.size());
+                 delegation_.delegate_tasks(job, shard, answer.value("baton", std::uint64_t{0}),
+                                            job->waiting.size());
              }));
     return;
   }
 }
 
-Json ShardLeader::on_gang_capacity(const Json& body) {
+Json GangScheduler::on_gang_capacity(const Json& body) {
   std::string why;
   const auto spec = parse_job(body.at("job"), why);
   if (!spec || !spec->gang) return {{"error", "malformed"}};
   JobRecord job_record;
   job_record.spec = *spec;
-  const JobPtr job = make_job(std::move(job_record), 0);
+  const JobPtr job = model_.make_job(std::move(job_record), 0);
   job->waiting.insert(0, spec->task_count);
-  return {{"capacity", !capacity_for(*job).empty()}, {"baton", fencing_token_}};
+  return {{"capacity", !capacity_for(*job).empty()}, {"baton", ctx_.fencing_token}};
 }
 
-// ---------------------------------------------------------------- gangs that are delegated
-
-// Delegates gangs that find no room here, whole, where the asking shard has offered room for all their tasks.
-int ShardLeader::delegate_gangs(const Json& body) {
+int GangScheduler::delegate_gangs(const Json& body) {
   const int to = body.at("part").get<int>();
   if (!body.value("gangs", false)) return 0;  // an earlier version, which could not read them
   std::vector<JobPtr> gangs;
-  for (const auto& [name, job] : jobs_) {
+  for (const auto& [name, job] : model_.jobs()) {
     if (job->delegated_here() || !gang_waits(*job) || job->at_fault() || !job->cancel_waiters.empty())
       continue;
     gangs.push_back(job);
@@ -334,7 +316,7 @@
   for (const Json& offer : body.at("rooms"))
     rooms.push_back({offer.at(3).get<double>(), offer.at(4).get<double>(), offer.at(5).get<double>()});
   for (const JobPtr& job : gangs) {
-    if (finds_room_here(*job)) continue;
+    if (finds_local_room(*job)) continue;
     const Json& spare = body.at("spare").at(static_cast<std::size_t>(job->team));
     const Resources needs = job->start_demand();
     const bool quota =
@@ -343,37 +325,38 @@
     if (shares.empty()) continue;
     if (!quota) {
       // Room without quota share is of no use: what we do not need of ours moves along.
-      transfer_quota(job->team, to, needs[0], needs[2], false);
-      if (!starving(*job)) continue;
+      quotas_.transfer_quota(job->team, to, needs[0], needs[2], false);
+      if (!rules_.starving(*job)) continue;
     }
     for (const GangShare& share : shares) {
       for (std::size_t r = 0; r < needs.size(); r++) rooms[share.machine][r] -= share.tasks * job->demand[r];
     }
-    delegate_tasks(job, to, body.at("baton").get<std::uint64_t>(), job->waiting.size());
+    delegation_.delegate_tasks(job, to, body.at("baton").get<std::uint64_t>(), job->waiting.size());
     delegated += job->spec().task_count;
   }
   return delegated;
 }
 
-bool ShardLeader::finds_room_here(const Job& job) const {
-  if (!within_quota(job)) return false;
+bool GangScheduler::finds_local_room(const Job& job) const {
+  if (!rules_.within_quota(job)) return false;
   std::vector<GangMachine> rooms;
-  for (const auto& [name, machine] : machines_) {
+  for (const auto& [name, machine] : model_.machines()) {
     if (open_to_gang(job, *machine)) rooms.push_back({machine->room, machine->zone, 0});
   }
   return !find_gang_places(gang_needs(job), rooms).empty();
 }
 
-std::vector<GangShare> ShardLeader::find_offered_places(const Job& job, const Json& offers,
-                                                        const std::vector<Resources>& rooms) const {
+std::vector<GangShare> GangScheduler::find_offered_places(const Job& job, const Json& offers,
+                                                          const std::vector<Resources>& rooms) const {
   std::vector<GangMachine> machines;
   for (std::size_t i = 0; i < rooms.size(); i++) {
     const Json& offer = offers.at(i);
     const auto machine_type = offer.at(0).get<std::string>();
     const auto zone = offer.at(1).get<std::string>();
     const int type = ctx_.types->find(machine_type);
-    const bool open = type >= 0 && may_go(job.spec(), machine_type, zone, offer.at(2).get<bool>()) &&
-                      !(offer.at(6).get<bool>() && small_on(job, type));
+    const bool open = type >= 0 &&
+                      rules_.allows_machine(job.spec(), machine_type, zone, offer.at(2).get<bool>()) &&
+                      !(offer.at(6).get<bool>() && rules_.fits_smaller_type(job, type));
     const auto& images = offer.at(7);
     const bool local = std::find(images.begin(), images.end(), Json(job.spec().image)) != images.end();
     const double fetch = local || type < 0 ? 0 : fetch_seconds(job.spec(), ctx_.types->at(type));
@@ -383,7 +366,7 @@
 }
 
 // Only the delegate knows whether a gang runs; its home's owner tells the users.
-void ShardLeader::tell_home(const JobPtr& job) {
+void GangScheduler::report_to_home(const JobPtr& job) {
   const double now = ctx_.env->now();
   const bool running = job->gang_runs();
   if (running == job->delegated_gang_runs && (!running || now - job->delegated_gang_heard_at < kTellEvery))
@@ -394,9 +377,9 @@
            [](const Json&) {});
 }
 
-Json ShardLeader::on_gang_state(const Json& body) {
-  const auto it = jobs_.find(body.at("ref").get<std::string>());
-  if (it != jobs_.end() && it->second->is_gang()) {
+Json GangScheduler::on_gang_state(const Json& body) {
+  const auto it = model_.jobs().find(body.at("ref").get<std::string>());
+  if (it != model_.jobs().end() && it->second->is_gang()) {
     it->second->delegated_gang_runs = body.at("running").get<bool>();
     it->second->delegated_gang_heard_at = ctx_.env->now();
   }
--- /dev/null
+++ b/src/coordination/shard/job_completion.cpp
@@ -0,0 +1,148 @@
+#include "coordination/shard/job_completion.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "coordination/shard/cancellation.hpp"
+#include "coordination/shard/progress_records.hpp"
+#include "coordination/shard/record_committer.hpp"
+
+namespace mothslip {
+
+JobCompletion::JobCompletion(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
+                             ProgressRecords& progress, Cancellation& cancellation)
+    : ctx_(context), model_(model), committer_(committer), progress_(progress), cancellation_(cancellation) {}
+
+// Jobs whose ending can be written, urgent ones first. (A swarm of one-task jobs brings more endings than the
+// state service takes changes: in the order of their names, urgent jobs were told to be done minutes late.)
+std::vector<JobPtr> JobCompletion::jobs_to_end() const {
+  std::vector<JobPtr> out;
+  for (const auto& [name, job] : model_.jobs()) {
+    const bool busy = job->finishing || job->cancelling || job->record.aborted || job->progress_inflight;
+    if (!job->delegated_here() && !busy && job->complete() && job->all_delegated_complete())
+      out.push_back(job);
+  }
+  std::stable_sort(out.begin(), out.end(),
+                   [](const JobPtr& a, const JobPtr& b) { return goes_before(*a, *b); });
+  return out;
+}
+
+std::size_t JobCompletion::changes_to_end(const Job& job) const {
+  return 3 + job.delegated.size() + model_.unaccounted().count(job.spec().ref);
+}
+
+void JobCompletion::add_ending(Transaction& txn, const Job& job, const char* phase) const {
+  const std::string& ref = job.spec().ref;
+  txn.guard(keys::job_record(ctx_.shard, ref), job.job_revision);
+  txn.guard(keys::progress(ctx_.shard, ref), job.progress_revision);
+  txn.put(keys::ending(ctx_.shard, ref), ending_json(phase, job.spec().task_count));
+  txn.remove(keys::job_record(ctx_.shard, ref));
+  if (model_.unaccounted().count(ref) > 0) txn.remove(keys::unaccounted(ctx_.shard, ref));
+  if (job.progress_revision != 0) txn.remove(keys::progress(ctx_.shard, ref));
+  for (const auto& [key, delegated] : job.delegated) {
+    txn.guard(key, delegated.revision);
+    txn.remove(key);
+  }
+}
+
+bool JobCompletion::commit_endings() {
+  Transaction txn = committer_.guarded_transaction();
+  std::vector<JobPtr> finished;
+  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  for (const JobPtr& job : jobs_to_end()) {
+    if (txn.then.size() + changes_to_end(*job) > most) continue;
+    job->finishing = true;
+    model_.counters().endings++;
+    add_ending(txn, *job, "done");
+    finished.push_back(job);
+  }
+  if (finished.empty()) return false;
+  const auto done = [this, finished](std::uint64_t) {
+    for (const JobPtr& job : finished) on_ended(job);
+  };
+  // A cancellation came in between: what belongs to other jobs is tried again.
+  const auto conflict = [this, finished](const std::vector<std::string>& failed) {
+    if (!only_cancelled(failed)) return false;
+    for (const JobPtr& job : finished) job->finishing = false;
+    return true;
+  };
+  committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn, done, conflict);
+  return true;
+}
+
+void JobCompletion::on_ended(const JobPtr& job) {
+  const std::string ref = job->spec().ref;
+  spdlog::info("{} done after {:.1f} s", ref, ctx_.env->wall() - job->record.submitted);
+  for (const Job::CancelWaiter& waiter : job->cancel_waiters) {
+    waiter.responder.send(200, cancellation_body(ref, JobPhase::kDone));
+  }
+  ctx_.ended(ref, {JobPhase::kDone, job->spec().task_count, 0});
+  job->unsaved.clear();
+  progress_.discard_progress_chunks(*job);
+  model_.forget(ref);
+}
+
+bool JobCompletion::only_cancelled(const std::vector<std::string>& failed) const {
+  return std::all_of(failed.begin(), failed.end(), [this](const std::string& key) {
+    const auto it = model_.jobs().find(key.substr(key.rfind('/') + 1));
+    return key.rfind(keys::job_records(ctx_.shard), 0) == 0 &&
+           (it == model_.jobs().end() || it->second->cancelling || it->second->record.aborted);
+  });
+}
+
+bool JobCompletion::remove_delegations_of_cancelled(const JobPtr& job, std::size_t most) {
+  Transaction txn = committer_.guarded_transaction();
+  std::vector<std::string> removed;
+  for (const auto& [key, delegated] : job->delegated) {
+    if (removed.size() == most) break;
+    txn.guard(key, delegated.revision);
+    txn.remove(key);
+    removed.push_back(key);
+  }
+  job->progress_inflight = true;
+  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [job, removed](std::uint64_t) {
+    job->progress_inflight = false;
+    for (const std::string& key : removed) job->delegated.erase(key);
+  });
+  return true;
+}
+
+bool JobCompletion::commit_cancelled_cleanup() {
+  Transaction txn = committer_.guarded_transaction();
+  std::vector<std::string> cleaned;
+  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  for (auto& [name, job] : model_.jobs()) {
+    if (!job->record.aborted || job->cleaning || job->placed > 0 || job->progress_inflight) continue;
+    if (job->delegated_here()) {
+      // A delegation whose record is complete is the home's to delete.
+      if (job->complete() && job->unsaved.empty()) continue;
+      if (txn.then.size() + 1 > most) break;
+      txn.guard(name, job->delegation_revision);
+      txn.remove(name);
+    } else {
+      if (!job->all_delegated_complete()) continue;  // their delegates delete them
+      const std::size_t needs = changes_to_end(*job);
+      if (txn.then.size() + needs > most && !txn.then.empty()) break;
+      // Too many delegations to go along with the ending: they go first.
+      if (needs > most) return remove_delegations_of_cancelled(job, most);
+      add_ending(txn, *job, "aborted");
+    }
+    job->cleaning = true;
+    cleaned.push_back(name);
+  }
+  if (cleaned.empty()) return false;
+  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [this, cleaned](std::uint64_t) {
+    for (const std::string& name : cleaned) {
+      // Its delegations are gone or complete: their delegates know, or have nothing left of it.
+      const auto it = model_.jobs().find(name);
+      if (it == model_.jobs().end()) continue;
+      if (!it->second->delegated_here()) cancellation_.confirm(it->second);
+      progress_.discard_progress_chunks(*it->second);
+      model_.forget(name);
+    }
+  });
+  return true;
+}
+
+}  // namespace mothslip
--- a/src/coordination/shard/journal.cpp
+++ b/src/coordination/shard/journal.cpp
@@ -1,20 +1,24 @@
-// The shard's journal: a few segments that hold placements by machine, and completions that no other record
-// holds yet (docs/design.md, "The journal").
+#include "coordination/shard/journal.hpp"
+
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
+#include <memory>
 
-#include "coordination/shard/shard_leader.hpp"
+#include "coordination/shard/gang_scheduler.hpp"
+#include "coordination/shard/record_committer.hpp"
+#include "coordination/shard/task_delegation.hpp"
+#include "coordination/shard/worker_commands.hpp"
 
 namespace mothslip {
 
 namespace {
+// Completions are kept by the workers until they are acknowledged: writing them a little later loses nothing.
+constexpr double kCompletionDelay = 0.8;   // seconds
 constexpr double kSegmentFill = 0.95;      // of the value size
 constexpr double kSplitFill = 0.97;        // likewise, where a segment of larger limits is split
 constexpr double kJournalShare = 0.7;      // of the shard's share of changes, for the journal
 constexpr std::size_t kSegmentFrame = 20;  // bytes of an empty segment
-
 // Upper bounds for the text of a machine's entry and of one placement in it.
 std::size_t machine_bytes(const Machine& machine) {
   return 70 + machine.name.size() + machine.record.address.size() + machine.record.machine_type.size() +
@@ -31,7 +35,46 @@
 }
 }  // namespace
 
-struct ShardLeader::JournalWrite {
+Journal::Journal(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
+                 GangScheduler& gangs, TaskDelegation& delegation, WorkerCommands& commands)
+    : ctx_(context),
+      model_(model),
+      committer_(committer),
+      gangs_(gangs),
+      delegation_(delegation),
+      commands_(commands) {}
+
+void Journal::add_loaded_segment(int number, std::uint64_t revision, std::size_t bytes) {
+  last_segment_ = std::max(last_segment_, number);
+  JournalSegment& segment = segments_[number];
+  segment.revision = revision;
+  segment.oversized = static_cast<double>(bytes) > committer_.value_bytes();
+}
+
+void Journal::add_loaded_completions(int number, const std::string& name, RangeSet done) {
+  segments_[number].done[name] = std::move(done);
+}
+
+void Journal::note_freed_placement(int segment) {
+  has_freed_placements_ = true;
+  mark_dirty(segment);
+}
+
+void Journal::mark_dirty(int segment) {
+  const auto found = segments_.find(segment);
+  if (found != segments_.end()) found->second.dirty = true;
+}
+
+void Journal::note_completion() {
+  if (unrecorded_since_ == 0) unrecorded_since_ = ctx_.env->now();
+}
+
+void Journal::on_values_shrunk() {
+  for (auto& [number, segment] : segments_)
+    segment.oversized = static_cast<double>(segment_bytes(number)) > committer_.value_bytes();
+}
+
+struct Journal::JournalWrite {
   Transaction txn;
   std::size_t most = 0;         // changes
   std::size_t most_guards = 0;  // conditions
@@ -58,23 +101,21 @@
   [[nodiscard]] std::size_t guards() const { return 1 + changes() + job_records.size() + owners.size(); }
 };
 
-struct ShardLeader::SegmentSplit {
+struct Journal::SegmentSplit {
   std::size_t segments = 1;
   std::vector<std::pair<JournalWrite::Ref, std::size_t>>
       placements;  // and to which of the segments each goes
   std::vector<std::pair<std::string, std::size_t>> notes;
 };
 
-// What was freed before it was recorded, or belongs to a job that is durably cancelled, needs no write: no
-// owner would start it again. The rest goes once its segment is written without it.
-void ShardLeader::release_freed() {
+void Journal::release_freed() {
   has_freed_placements_ = false;
-  for (auto& [name, machine] : machines_) {
+  for (auto& [name, machine] : model_.machines()) {
     for (std::size_t i = 0; i < machine->placements.size();) {
       const Placement& placement = machine->placements[i];
       if (placement.stage == Placement::Stage::kFreeing &&
           (placement.segment == 0 || placement.job->record.aborted)) {
-        drop_placement(*machine, i);
+        model_.drop_placement(*machine, i);
       } else {
         i++;
       }
@@ -84,38 +125,38 @@
 
 // The journal is written at most so often that the shard keeps to its share of the changes: sooner while
 // the budget is full (a quiet day), with more in each write while it is not.
-double ShardLeader::write_interval(std::size_t changes) const {
+double Journal::write_interval(std::size_t changes) const {
   const double share = ctx_.state->write_rate() / ctx_.shard_count;
   const double gap = static_cast<double>(changes) / std::max(0.1, kJournalShare * share);
   return ctx_.state->writes_left() > 0.6 ? gap / 4 : gap;
 }
 
-std::size_t ShardLeader::segment_limit() const {
-  return static_cast<std::size_t>(kSegmentFill * value_bytes_);
+std::size_t Journal::segment_limit() const {
+  return static_cast<std::size_t>(kSegmentFill * committer_.value_bytes());
 }
 
 // Completions that the job's own record, or its ending, is about to hold need no write here. (Written all the
 // same, such segments used up the changes that those records were waiting for: with small segments a shard
 // wrote its journal for minutes and did nothing else.)
-bool ShardLeader::completions_due() {
+bool Journal::completions_due() {
   const double now = ctx_.env->now();
   if (unrecorded_since_ == 0 || now - unrecorded_since_ < kCompletionDelay) return false;
-  if (std::any_of(jobs_.begin(), jobs_.end(),
+  if (std::any_of(model_.jobs().begin(), model_.jobs().end(),
                   [this](const auto& item) { return needs_journal_entry(*item.second); }))
     return true;
   unrecorded_since_ = now;
   return false;
 }
 
-bool ShardLeader::needs_journal_entry(const Job& job) const {
+bool Journal::needs_journal_entry(const Job& job) const {
   if (job.unsaved.empty() || job.finishing || job.record.aborted) return false;
   if (job.complete() && (job.delegated_here() || job.all_delegated_complete()))
     return false;  // its ending says it all
   return !job.fold_due && !job.progress_inflight;
 }
 
-bool ShardLeader::write_journal() {
-  if (inflight_[kJournalSlot] > 0) return false;
+bool Journal::write_journal() {
+  if (!committer_.has_room(RecordCommitter::kJournalSlot)) return false;
   const double now = ctx_.env->now();
   const bool dirty =
       std::any_of(segments_.begin(), segments_.end(), [](const auto& item) { return item.second.dirty; });
@@ -124,9 +165,9 @@
   if (now < next_write_at_) {
     if (!write_timer_armed_) {
       write_timer_armed_ = true;
-      ctx_.env->after(next_write_at_ - now, alive([this] {
+      ctx_.env->after(next_write_at_ - now, alive_([this] {
                         write_timer_armed_ = false;
-                        send_queued();
+                        committer_.send_due_writes();
                       }));
     }
     return false;
@@ -151,22 +192,22 @@
   return true;
 }
 
-ShardLeader::JournalWrite ShardLeader::new_journal_write() const {
+Journal::JournalWrite Journal::new_journal_write() const {
   JournalWrite commit;
-  commit.txn = guarded();
+  commit.txn = committer_.guarded_transaction();
   commit.most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   commit.most_guards = 4 * static_cast<std::size_t>(ctx_.settings->txn_ops);
   return commit;
 }
 
-void ShardLeader::send_journal_write(JournalWrite commit) {
+void Journal::send_journal_write(JournalWrite commit) {
   for (const int number : commit.puts) {
-    commit.txn.guard(keys::segment(id_, number), segments_[number].revision);
-    commit.txn.put(keys::segment(id_, number), segment_record(number).to_json());
+    commit.txn.guard(keys::segment(ctx_.shard, number), segments_[number].revision);
+    commit.txn.put(keys::segment(ctx_.shard, number), segment_record(number).to_json());
   }
   for (const int number : commit.removes) {
-    commit.txn.guard(keys::segment(id_, number), segments_[number].revision);
-    commit.txn.remove(keys::segment(id_, number));
+    commit.txn.guard(keys::segment(ctx_.shard, number), segments_[number].revision);
+    commit.txn.remove(keys::segment(ctx_.shard, number));
   }
   for (const auto& [delegation, record] : commit.delegations) {
     commit.txn.guard(delegation.key, 0);
@@ -174,7 +215,7 @@
   }
   for (const auto& [key, revision] : commit.job_records) commit.txn.guard(key, revision);
   for (const auto& [key, revision] : commit.owners) commit.txn.guard(key, revision);
-  for (const auto& [name, machine] : machines_) {
+  for (const auto& [name, machine] : model_.machines()) {
     for (const Placement& placement : machine->placements) {
       if (commit.puts.count(placement.segment) == 0) continue;
       const JournalWrite::Ref ref{name, placement.attempt, placement.index, placement.segment};
@@ -186,11 +227,11 @@
     }
   }
   next_write_at_ = ctx_.env->now() + write_interval(commit.changes());
-  counters_.journal_writes++;
-  counters_.journal_changes += commit.changes();
+  model_.counters().journal_writes++;
+  model_.counters().journal_changes += commit.changes();
   const auto shared = std::make_shared<JournalWrite>(std::move(commit));
-  send_commit(
-      RequestPriority::kLaunch, kJournalSlot, shared->txn,
+  committer_.commit(
+      RequestPriority::kLaunch, RecordCommitter::kJournalSlot, shared->txn,
       [this, shared](std::uint64_t revision) { on_journal_written(*shared, revision); },
       [this, shared](const std::vector<std::string>& failed) { return on_journal_refused(*shared, failed); });
 }
@@ -199,14 +240,15 @@
 // again as it is. When it has to be (something in it has ended, or it is the newest), what it holds is spread
 // over itself and new segments in one transaction, so that at no moment a placement or a completion is in
 // neither. Two copies of that transaction can't both succeed: each needs the segment as it was.
-bool ShardLeader::split_oversized_segment() {
+bool Journal::split_oversized_segment() {
   for (auto& [number, segment] : segments_) {
     if (!segment.oversized || (!segment.dirty && number != kActiveSegment)) continue;
-    const auto limit = static_cast<std::size_t>(kSplitFill * value_bytes_);
+    const auto limit = static_cast<std::size_t>(kSplitFill * committer_.value_bytes());
     JournalWrite commit = new_journal_write();
     const SegmentSplit split = plan_split(number, limit);
     if (split.segments > commit.most || split.segments + 1 > commit.most_guards) continue;
-    spdlog::info("shard {}: journal segment {} is too large now, split into {}", id_, number, split.segments);
+    spdlog::info("shard {}: journal segment {} is too large now, split into {}", ctx_.shard, number,
+                 split.segments);
     std::vector<int> numbers = {number};
     while (numbers.size() < split.segments) numbers.push_back(++last_segment_);
     for (const int each : numbers) {
@@ -215,7 +257,7 @@
     }
     for (const auto& [ref, at] : split.placements) {
       if (at == 0) continue;
-      find_placement(ref.machine, ref.attempt, ref.index)->segment = numbers[at];
+      model_.find_placement(ref.machine, ref.attempt, ref.index)->segment = numbers[at];
       commit.moved.push_back(ref);
     }
     for (const auto& [name, at] : split.notes) {
@@ -228,7 +270,7 @@
   return false;
 }
 
-ShardLeader::SegmentSplit ShardLeader::plan_split(int number, std::size_t limit) const {
+Journal::SegmentSplit Journal::plan_split(int number, std::size_t limit) const {
   SegmentSplit out;
   std::size_t used = kSegmentFrame;
   const auto take = [&out, &used, limit](std::size_t bytes) {
@@ -240,7 +282,7 @@
     used += bytes;
     return next;
   };
-  for (const auto& [name, machine] : machines_) {
+  for (const auto& [name, machine] : model_.machines()) {
     bool entered = false;
     for (const Placement& placement : machine->placements) {
       if (placement.segment != number || placement.stage == Placement::Stage::kFreeing) continue;
@@ -258,9 +300,9 @@
   return out;
 }
 
-std::size_t ShardLeader::segment_bytes(int number) const {
+std::size_t Journal::segment_bytes(int number) const {
   std::size_t bytes = kSegmentFrame;
-  for (const auto& [name, machine] : machines_) {
+  for (const auto& [name, machine] : model_.machines()) {
     bool any = false;
     for (const Placement& placement : machine->placements) {
       if (placement.segment != number || placement.stage == Placement::Stage::kFreeing) continue;
@@ -275,9 +317,9 @@
   return bytes;
 }
 
-SegmentRecord ShardLeader::segment_record(int number) const {
+SegmentRecord Journal::segment_record(int number) const {
   SegmentRecord out;
-  for (const auto& [name, machine] : machines_) {
+  for (const auto& [name, machine] : model_.machines()) {
     for (const Placement& placement : machine->placements) {
       if (placement.segment != number || placement.stage == Placement::Stage::kFreeing) continue;
       const auto [it, fresh] = out.machines.try_emplace(name);
@@ -293,14 +335,14 @@
 }
 
 // The active segment is full: what it holds goes to a segment of its own, once, and stays there.
-bool ShardLeader::seal_active_segment(JournalWrite& commit) {
+bool Journal::seal_active_segment(JournalWrite& commit) {
   if (commit.changes() + 1 > commit.most || commit.guards() + 2 > commit.most_guards) return false;
   const int turned = ++last_segment_;
   commit.created[turned] = kActiveSegment;
   JournalSegment& segment = segments_[turned];
   segment.done = std::move(segments_[kActiveSegment].done);
   segments_[kActiveSegment].done.clear();
-  for (auto& [name, machine] : machines_) {
+  for (auto& [name, machine] : model_.machines()) {
     for (Placement& placement : machine->placements) {
       if (placement.segment != kActiveSegment) continue;
       placement.segment = turned;
@@ -313,7 +355,7 @@
 }
 
 // Room in the active segment for so many bytes more.
-bool ShardLeader::reserve_active_segment(JournalWrite& commit, std::size_t needs) {
+bool Journal::reserve_active_segment(JournalWrite& commit, std::size_t needs) {
   const std::size_t limit = segment_limit();
   if (commit.bytes[kActiveSegment] + needs > limit && !seal_active_segment(commit)) return false;
   commit.bytes[kActiveSegment] += needs;
@@ -323,9 +365,9 @@
 // All places of a gang go into one write, or none does: returns the gangs of which that is so. (One that is
 // too large for a segment is spread over several writes like other placements: nothing of it is launched
 // before the last is durable.)
-std::set<JobPtr> ShardLeader::add_gangs(JournalWrite& commit) {
+std::set<JobPtr> Journal::add_gangs(JournalWrite& commit) {
   std::map<JobPtr, std::vector<std::pair<Machine*, Placement*>>> gangs;
-  for (auto& [name, machine] : machines_) {
+  for (auto& [name, machine] : model_.machines()) {
     for (Placement& placement : machine->placements) {
       const bool is_new = placement.stage == Placement::Stage::kNew && placement.segment == 0;
       if (is_new && placement.job->is_gang()) gangs[placement.job].emplace_back(machine.get(), &placement);
@@ -354,9 +396,9 @@
   return whole;
 }
 
-void ShardLeader::add_new_placements(JournalWrite& commit) {
+void Journal::add_new_placements(JournalWrite& commit) {
   std::vector<Machine*> machines;
-  for (auto& [name, machine] : machines_) {
+  for (auto& [name, machine] : model_.machines()) {
     const bool any =
         std::any_of(machine->placements.begin(), machine->placements.end(),
                     [](const Placement& p) { return p.stage == Placement::Stage::kNew && p.segment == 0; });
@@ -396,7 +438,7 @@
   }
 }
 
-void ShardLeader::add_delegations(JournalWrite& commit) {
+void Journal::add_delegations(JournalWrite& commit) {
   while (!unwritten_delegations_.empty() && commit.changes() < commit.most &&
          commit.guards() + 3 <= commit.most_guards) {
     NewDelegation delegation = std::move(unwritten_delegations_.front());
@@ -409,30 +451,30 @@
       continue;
     }
     DelegationRecord record;
-    record.home_shard = id_;
+    record.home_shard = ctx_.shard;
     record.job_revision = job.job_revision;
     record.job = job.record;
     record.works = !job.done.empty();
     record.range = delegated->second.range;
-    commit.job_records[keys::job_record(id_, job.spec().ref)] = job.job_revision;
+    commit.job_records[keys::job_record(ctx_.shard, job.spec().ref)] = job.job_revision;
     commit.owners[keys::shard(delegation.to)] = delegation.to_fencing_token;
     commit.delegations.emplace_back(std::move(delegation), record.to_json());
   }
 }
 
 // The delegation was not written: its tasks are still ours.
-void ShardLeader::revoke_delegation(const NewDelegation& delegation) {
+void Journal::revoke_delegation(const NewDelegation& delegation) {
   if (delegation.job->delegated.count(delegation.key) == 0) return;
-  reclaim_tasks(delegation.job, delegation.key, {}, {});
+  delegation_.reclaim_tasks(delegation.job, delegation.key, {}, {});
   delegation.job->delegated.erase(delegation.key);
 }
 
 // Completions that no other record is about to hold: they must be durable before they are reaped.
-void ShardLeader::add_completions(JournalWrite& commit) {
+void Journal::add_completions(JournalWrite& commit) {
   if (unrecorded_since_ == 0) return;
   const std::size_t limit = segment_limit();
   bool left = false;
-  for (const auto& [name, job] : jobs_) {
+  for (const auto& [name, job] : model_.jobs()) {
     if (!needs_journal_entry(*job)) {
       left |= !job->unsaved.empty() && (job->fold_due || job->progress_inflight);
       continue;
@@ -458,13 +500,13 @@
 
 // Segments in which nothing counts any more go; when there are many more than needed, the emptiest moves into
 // the newest. Only along with other changes, so that it costs no transaction.
-void ShardLeader::compact_segments(JournalWrite& commit) {
+void Journal::compact_segments(JournalWrite& commit) {
   if (commit.changes() >= commit.most || segments_.size() < 2) return;
   for (auto& [number, segment] : segments_) {
-    std::erase_if(segment.done, [this](const auto& item) { return jobs_.count(item.first) == 0; });
+    std::erase_if(segment.done, [this](const auto& item) { return model_.jobs().count(item.first) == 0; });
   }
   std::map<int, std::size_t> live;
-  for (const auto& [name, machine] : machines_) {
+  for (const auto& [name, machine] : model_.machines()) {
     for (const Placement& placement : machine->placements) live[placement.segment]++;
   }
   std::size_t total = 0;
@@ -490,7 +532,7 @@
     return;
   // (Moving much would only fill the newest and have it turned.)
   if (segments_[emptiest].dirty || least > limit / 3 || commit.bytes[kActiveSegment] + least > limit) return;
-  for (auto& [name, machine] : machines_) {
+  for (auto& [name, machine] : model_.machines()) {
     for (Placement& placement : machine->placements) {
       if (placement.segment != emptiest) continue;
       placement.segment = kActiveSegment;
@@ -503,17 +545,7 @@
   commit.removes.insert(emptiest);
 }
 
-// (The tasks of a gang share an attempt number, and some of them a machine.)
-Placement* ShardLeader::find_placement(const std::string& machine, std::uint64_t attempt, int index) {
-  const auto it = machines_.find(machine);
-  if (it == machines_.end()) return nullptr;
-  for (Placement& placement : it->second->placements) {
-    if (placement.attempt == attempt && placement.index == index) return &placement;
-  }
-  return nullptr;
-}
-
-void ShardLeader::on_journal_written(const JournalWrite& commit, std::uint64_t revision) {
+void Journal::on_journal_written(const JournalWrite& commit, std::uint64_t revision) {
   for (const int number : commit.puts) segments_[number].revision = revision;
   for (const int number : commit.removes) segments_.erase(number);
   for (const auto& [delegation, record] : commit.delegations) {
@@ -524,55 +556,55 @@
   for (const auto& [job, indices] : commit.saved) job->saved(indices);
   std::set<JobPtr> gangs;
   for (const auto& ref : commit.added) {
-    Placement* placement = find_placement(ref.machine, ref.attempt, ref.index);
+    Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     if (placement->stage == Placement::Stage::kNew) placement->stage = Placement::Stage::kRecorded;
     if (placement->job->is_gang()) gangs.insert(placement->job);
   }
-  gangs_written(gangs);
+  gangs_.gangs_written(gangs);
   std::set<JobPtr> stopped;
   for (const auto& ref : commit.stops) {
-    Placement* placement = find_placement(ref.machine, ref.attempt, ref.index);
+    Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     placement->stop_recorded = true;
     stopped.insert(placement->job);
   }
   for (const auto& ref : commit.removed) {
-    const auto it = machines_.find(ref.machine);
-    if (it == machines_.end()) continue;
+    const auto it = model_.machines().find(ref.machine);
+    if (it == model_.machines().end()) continue;
     auto& placements = it->second->placements;
     for (std::size_t i = 0; i < placements.size(); i++) {
       if (placements[i].attempt != ref.attempt || placements[i].index != ref.index) continue;
-      drop_placement(*it->second, i);
+      model_.drop_placement(*it->second, i);
       break;
     }
   }
-  stops_written(stopped);
+  gangs_.stops_written(stopped);
   for (const auto& ref : commit.added) {
-    const auto it = machines_.find(ref.machine);
-    if (it != machines_.end()) answer(*it->second);
+    const auto it = model_.machines().find(ref.machine);
+    if (it != model_.machines().end()) commands_.answer(*it->second);
   }
 }
 
 // Only job records may have changed: they were cancelled meanwhile, by us or, of delegated ones, by their
 // home. Nothing of this was written; what belongs to other jobs is tried again.
-bool ShardLeader::on_journal_refused(const JournalWrite& commit, const std::vector<std::string>& failed) {
+bool Journal::on_journal_refused(const JournalWrite& commit, const std::vector<std::string>& failed) {
   const std::set<std::string> over(failed.begin(), failed.end());
   std::set<JobPtr> delegated_here;
   for (const std::string& key : over) {
     bool explained = false;
-    for (const auto& [name, job] : jobs_) {
+    for (const auto& [name, job] : model_.jobs()) {
       if (keys::job_record(job->home_shard, job->spec().ref) != key) continue;
       if (job->delegated_here()) delegated_here.insert(job);
       explained |= job->delegated_here() || job->cancelling || job->record.aborted;
     }
     // A job that is no longer here has ended, and its new placements with it.
-    explained |= key.rfind(keys::job_records(id_), 0) == 0 &&
-                 jobs_.count(key.substr(keys::job_records(id_).size())) == 0;
+    explained |= key.rfind(keys::job_records(ctx_.shard), 0) == 0 &&
+                 model_.jobs().count(key.substr(keys::job_records(ctx_.shard).size())) == 0;
     explained |= commit.owners.count(key) > 0;  // a delegate was deposed
     if (!explained) return false;
   }
-  for (const JobPtr& job : delegated_here) drop_delegated(job);
+  for (const JobPtr& job : delegated_here) delegation_.drop_delegated(job);
   // (A segment that was created from the newest took over what those created before it had left there.)
   for (const auto& [created, from] : commit.created) {
     for (const auto& [name, done] : segments_[created].done) segments_[from].done[name].insert(done);
@@ -580,7 +612,7 @@
   }
   for (const auto& [delegation, record] : commit.delegations) {
     const bool out = over.count(keys::shard(delegation.to)) > 0 ||
-                     over.count(keys::job_record(id_, delegation.job->spec().ref)) > 0;
+                     over.count(keys::job_record(ctx_.shard, delegation.job->spec().ref)) > 0;
     if (out) {
       revoke_delegation(delegation);
     } else {
@@ -590,15 +622,15 @@
   // (Backwards: one that was moved twice goes to where it was at first.)
   for (auto it = commit.moved.rbegin(); it != commit.moved.rend(); ++it) {
     const JournalWrite::Ref& ref = *it;
-    if (Placement* placement = find_placement(ref.machine, ref.attempt, ref.index))
+    if (Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index))
       placement->segment = ref.segment;
   }
   for (const auto& ref : commit.added) {
-    Placement* placement = find_placement(ref.machine, ref.attempt, ref.index);
+    Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     placement->segment = 0;
     if (over.count(keys::job_record(placement->job->home_shard, placement->job->spec().ref)) > 0) {
-      free_placement(*placement, 0);
+      model_.free_placement(*placement, 0);
     }
     has_freed_placements_ = true;
   }
@@ -608,7 +640,8 @@
   for (const int number : commit.puts) {
     // (Those that were split may be too large again: the next write finds out.)
     if (commit.created.count(number) == 0)
-      segments_[number].oversized |= static_cast<double>(segment_bytes(number)) > kSplitFill * value_bytes_;
+      segments_[number].oversized |=
+          static_cast<double>(segment_bytes(number)) > kSplitFill * committer_.value_bytes();
   }
   segments_[kActiveSegment].dirty = true;
   has_new_placements_ = true;
@@ -616,4 +649,14 @@
   return true;
 }
 
+void Journal::on_completions_recorded(const JobPtr& job, const std::string& name, const RangeSet& done) {
+  job->saved(done);
+  for (auto& [number, segment] : segments_) {
+    const auto it = segment.done.find(name);
+    if (it == segment.done.end()) continue;
+    it->second.erase(done);
+    if (it->second.empty()) segment.done.erase(it);
+  }
+}
+
 }  // namespace mothslip
--- /dev/null
+++ b/src/coordination/shard/placement_rules.cpp
@@ -0,0 +1,172 @@
+#include "coordination/shard/placement_rules.hpp"
+
+#include <algorithm>
+
+namespace mothslip {
+
+namespace {
+constexpr double kAvoid = 60;         // seconds
+constexpr double kStarving = 45;      // seconds
+constexpr double kGangStarving = 12;  // its room does not gather by itself
+constexpr double kAgeFrom = 90;       // seconds since submission; then a unit of preference
+constexpr double kAgeWeight = 45;     // every so many
+// Best-effort work of which nothing has begun for this long is treated like other work until its first task
+// is placed: nothing waits for ever, however busy the cluster is.
+constexpr double kOverlooked = 30.0;
+constexpr double kPromoteAfter = 120.0;
+}  // namespace
+
+PlacementRules::PlacementRules(const ShardContext& context, ShardModel& model)
+    : ctx_(context), model_(model) {
+  const Tuning& tuning = ctx_.settings->tuning;
+  weights_.fitness = tuning.weight_fitness;
+  weights_.urgency = tuning.weight_urgency;
+  weights_.alignment = tuning.weight_alignment;
+  weights_.slack = tuning.weight_slack;
+  weights_.locality = tuning.weight_locality;
+  for (std::size_t r = 0; r < weights_.resource.size(); r++) {
+    double largest = 0;
+    for (const MachineType& type : ctx_.types->all()) {
+      largest = std::max(largest, Resources{type.cores, type.memory_gb, type.accelerators}[r]);
+    }
+    weights_.resource[r] = largest > 0 ? 1 / largest : 0;
+  }
+}
+
+// No smaller type would do.
+bool PlacementRules::needs_type(double least, int type) const { return least >= ctx_.types->at(type).cores; }
+
+bool PlacementRules::fits_smaller_type(const Job& job, int type) const {
+  return flexible(job) && !needs_type(job.least_cores, type);
+}
+
+// Could go to any machine that is large enough.
+bool PlacementRules::flexible(const Job& job) {
+  const JobSpec& spec = job.spec();
+  return spec.allows_spot && !spec.zone && !spec.machine_types && !spec.together && !spec.scatter;
+}
+
+bool PlacementRules::allows_machine(const JobSpec& spec, const std::string& machine_type,
+                                    const std::string& zone, bool spot) {
+  if (spot && !spec.allows_spot) return false;
+  if (spec.zone && *spec.zone != zone) return false;
+  return !spec.machine_types || std::find(spec.machine_types->begin(), spec.machine_types->end(),
+                                          machine_type) != spec.machine_types->end();
+}
+
+// A job that fails on a machine is tried elsewhere first, at other shards if need be: where the machine is at
+// fault and the only one here, the job failed there for ever. One that fails on several is at fault itself.
+bool PlacementRules::avoids(const Job& job, const Machine& machine) const {
+  const auto it = job.failing.find(machine.name);
+  if (it == job.failing.end() || ctx_.env->now() - it->second.last >= kAvoid) return false;
+  return job.at_fault() || (job.failing.size() < Job::kSeveral && it->second.errors >= 2);
+}
+
+bool PlacementRules::allowed_on(const Job& job, const Machine& machine) const {
+  const JobSpec& spec = job.spec();
+  if (!allows_machine(spec, machine.record.machine_type, machine.record.zone, machine.record.spot))
+    return false;
+  if (avoids(job, machine)) return false;
+  const auto in_zone = job.placed_by_zone.find(machine.zone);
+  const int here = in_zone == job.placed_by_zone.end() ? 0 : in_zone->second;
+  if (job.bound() && job.delegated_open() > 0) return false;  // another shard holds what is placed of it
+  if (spec.together && job.placed > here) return false;
+  return !spec.scatter || here + 1 <= (spec.task_count + 1) / 2;
+}
+
+bool PlacementRules::within_quota(const Job& job) const {
+  if (!job.is_gang()) return model_.teams().room(job.team, job.demand);
+  return model_.teams().tasks_within(job.team, job.demand) >= job.waiting.size();
+}
+
+bool PlacementRules::starving(const Job& job) const {
+  if (job.placed > 0 || !job.done.empty() || job.waiting.empty() || job.delegated_open() > 0) return false;
+  if (job.at_fault()) return false;  // it has begun, and failed
+  return ctx_.env->wall() - job.record.submitted > (job.is_gang() ? kGangStarving : kStarving);
+}
+
+std::map<int, const Job*> PlacementRules::quota_saved_for() const {
+  std::map<int, const Job*> out;
+  for (const auto& [name, job] : model_.jobs()) {
+    if (job->over() || !starving(*job) || within_quota(*job)) continue;
+    const bool here =
+        std::any_of(model_.machines().begin(), model_.machines().end(), [this, &job = job](const auto& item) {
+          return item.second->schedulable() && fits(job->demand, item.second->capacity) &&
+                 allowed_on(*job, *item.second);
+        });
+    if (!here) continue;
+    const Job*& first = out[job->team];
+    if (first == nullptr || job->record.submitted < first->record.submitted) first = job.get();
+  }
+  return out;
+}
+
+double PlacementRules::age_bonus(const Job& job, double wall) {
+  return std::clamp((wall - job.record.submitted - kAgeFrom) / kAgeWeight, 0.0, 4.0);
+}
+
+bool PlacementRules::is_preemptible(const Job& job) const {
+  if (job.spec().urgency != Urgency::kBestEffort) return false;
+  const bool begun = job.placed > 0 || !job.done.empty() || job.delegated_open() > 0;
+  return begun || ctx_.env->wall() - job.record.submitted < kPromoteAfter;
+}
+
+bool PlacementRules::long_unplaced(const Job& job) const {
+  return ctx_.env->now() - job.idle_since > kOverlooked;
+}
+
+bool PlacementRules::waits_for_room(const Job& job) const {
+  return !job.waiting.empty() && !job.over() && !job.cancelling && job.cancel_waiters.empty() &&
+         !job.at_fault() && within_quota(job);
+}
+
+bool PlacementRules::reserves_for_large(const Machine& machine) const {
+  const double cores = ctx_.types->at(machine.type).cores;
+  int small_tasks = 0;
+  Resources small_demand{};
+  bool large = false;
+  int small_urgency = 0;
+  int large_urgency = -1;
+  bool large_starves = false;
+  for (const auto& [ref, job] : model_.jobs()) {
+    if (job->waiting.empty() || job->over() || is_preemptible(*job)) continue;
+    const int urgency = static_cast<int>(job->spec().urgency);
+    if (needs_type(job->least_cores, machine.type)) {
+      if (!fits(job->demand, machine.capacity) || !allowed_on(*job, machine)) continue;
+      const bool hungry = starving(*job);
+      if (!hungry && !within_quota(*job)) continue;
+      large = true;
+      large_starves |= hungry;
+      large_urgency = std::max(large_urgency, urgency);
+    } else if (flexible(*job)) {
+      small_tasks += job->waiting.size();
+      small_urgency = std::max(small_urgency, urgency);
+      for (std::size_t r = 0; r < 3; r++) small_demand[r] = std::max(small_demand[r], job->demand[r]);
+    }
+  }
+  for (const WaitingHint& hint : model_.demand_elsewhere()) {
+    if (machine.record.spot && !hint.allows_spot) continue;
+    if (!fits(hint.demand, machine.capacity) || !needs_type(hint.least_cores, machine.type)) continue;
+    large = true;
+    large_urgency = std::max(large_urgency, hint.urgency);
+    large_starves |= hint.starving;
+  }
+  if (small_tasks == 0) return large;
+  if (large && (large_urgency >= small_urgency || large_starves)) return true;
+  const double now = ctx_.env->now();
+  int slots = 0;
+  for (const auto& [name, other] : model_.machines()) {
+    if (other->type < 0 || !other->schedulable() || other->cordoned ||
+        ctx_.types->at(other->type).cores >= cores)
+      continue;
+    if (now - other->last_heard > ctx_.report_freshness_s() || now < other->no_fill_until) continue;
+    double most = 1e6;
+    for (std::size_t r = 0; r < 3; r++) {
+      if (small_demand[r] > 0) most = std::min(most, other->room[r] / small_demand[r] + 1e-6);
+    }
+    slots += std::max(0, static_cast<int>(most));
+  }
+  return slots >= small_tasks;
+}
+
+}  // namespace mothslip
--- a/src/coordination/shard/preemption.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -1,22 +1,16 @@
-// Best-effort work gives way: it is started only where nothing else wants the room, and stopped for other
-// work that waits under its team's limit.
-#include "scheduling/preemption.hpp"
-
-#include <spdlog/spdlog.h>
+#include "coordination/shard/preemptor.hpp"
 
 #include <algorithm>
 
-#include "coordination/shard/shard_leader.hpp"
+#include "coordination/shard/placement_rules.hpp"
+#include "coordination/shard/record_committer.hpp"
+#include "coordination/shard/worker_commands.hpp"
 
 namespace mothslip {
 
 namespace {
 // Other work waits this long for room to come free by itself.
 constexpr double kPatience = 0.8;
-// Best-effort work of which nothing has begun for this long is treated like other work until its first task
-// is placed: nothing waits for ever, however busy the cluster is.
-constexpr double kOverlooked = 30.0;
-constexpr double kPromoteAfter = 120.0;
 // Room is kept from it for other shards' work no longer than this: it may be of no use to that work.
 constexpr double kHoldBack = 20.0;
 // Best-effort work starts on a machine that no other work has wanted or been given for this long. Started in
@@ -37,41 +31,29 @@
 constexpr double kPackingPatience = 5.0;
 // So short a task is over about when it could have been stopped for others.
 constexpr double kShortTask = 8.0;
-
 bool breaks_up(const Job& job, const Machine& machine) {
   const JobSpec& spec = job.spec();
   return !spec.can_checkpoint() && spec.estimated_s > kLongTask && 2 * job.demand[0] <= machine.capacity[0];
 }
 }  // namespace
 
-bool ShardLeader::gives_way(const Job& job) const {
-  if (job.spec().urgency != Urgency::kBestEffort) return false;
-  const bool begun = job.placed > 0 || !job.done.empty() || job.delegated_open() > 0;
-  return begun || ctx_.env->wall() - job.record.submitted < kPromoteAfter;
-}
-
-// Of best-effort work nothing was placed for so long that any room will do: other work may be waiting for
-// something that this room is not. (The check of the simulated cluster's days: no job waits for 90 s beside a
-// machine with room.)
-bool ShardLeader::overlooked(const Job& job) const { return ctx_.env->now() - job.idle_since > kOverlooked; }
-
-// Waits for nothing but room: under its team's limit, and not at fault.
-bool ShardLeader::wants_room(const Job& job) const {
-  return !job.waiting.empty() && !job.over() && !job.cancelling && job.cancel_waiters.empty() &&
-         !job.at_fault() && within_quota(job);
-}
+Preemptor::Preemptor(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
+                     PlacementRules& rules, WorkerCommands& commands)
+    : ctx_(context), model_(model), committer_(committer), rules_(rules), commands_(commands) {}
 
 // Work that goes first waits for room on such a machine: here, or at another shard.
-bool ShardLeader::wanted_by_others(Machine& machine) const {
-  for (const auto& [name, job] : jobs_) {
-    if (wants_room(*job) && !gives_way(*job) && fits(job->demand, machine.capacity) &&
-        allowed_on(*job, machine)) {
+bool Preemptor::wanted_by_others(Machine& machine) const {
+  for (const auto& [name, job] : model_.jobs()) {
+    if (rules_.waits_for_room(*job) && !rules_.is_preemptible(*job) && fits(job->demand, machine.capacity) &&
+        rules_.allowed_on(*job, machine)) {
       return true;
     }
   }
-  const bool elsewhere = std::any_of(elsewhere_.begin(), elsewhere_.end(), [&machine](const auto& hint) {
-    return hint.startable && (hint.allows_spot || !machine.record.spot) && fits(hint.demand, machine.room);
-  });
+  const bool elsewhere = std::any_of(model_.demand_elsewhere().begin(), model_.demand_elsewhere().end(),
+                                     [&machine](const auto& hint) {
+                                       return hint.startable && (hint.allows_spot || !machine.record.spot) &&
+                                              fits(hint.demand, machine.room);
+                                     });
   const double now = ctx_.env->now();
   if (!elsewhere) {
     machine.held_back_since = 0;
@@ -81,15 +63,14 @@
   return now - machine.held_back_since < kHoldBack;
 }
 
-bool ShardLeader::quiet(Machine& machine) const {
+bool Preemptor::quiet(Machine& machine) const {
   const double now = ctx_.env->now();
   if (wanted_by_others(machine)) machine.wanted_at = now;
   return now - machine.wanted_at >= kQuiet;
 }
 
-// Whether best-effort work may start on the machine at all. (What has waited for long beside room may.)
-bool ShardLeader::open_to_best_effort(const Job& job, const Machine& machine, bool is_quiet) const {
-  if (overlooked(job)) return true;
+bool Preemptor::open_to_best_effort(const Job& job, const Machine& machine, bool is_quiet) const {
+  if (rules_.long_unplaced(job)) return true;
   const bool wanted_now = machine.wanted_at == ctx_.env->now();
   const bool short_task = job.spec().estimated_s <= kShortTask;
   if (short_task ? wanted_now : !is_quiet || beyond_headroom_ < job.demand[0]) return false;
@@ -101,10 +82,8 @@
   return broken_up || ctx_.env->wall() - job.record.submitted > kPackingPatience;
 }
 
-// What a machine has free, will have once the tasks that are being stopped are gone, and would have without
-// any best-effort work.
-ShardLeader::Yieldable ShardLeader::yieldable(Machine& machine) const {
-  Yieldable out;
+Preemptor::PreemptibleRoom Preemptor::preemptible_room(Machine& machine) const {
+  PreemptibleRoom out;
   out.machine = &machine;
   out.room = machine.room;
   const double now = ctx_.env->now();
@@ -116,7 +95,8 @@
       continue;
     }
     // (A gang would have to be stopped as a whole.)
-    if (placement.stage != Placement::Stage::kRecorded || !gives_way(job) || job.is_gang()) continue;
+    if (placement.stage != Placement::Stage::kRecorded || !rules_.is_preemptible(job) || job.is_gang())
+      continue;
     const double ran = placement.running_since == 0 ? 0 : now - placement.running_since;
     const bool soon_over = placement.running_since != 0 && job.spec().estimated_s - ran < kNearlyDone;
     const bool only_one = job.placed == 1 && job.done.empty();
@@ -131,20 +111,20 @@
   return out;
 }
 
-void ShardLeader::preempt_for(const Job& job, int count, std::vector<Yieldable>& machines,
-                              std::size_t& stops_left) {
+void Preemptor::preempt_for(const Job& job, int count, std::vector<PreemptibleRoom>& machines,
+                            std::size_t& stops_left) {
   const auto take_room_of = [&job](Resources& room) {
     for (std::size_t r = 0; r < room.size(); r++) room[r] -= job.demand[r];
   };
-  for (Yieldable& free : machines) {
-    while (count > 0 && fits(job.demand, free.room) && allowed_on(job, *free.machine)) {
+  for (PreemptibleRoom& free : machines) {
+    while (count > 0 && fits(job.demand, free.room) && rules_.allowed_on(job, *free.machine)) {
       take_room_of(free.room);
       count--;
     }
   }
-  for (Yieldable& free : machines) {
+  for (PreemptibleRoom& free : machines) {
     Machine& machine = *free.machine;
-    while (count > 0 && stops_left > 0 && !free.candidates.empty() && allowed_on(job, machine)) {
+    while (count > 0 && stops_left > 0 && !free.candidates.empty() && rules_.allowed_on(job, machine)) {
       const Preemption chosen =
           choose_preemption(free.room, job.demand, free.candidates, kWorthLosing * job.demand[0]);
       if (chosen.ids.empty()) break;
@@ -152,31 +132,30 @@
         Placement& placement = machine.placements[id];
         placement.preempted = true;
         placement.job->stops[placement.index]++;
-        counters_.preempted++;
+        model_.counters().preempted++;
         for (std::size_t r = 0; r < free.room.size(); r++) free.room[r] += placement.job->demand[r];
         std::erase_if(free.candidates, [id](const auto& each) { return each.id == id; });
       }
       stops_left -= std::min(stops_left, chosen.ids.size());
       take_room_of(free.room);
       count--;
-      send_stops(machine);
+      commands_.send_stops(machine);
     }
   }
 }
 
-// Without any, all of this costs nothing.
-void ShardLeader::look_for_best_effort() {
-  best_effort_here_ = std::any_of(jobs_.begin(), jobs_.end(), [](const auto& item) {
+void Preemptor::detect_best_effort() {
+  best_effort_here_ = std::any_of(model_.jobs().begin(), model_.jobs().end(), [](const auto& item) {
     return item.second->spec().urgency == Urgency::kBestEffort;
   });
   if (best_effort_here_) measure_headroom();
 }
 
 // What other work will want next is best found free: a task that must be stopped first saves for seconds.
-void ShardLeader::measure_headroom() {
+void Preemptor::measure_headroom() {
   double free = 0;
   double all = 0;
-  for (const auto& [name, machine] : machines_) {
+  for (const auto& [name, machine] : model_.machines()) {
     if (machine->type < 0 || !machine->schedulable() || !machine->heard) continue;
     free += std::max(0.0, machine->room[0]);
     all += machine->capacity[0];
@@ -185,50 +164,50 @@
 }
 
 // Best-effort tasks leave the machines that are kept for a gang, unless it is one of theirs.
-void ShardLeader::clear_reserved(std::size_t& stops_left) {
-  for (auto& [name, machine] : machines_) {
-    if (!machine->reserved_for || gives_way(*machine->reserved_for)) continue;
-    const Yieldable room = yieldable(*machine);
+void Preemptor::clear_reserved(std::size_t& stops_left) {
+  for (auto& [name, machine] : model_.machines()) {
+    if (!machine->reserved_for || rules_.is_preemptible(*machine->reserved_for)) continue;
+    const PreemptibleRoom room = preemptible_room(*machine);
     bool any = false;
     for (const PreemptionCandidate& each : room.candidates) {
       if (stops_left == 0) break;
       Placement& placement = machine->placements[each.id];
       placement.preempted = any = true;
       placement.job->stops[placement.index]++;
-      counters_.preempted++;
+      model_.counters().preempted++;
       stops_left--;
     }
-    if (any) send_stops(*machine);
+    if (any) commands_.send_stops(*machine);
   }
 }
 
-// Stops best-effort tasks for other work that has waited for room for a moment.
-void ShardLeader::preempt() {
-  if (!best_effort_here_ || state_silent() || !ctx_.exclusive_owner()) return;
+void Preemptor::preempt() {
+  if (!best_effort_here_ || committer_.state_silent() || !ctx_.exclusive_owner()) return;
   const double wall = ctx_.env->wall();
   std::vector<const Job*> waiting;
-  for (const auto& [name, job] : jobs_) {
+  for (const auto& [name, job] : model_.jobs()) {
     // (Room for a gang is made where it is reserved.)
-    if (wants_room(*job) && !gives_way(*job) && !job->is_gang() && wall - job->record.submitted > kPatience)
+    if (rules_.waits_for_room(*job) && !rules_.is_preemptible(*job) && !job->is_gang() &&
+        wall - job->record.submitted > kPatience)
       waiting.push_back(job.get());
   }
   std::size_t stops_left = kStopsPerTick;
   clear_reserved(stops_left);
   if (waiting.empty()) return;
   const double now = ctx_.env->now();
-  std::vector<Yieldable> machines;
+  std::vector<PreemptibleRoom> machines;
   bool any = false;
-  for (auto& [name, machine] : machines_) {
+  for (auto& [name, machine] : model_.machines()) {
     if (machine->type < 0 || !machine->schedulable() || !machine->token_acknowledged) continue;
-    if (now - machine->last_heard > fresh_s()) continue;
-    machines.push_back(yieldable(*machine));
+    if (now - machine->last_heard > ctx_.report_freshness_s()) continue;
+    machines.push_back(preemptible_room(*machine));
     any = any || !machines.back().candidates.empty();
   }
   if (!any) return;
   std::sort(waiting.begin(), waiting.end(), [](const Job* a, const Job* b) { return goes_before(*a, *b); });
   for (const Job* job : waiting) {
     if (stops_left == 0) break;
-    const int count = std::min(job->waiting.size(), teams_.tasks_within(job->team, job->demand));
+    const int count = std::min(job->waiting.size(), model_.teams().tasks_within(job->team, job->demand));
     preempt_for(*job, count, machines, stops_left);
   }
 }
--- a/src/coordination/shard/progress.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -1,14 +1,10 @@
-// Completions of jobs that are not over: folded from the journal's segments into records of their own when
-// they have grown long there, together with the delegations that others have completed.
-//
-// Record d/P/REF holds them as one text of ranges. Where that would be larger than the state service takes,
-// those of some hundreds of tasks each go to further records d/P/REF~N. What any of the records says is done
-// is done, so they need not be of one moment, and go in any order once the job has ended.
-#include <spdlog/spdlog.h>
+#include "coordination/shard/progress_records.hpp"
 
-#include <algorithm>
+#include <vector>
 
-#include "coordination/shard/shard_leader.hpp"
+#include "coordination/shard/job_completion.hpp"
+#include "coordination/shard/journal.hpp"
+#include "coordination/shard/record_committer.hpp"
 
 namespace mothslip {
 
@@ -19,15 +15,19 @@
 constexpr int kTasksPerChunk = 512;
 }  // namespace
 
+ProgressRecords::ProgressRecords(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
+                                 Journal& journal, JobCompletion& completion)
+    : ctx_(context), model_(model), committer_(committer), journal_(journal), completion_(completion) {}
+
 // What of the job's completions the main record has to hold.
-RangeSet ShardLeader::main_progress(const Job& job) {
+RangeSet ProgressRecords::main_progress(const Job& job) {
   RangeSet out = job.done;
   for (const auto& [number, chunk] : job.progress_chunks) out.erase(chunk.done);
   return out;
 }
 
 // The hundreds of tasks whose completions take most of the main record.
-int ShardLeader::longest_chunk(const Job& job, const RangeSet& main) {
+int ProgressRecords::longest_chunk(const Job& job, const RangeSet& main) {
   int longest = 0;
   std::size_t most = 0;
   const int count = (job.spec().task_count + kTasksPerChunk - 1) / kTasksPerChunk;
@@ -42,29 +42,29 @@
 }
 
 // Puts what is done of the job into its records, or a first part of it.
-ShardLeader::ProgressWrite ShardLeader::add_progress(Transaction& txn, Job& job) const {
+ProgressRecords::ProgressWrite ProgressRecords::add_progress(Transaction& txn, Job& job) const {
   const std::string& ref = job.spec().ref;
   // (The job record, too: it ends with the job, so that no late copy of this leaves a record behind.)
-  txn.guard(keys::job_record(id_, ref), job.job_revision);
+  txn.guard(keys::job_record(ctx_.shard, ref), job.job_revision);
   const RangeSet main = main_progress(job);
   job.fold_due = false;
-  if (static_cast<double>(main.text_bytes()) <= kProgressFill * value_bytes_) {
-    txn.guard(keys::progress(id_, ref), job.progress_revision);
-    txn.put(keys::progress(id_, ref), {{"done", main.to_text()}});
+  if (static_cast<double>(main.text_bytes()) <= kProgressFill * committer_.value_bytes()) {
+    txn.guard(keys::progress(ctx_.shard, ref), job.progress_revision);
+    txn.put(keys::progress(ctx_.shard, ref), {{"done", main.to_text()}});
     return {ProgressWrite::kMain, job.done};
   }
   const int number = longest_chunk(job, main);
   RangeSet slice = job.done.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk);
   const auto known = job.progress_chunks.find(number);
-  txn.guard(keys::progress_chunk(id_, ref, number),
+  txn.guard(keys::progress_chunk(ctx_.shard, ref, number),
             known == job.progress_chunks.end() ? 0 : known->second.revision);
-  txn.put(keys::progress_chunk(id_, ref, number), {{"done", slice.to_text()}});
+  txn.put(keys::progress_chunk(ctx_.shard, ref, number), {{"done", slice.to_text()}});
   job.fold_due = true;  // the rest follows
   return {number, std::move(slice)};
 }
 
-bool ShardLeader::commit_progress() {
-  Transaction txn = guarded();
+bool ProgressRecords::commit_progress() {
+  Transaction txn = committer_.guarded_transaction();
   struct Item {
     JobPtr job;
     ProgressWrite write;
@@ -72,14 +72,14 @@
   };
   std::vector<Item> items;
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
-  for (auto& [ref, job] : jobs_) {
+  for (auto& [ref, job] : model_.jobs()) {
     if (job->delegated_here() || job->finishing || job->cancelling || job->progress_inflight ||
         job->record.aborted)
       continue;
     std::size_t complete = 0;
     for (const auto& [key, delegated] : job->delegated) complete += delegated.complete() ? 1 : 0;
     // A completed job comes here only when it has too many delegations to end in one go.
-    const bool too_many = job->complete() && changes_to_end(*job) > most;
+    const bool too_many = job->complete() && completion_.changes_to_end(*job) > most;
     const bool due = job->fold_due && !job->complete();
     if (!due && !too_many && (job->complete() || complete < kMergeDelegations)) continue;
     if (txn.then.size() + 1 + (complete > 0 ? 1 : 0) > most) break;
@@ -108,54 +108,43 @@
       } else {
         job.progress_chunks[item.write.chunk] = {revision, item.write.done};
       }
-      folded(item.job, job.spec().ref, item.write.done);
+      journal_.on_completions_recorded(item.job, job.spec().ref, item.write.done);
     }
   };
   // A cancellation came in between: what belongs to other jobs is tried again.
   const auto conflict = [this, items](const std::vector<std::string>& failed) {
-    if (!only_cancelled(failed)) return false;
+    if (!completion_.only_cancelled(failed)) return false;
     for (const Item& item : items) {
       item.job->progress_inflight = false;
       item.job->fold_due = true;
     }
     return true;
   };
-  send_commit(RequestPriority::kDone, kDoneSlot, txn, done, conflict);
+  committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn, done, conflict);
   return true;
 }
 
-// The job's own record holds these now.
-void ShardLeader::folded(const JobPtr& job, const std::string& name, const RangeSet& done) {
-  job->saved(done);
-  for (auto& [number, segment] : segments_) {
-    const auto it = segment.done.find(name);
-    if (it == segment.done.end()) continue;
-    it->second.erase(done);
-    if (it->second.empty()) segment.done.erase(it);
-  }
-}
-
-// The job is over; its further records of progress go when there is nothing better to do.
-void ShardLeader::discard_progress_chunks(const Job& job) {
+void ProgressRecords::discard_progress_chunks(const Job& job) {
   if (job.delegated_here()) return;
   for (const auto& [number, chunk] : job.progress_chunks)
-    discarded_.push_back({keys::progress_chunk(id_, job.spec().ref, number), job.spec().ref, chunk.revision});
+    discarded_.push_back(
+        {keys::progress_chunk(ctx_.shard, job.spec().ref, number), job.spec().ref, chunk.revision});
 }
 
-bool ShardLeader::commit_discarded() {
+bool ProgressRecords::commit_discarded() {
   if (discarded_.empty()) return false;
-  Transaction txn = guarded();
+  Transaction txn = committer_.guarded_transaction();
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   while (!discarded_.empty() && txn.then.size() < most) {
     const DiscardedRecord record = std::move(discarded_.front());
     discarded_.pop_front();
     txn.guard(record.key, record.revision);
-    txn.guard(keys::job_record(id_, record.ref), 0);
+    txn.guard(keys::job_record(ctx_.shard, record.ref), 0);
     txn.remove(record.key);
   }
   // (They are of no use to anyone: where something is not as it was expected they are left alone.)
-  send_commit(
-      RequestPriority::kRest, kRestSlot, txn, [](std::uint64_t) {},
+  committer_.commit(
+      RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [](std::uint64_t) {},
       [](const std::vector<std::string>&) { return true; });
   return true;
 }
--- /dev/null
+++ b/src/coordination/shard/shard_loader.hpp
@@ -0,0 +1,62 @@
+// How a shard comes to know what the state service holds, at its start and afterwards.
+#pragma once
+
+#include <functional>
+#include <set>
+#include <string>
+
+#include "coordination/shard/shard_context.hpp"
+#include "coordination/shard/shard_model.hpp"
+#include "transport/callback_guard.hpp"
+
+namespace mothslip {
+
+class Journal;
+class ProgressRecords;
+class QuotaShares;
+class RecordCommitter;
+class TaskDelegation;
+
+class ShardLoader {
+ public:
+  ShardLoader(const ShardContext& context, ShardModel& model, RecordCommitter& committer, Journal& journal,
+              ProgressRecords& progress, TaskDelegation& delegation, QuotaShares& quotas,
+              std::function<void()> on_loaded);
+
+  // Reads the shard's records, then calls back. To be called once.
+  void load();
+  // The state service tells what changed: jobs, delegations and quota shares. Every shard hears of every
+  // change, so with many shards the calls add up: changes that follow closely are asked for together.
+  void watch();
+  // The answer may come late. What the watch, or loading, has covered by then we know already, whatever
+  // became of it since: the job may have run and ended.
+  void admit(JobRecord job_record, std::uint64_t revision);
+
+ private:
+  void retry_load(void (ShardLoader::*step)());
+  void load_unaccounted();
+  void load_job_records();
+  void load_progress();
+  void load_progress_record(const StateItem& item);
+  void load_delegations();
+  void check_delegated(std::set<int> homes);
+  void load_teams();
+  void load_segments();
+  void load_completions(int number, const SegmentRecord& record);
+  void load_placements(int number, const SegmentRecord& record);
+  void on_event(const Json& event);
+  void on_job_event(const Json& event);
+  void adopt(JobRecord job_record, std::uint64_t revision);
+
+  const ShardContext& ctx_;
+  ShardModel& model_;
+  RecordCommitter& committer_;
+  Journal& journal_;
+  ProgressRecords& progress_;
+  TaskDelegation& delegation_;
+  QuotaShares& quotas_;
+  CallbackGuard alive_;
+  std::function<void()> on_loaded_;
+};
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/shard/shard_model.cpp
@@ -0,0 +1,271 @@
+#include "coordination/shard/shard_model.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <limits>
+
+namespace mothslip {
+
+namespace {
+constexpr std::size_t kRemembered = 10000;  // removed machines
+}  // namespace
+
+ShardModel::ShardModel(const ShardContext& context, Hooks hooks)
+    : ctx_(context), hooks_(std::move(hooks)), teams_(ctx_.settings->teams) {}
+
+void ShardModel::set_demand_elsewhere(std::vector<WaitingHint> hints) {
+  demand_elsewhere_ = std::move(hints);
+  for (WaitingHint& hint : demand_elsewhere_) hint.least_cores = least_cores(std::nullopt, hint.demand);
+}
+
+JobPtr ShardModel::find_task(const std::string& ref, int index) const {
+  const auto home = jobs_.find(ref);
+  if (home != jobs_.end()) return home->second;
+  const std::string prefix = keys::delegations(ctx_.shard, ref);
+  for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it) {
+    if (it->second->range.contains(index)) return it->second;
+  }
+  return nullptr;
+}
+
+JobPtr ShardModel::make_job(JobRecord job_record, std::uint64_t revision) {
+  auto job = std::make_shared<Job>();
+  job->record = std::move(job_record);
+  job->job_revision = revision;
+  job->home_shard = ctx_.shard;
+  job->idle_since = ctx_.env->now();
+  const JobSpec& spec = job->spec();
+  job->team = std::max(0, ctx_.settings->team_index(spec.team));
+  job->image = images_.intern(spec.image);
+  job->demand = {spec.cores, spec.memory_gb, spec.accelerators};
+  job->least_cores = least_cores(spec.machine_types, job->demand);
+  return job;
+}
+
+void ShardModel::add_job(JobRecord job_record, std::uint64_t revision) {
+  const JobPtr job = make_job(std::move(job_record), revision);
+  const JobSpec& spec = job->spec();
+  job->waiting.insert(0, spec.task_count);
+  if (const auto found = unaccounted_.find(spec.ref); found != unaccounted_.end())
+    job->waiting.erase(found->second.held_of(spec.task_count));
+  spdlog::info("{} known: {} of {}, {} tasks of {} cores", spec.ref, spec.job_class, spec.team,
+               spec.task_count, spec.cores);
+  jobs_.emplace(spec.ref, job);
+}
+
+void ShardModel::forget(const std::string& name) {
+  const auto it = jobs_.find(name);
+  if (it == jobs_.end()) return;
+  const Job& job = *it->second;
+  const std::uint64_t known_at = job.delegated_here() ? job.delegation_revision : job.job_revision;
+  if (known_at > watched_) over_ahead_of_watch_[name] = known_at;
+  jobs_.erase(it);
+}
+
+void ShardModel::watched_up_to(std::uint64_t revision) {
+  watched_ = std::max(watched_, revision);
+  std::erase_if(over_ahead_of_watch_, [this](const auto& item) { return item.second <= watched_; });
+}
+
+Machine& ShardModel::find_or_add_machine(const Report& report) {
+  auto& slot = machines_[report.machine_name];
+  if (!slot) {
+    slot = std::make_unique<Machine>();
+    slot->name = report.machine_name;
+    slot->record = {
+        report.address, report.machine_type, report.zone, report.spot, report.worker_incarnation, {}, {}};
+    slot->first_heard = slot->busy_at = ctx_.env->now();
+    set_capacity(*slot);
+    spdlog::info("{} reports: {} in {}{}", report.machine_name, report.machine_type, report.zone,
+                 report.spot ? ", spot" : "");
+  }
+  return *slot;
+}
+
+Machine& ShardModel::find_or_add_machine(const std::string& name, const MachineRecord& record) {
+  auto& slot = machines_[name];
+  if (!slot) {
+    slot = std::make_unique<Machine>();
+    slot->name = name;
+    slot->record = record;
+    slot->record.placements.clear();
+    slot->record.stopping.clear();
+    slot->last_heard = slot->busy_at = ctx_.env->now();
+    set_capacity(*slot);
+  }
+  return *slot;
+}
+
+void ShardModel::set_capacity(Machine& machine) const {
+  machine.type = ctx_.types->find(machine.record.machine_type);
+  machine.zone = ctx_.zones->intern(machine.record.zone);
+  if (machine.type >= 0) {
+    const MachineType& type = ctx_.types->at(machine.type);
+    machine.capacity = {type.cores, type.memory_gb, type.accelerators};
+  }
+  machine.room = machine.capacity;
+}
+
+void ShardModel::remove_machine(Machine& machine) {
+  if (machine.removed) return;
+  machine.removed = true;
+  removed_.insert(machine.name);
+  removed_order_.push_back(machine.name);
+  if (removed_order_.size() > kRemembered) {
+    removed_.erase(removed_order_.front());
+    removed_order_.pop_front();
+  }
+  for (Placement& placement : machine.placements) {
+    if (placement.stage == Placement::Stage::kFreeing) continue;
+    free_placement(placement, 0);
+    counters_.freed_by_return++;
+  }
+}
+
+Placement* ShardModel::find_placement(const std::string& machine, std::uint64_t attempt, int index) {
+  const auto it = machines_.find(machine);
+  if (it == machines_.end()) return nullptr;
+  for (Placement& placement : it->second->placements) {
+    if (placement.attempt == attempt && placement.index == index) return &placement;
+  }
+  return nullptr;
+}
+
+std::vector<std::pair<Machine*, Placement*>> ShardModel::placements_of(const Job& job) const {
+  std::vector<std::pair<Machine*, Placement*>> out;
+  if (job.placed == 0) return out;
+  for (const auto& [name, machine] : machines_) {
+    for (Placement& placement : machine->placements) {
+      if (placement.job.get() == &job) out.emplace_back(machine.get(), &placement);
+    }
+  }
+  return out;
+}
+
+void ShardModel::occupy_room(Machine& machine, Job& job) {
+  teams_.add(job.team, job.demand);
+  job.placed++;
+  job.placed_by_zone[machine.zone]++;
+  for (std::size_t r = 0; r < machine.room.size(); r++) machine.room[r] -= job.demand[r];
+}
+
+void ShardModel::release_room(Machine& machine, Job& job) {
+  teams_.remove(job.team, job.demand);
+  job.placed--;
+  if (job.placed == 0) job.attempt = {};
+  job.placed_by_zone[machine.zone]--;
+  for (std::size_t r = 0; r < machine.room.size(); r++) machine.room[r] += job.demand[r];
+}
+
+void ShardModel::free_placement(Placement& placement, double delay) {
+  if (placement.stage == Placement::Stage::kFreeing) return;
+  if (placement.job->is_gang()) on_gang_task_lost(*placement.job);
+  placement.stage = Placement::Stage::kFreeing;
+  placement.requeue_delay = delay;
+  hooks_.placement_freed(placement.segment);
+}
+
+void ShardModel::drop_placement(Machine& machine, std::size_t at) {
+  const Placement placement = machine.placements[at];
+  machine.placements.erase(machine.placements.begin() + static_cast<std::ptrdiff_t>(at));
+  release_room(machine, *placement.job);
+  requeue(placement.job, placement.index, placement.requeue_delay);
+}
+
+void ShardModel::requeue(const JobPtr& job, int index, double delay) {
+  if (job->over() || job->done.contains(index)) return;
+  if (delay > 0) {
+    job->backoff.emplace_back(ctx_.env->now() + delay, index);
+  } else {
+    job->waiting.insert(index);
+    hooks_.work_waiting();
+  }
+}
+
+void ShardModel::mark_done(const JobPtr& job, int index) {
+  if (job->done.contains(index)) return;
+  // The tasks of a gang complete together.
+  const int first = job->is_gang() ? 0 : index;
+  const int last = job->is_gang() ? job->spec().task_count : index + 1;
+  job->done.insert(first, last);
+  job->unsaved.insert(first, last);
+  job->waiting.erase(job->waiting.slice(first, last));
+  std::erase_if(job->backoff,
+                [first, last](const auto& item) { return item.second >= first && item.second < last; });
+  hooks_.completion_added();
+}
+
+bool ShardModel::failed_on_one(const std::string& ref) const {
+  std::set<std::string> on;
+  const std::string prefix = keys::delegations(ctx_.shard, ref);
+  const auto add = [&on](const Job& job) {
+    for (const auto& [name, failing] : job.failing) on.insert(name);
+  };
+  if (const auto home = jobs_.find(ref); home != jobs_.end()) add(*home->second);
+  for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it)
+    add(*it->second);
+  return on.size() == 1;
+}
+
+double ShardModel::least_cores(const std::optional<std::vector<std::string>>& machine_types,
+                               const Resources& demand) const {
+  double least = std::numeric_limits<double>::infinity();
+  for (const MachineType& type : ctx_.types->all()) {
+    if (machine_types &&
+        std::find(machine_types->begin(), machine_types->end(), type.name) == machine_types->end())
+      continue;
+    if (fits(demand, {type.cores, type.memory_gb, type.accelerators})) least = std::min(least, type.cores);
+  }
+  return least;
+}
+
+std::uint64_t ShardModel::next_attempt() {
+  const std::uint64_t revision =
+      ctx_.settings->tuning.recovery ? std::max(ctx_.fencing_token, watched_) : ctx_.fencing_token;
+  return (revision << kAttemptShift) + next_count();
+}
+
+// Called when it is known that a task of the attempt is gone, or will never be launched.
+void ShardModel::on_gang_task_lost(Job& job) {
+  if (job.over() || job.cancel_requested()) return;
+  if (job.attempt.started && !job.attempt.stopping) job.attempt.failed = true;
+}
+
+// A placement whose record was not yet durable was never launched: its task still waits.
+ShardMemory ShardModel::memory() const {
+  ShardMemory out;
+  out.shard = ctx_.shard;
+  out.token = ctx_.fencing_token;
+  for (const auto& [name, job] : jobs_) {
+    JobMemory item;
+    item.record = job->record;
+    item.done = job->done;
+    item.delegated_here = job->delegated_here();
+    if (const auto held = unaccounted_.find(name); held != unaccounted_.end()) {
+      item.held = held->second.held_of(job->spec().task_count);
+      item.may_have_ended = held->second.silent();
+    }
+    for (const auto& [key, delegated] : job->delegated) {
+      RangeSet open = delegated.range;
+      open.erase(delegated.done);
+      if (!open.empty()) item.delegated[keys::delegation_target(key)].insert(open);
+    }
+    out.jobs.push_back(std::move(item));
+  }
+  for (const auto& [ref, record] : unaccounted_) {
+    if (record.all && !record.rerun && jobs_.count(ref) == 0) out.without_description.push_back(ref);
+  }
+  for (const auto& [name, machine] : machines_) {
+    MachineRecord record = machine->record;
+    record.placements.clear();
+    for (const Placement& placement : machine->placements) {
+      if (placement.stage == Placement::Stage::kNew) continue;
+      record.placements.push_back({placement.job->spec().ref, placement.index, placement.attempt});
+    }
+    if (!record.placements.empty()) out.machines.emplace(name, std::move(record));
+  }
+  return out;
+}
+
+}  // namespace mothslip
--- a/src/coordination/shard/summary.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -1,18 +1,14 @@
-// What a shard tells the fleet, and does at its word.
-#include <spdlog/spdlog.h>
+#include "coordination/shard/summary_builder.hpp"
 
 #include <algorithm>
-#include <cmath>
+#include <map>
 
-#include "coordination/shard/shard_leader.hpp"
+#include "coordination/shard/placement_rules.hpp"
 
 namespace mothslip {
 
 namespace {
 constexpr double kUnreachableLeases = 2.5;
-}  // namespace
-
-namespace {
 // How long a placed task may still hold its room. Estimates are often too low: one that is overdue is taken
 // to need a part of what it has had.
 double remaining(const Placement& placement, double fetch_gb_per_s, double now) {
@@ -24,7 +20,10 @@
 }
 }  // namespace
 
-void ShardLeader::note_ordinary_use(const Job& job, double cores, OrdinaryUse& use) {
+SummaryBuilder::SummaryBuilder(const ShardContext& context, ShardModel& model, PlacementRules& rules)
+    : ctx_(context), model_(model), rules_(rules) {}
+
+void SummaryBuilder::add_ordinary_use(const Job& job, double cores, OrdinaryUse& use) {
   use.cores += cores;
   use.squares += cores * cores;
   const double at_once = job.is_gang() ? job.spec().task_count : 1;
@@ -32,13 +31,13 @@
     use.largest[r] = std::max(use.largest[r], at_once * job.demand[r]);
 }
 
-ShardSummary ShardLeader::summary() const {
+ShardSummary SummaryBuilder::build() const {
   constexpr double kBucket = 5;  // seconds: ends of tasks that are close count as one
   const double now = ctx_.env->now();
   ShardSummary out;
-  out.shard = id_;
-  out.fencing_token = fencing_token_;
-  for (const auto& [name, machine] : machines_) {
+  out.shard = ctx_.shard;
+  out.fencing_token = ctx_.fencing_token;
+  for (const auto& [name, machine] : model_.machines()) {
     MachineSummary item;
     item.name = name;
     item.machine_type = machine->record.machine_type;
@@ -48,9 +47,9 @@
     item.schedulable = machine->type >= 0 && machine->schedulable() &&
                        now - machine->last_heard < ctx_.settings->lease_s / 2;
     // One that does not hear us for long is of no use either.
-    item.faulty =
-        machine->faulty || (machine->inbound_unreachable &&
-                            now - machine->inbound_unreachable_since > kUnreachableLeases * lease_over_s());
+    item.faulty = machine->faulty ||
+                  (machine->inbound_unreachable && now - machine->inbound_unreachable_since >
+                                                       kUnreachableLeases * ctx_.worker_lease_bound_s());
     item.draining = machine->draining;
     // Nothing is placed, and every completion it showed is durable and reaped.
     item.empty = machine->placements.empty() && machine->unmatched.empty();
@@ -62,7 +61,7 @@
     for (const Placement& placement : machine->placements) {
       const double rate = machine->type >= 0 ? ctx_.types->at(machine->type).fetch_gb_per_s : 1;
       const int bucket = 1 + static_cast<int>(remaining(placement, rate, now) / kBucket);
-      Resources& room = gives_way(*placement.job) ? yielding[bucket] : rooms[bucket];
+      Resources& room = rules_.is_preemptible(*placement.job) ? yielding[bucket] : rooms[bucket];
       for (std::size_t r = 0; r < 3; r++) room[r] += placement.job->demand[r];
     }
     for (const auto& [bucket, room] : rooms) item.rooms.push_back({bucket * kBucket, room, false});
@@ -72,21 +71,22 @@
     out.machines.push_back(std::move(item));
   }
   const double wall = ctx_.env->wall();
-  for (const auto& [name, job] : jobs_) {
+  for (const auto& [name, job] : model_.jobs()) {
     if (job->over()) continue;
     const JobSpec& spec = job->spec();
     // No machine is rented for one that is at fault.
     const int waiting = job->at_fault() ? 0 : job->waiting.size();
     const int count = job->at_fault() ? 0 : waiting + static_cast<int>(job->backoff.size());
     // Room is kept free for what demand varies by; best-effort work can wait.
-    if (!gives_way(*job)) out.wanted_by_team[job->team] += (job->placed + waiting) * job->demand[0];
+    if (!rules_.is_preemptible(*job))
+      out.wanted_by_team[job->team] += (job->placed + waiting) * job->demand[0];
     out.used_by_team[job->team] += job->placed * job->demand[0];
-    if (!job->delegated_here() && !gives_way(*job)) {
+    if (!job->delegated_here() && !rules_.is_preemptible(*job)) {
       const double cores = (job->placed + count + job->delegated_open()) * job->demand[0];
       if (spec.allows_spot) {
         out.squares += cores * cores;
       } else {
-        note_ordinary_use(*job, cores, out.ordinary);
+        add_ordinary_use(*job, cores, out.ordinary);
       }
     }
     if (count == 0) continue;
@@ -95,7 +95,7 @@
     demand.count = count;
     demand.team = job->team;
     // (Promoted best-effort work is asked for like other work.)
-    demand.urgency = gives_way(*job) ? 0 : std::max(1, static_cast<int>(spec.urgency));
+    demand.urgency = rules_.is_preemptible(*job) ? 0 : std::max(1, static_cast<int>(spec.urgency));
     demand.estimated_s = spec.estimated_s;
     demand.image_gb = spec.image_gb;
     if (spec.deadline_s) demand.time_left_s = job->record.submitted + *spec.deadline_s - wall;
@@ -104,7 +104,7 @@
     if (spec.machine_types) demand.machine_types = *spec.machine_types;
     if (spec.zone) demand.zone = *spec.zone;
     demand.submitted = job->record.submitted;
-    demand.starving = starving(*job);
+    demand.starving = rules_.starving(*job);
     demand.gang = job->is_gang();
     out.demands.push_back(std::move(demand));
   }
--- /dev/null
+++ b/src/coordination/shard/task_delegation.hpp
@@ -0,0 +1,75 @@
+// Delegation of waiting tasks between shards. A shard whose machines have room that its own tasks do not fill
+// asks the other shards in turn; the asked home shard delegates some of a job's tasks by one conditional
+// write. From then on the delegate schedules them, notes completions in the delegation's record, and gives
+// back what found no place.
+#pragma once
+
+#include <string>
+
+#include "coordination/shard/shard_context.hpp"
+#include "coordination/shard/shard_model.hpp"
+#include "transport/callback_guard.hpp"
+
+namespace mothslip {
+
+class GangScheduler;
+class Journal;
+class PlacementRules;
+class Preemptor;
+class QuotaShares;
+class RecordCommitter;
+class WorkerCommands;
+
+class TaskDelegation {
+ public:
+  TaskDelegation(const ShardContext& context, ShardModel& model, RecordCommitter& committer, Journal& journal,
+                 PlacementRules& rules, GangScheduler& gangs, Preemptor& preemptor, QuotaShares& quotas,
+                 WorkerCommands& commands);
+
+  // Tasks that another shard has delegated to this one.
+  void add_delegated_job(const std::string& key, DelegationRecord record, std::uint64_t revision);
+  // The job was cancelled at home: its tasks here are stopped, and the delegation goes when the last one is
+  // gone.
+  void drop_delegated(const JobPtr& job);
+  // Events of one watch come in order. Delegations to this shard are taken up only here: an answer that
+  // overtook or trailed them could bring back a delegation that is already completed and deleted.
+  void on_delegation_event(const Json& event);
+  // The record of the tasks that are delegated to this shard.
+  [[nodiscard]] static DelegationRecord delegation_record(const Job& job);
+  // The delegate noted completions, or gave tasks back by shrinking the range.
+  void reclaim_tasks(const JobPtr& job, const std::string& key, const RangeSet& range, const RangeSet& done);
+  // Delegate: writes completions, and gives back tasks that found no place; false: nothing is due.
+  bool commit_delegations();
+  // With room that our own waiting tasks do not fill, we ask the other shards in turn.
+  void request_tasks();
+  // Delegates what our own machines have no room for, by the same preference as if the offered room were
+  // ours.
+  int on_task_request(const Json& body);
+  // One conditional write a delegation: it holds while we own the home, the delegate owns its shard, and the
+  // job is open. It rides in the journal's next write: a copy of that write which comes late finds the active
+  // segment changed and fails. (Its own key would not tell: a delegation that was made, given back and
+  // deleted left no trace, and a late copy brought it back while its tasks ran elsewhere.)
+  void delegate_tasks(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count);
+
+ private:
+  [[nodiscard]] bool fit_delegation(Job& job) const;
+  [[nodiscard]] double delegation_budget(const Job& job) const;
+
+  const ShardContext& ctx_;
+  ShardModel& model_;
+  RecordCommitter& committer_;
+  Journal& journal_;
+  PlacementRules& rules_;
+  GangScheduler& gangs_;
+  Preemptor& preemptor_;
+  QuotaShares& quotas_;
+  WorkerCommands& commands_;
+  CallbackGuard alive_;
+  bool task_request_open_ = false;  // a shard was asked and has not answered yet
+  double next_task_request_ = 0;
+  // (One counter for task and quota requests made the two take turns: some shards were asked only ever for
+  // tasks, and the quota that they did not use never moved.)
+  int asked_for_tasks_ = 0;  // the shard asked last
+};
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/shard/task_placement.cpp
@@ -0,0 +1,170 @@
+#include "coordination/shard/task_placement.hpp"
+
+#include <algorithm>
+#include <map>
+
+#include "coordination/shard/gang_scheduler.hpp"
+#include "coordination/shard/journal.hpp"
+#include "coordination/shard/placement_rules.hpp"
+#include "coordination/shard/preemptor.hpp"
+#include "coordination/shard/quota_shares.hpp"
+#include "coordination/shard/record_committer.hpp"
+
+namespace mothslip {
+
+namespace {
+constexpr double kAnswerPatience = 1.2;  // workers drop answers after 4 s; committing rarely takes this long
+constexpr double kGuaranteeBonus = 0.5;
+}  // namespace
+
+TaskPlacement::TaskPlacement(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
+                             Journal& journal, PlacementRules& rules, GangScheduler& gangs,
+                             Preemptor& preemptor, QuotaShares& quotas)
+    : ctx_(context),
+      model_(model),
+      committer_(committer),
+      journal_(journal),
+      rules_(rules),
+      gangs_(gangs),
+      preemptor_(preemptor),
+      quotas_(quotas) {}
+
+void TaskPlacement::schedule_fill() {
+  if (fill_scheduled_ || !model_.active()) return;
+  fill_scheduled_ = true;
+  ctx_.env->after(0, alive_([this] {
+                    fill_scheduled_ = false;
+                    std::vector<std::pair<bool, Machine*>> held;
+                    for (auto& [name, machine] : model_.machines()) {
+                      if (!machine->held || machine->answer.answered()) continue;
+                      const bool local = std::any_of(model_.jobs().begin(), model_.jobs().end(),
+                                                     [&machine = *machine](const auto& item) {
+                                                       return !item.second->waiting.empty() &&
+                                                              machine.has_image(item.second->image);
+                                                     });
+                      held.emplace_back(!local, machine.get());
+                    }
+                    std::stable_sort(held.begin(), held.end(),
+                                     [](const auto& a, const auto& b) { return a.first < b.first; });
+                    for (const auto& [far, machine] : held) {
+                      const std::size_t before = machine->placements.size();
+                      fill(*machine);
+                      if (machine->placements.size() == before) continue;
+                      machine->held = false;
+                      machine->answer_by = ctx_.env->now() + kAnswerPatience;
+                    }
+                    committer_.send_due_writes();
+                  }));
+}
+
+void TaskPlacement::fill(Machine& machine) {
+  const double now = ctx_.env->now();
+  if (machine.type < 0 || !machine.schedulable() || now < machine.no_fill_until) return;
+  // A machine that has not shown our token may be a late copy of a report, of a machine that is no more.
+  if (!machine.token_acknowledged) return;
+  if (committer_.state_silent() || !ctx_.exclusive_owner()) return;
+  if (!fits({0.01, 0, 0}, machine.room)) return;
+  const bool keep_for_large = rules_.reserves_for_large(machine);
+  const std::map<int, const Job*> saved_for = rules_.quota_saved_for();
+  const bool room_for_best_effort = preemptor_.best_effort_here() && preemptor_.quiet(machine);
+  Candidates first;
+  Candidates best_effort;  // placed in what the others leave
+  const double wall = ctx_.env->wall();
+  const MachineType& type = ctx_.types->at(machine.type);
+  for (const auto& [ref, job] : model_.jobs()) {
+    if (job->waiting.empty() || job->over() || job->cancelling || !job->cancel_waiters.empty()) continue;
+    const JobSpec& spec = job->spec();
+    if (!fits(job->demand, machine.room)) continue;
+    if (machine.reserved_for && machine.reserved_for != job) continue;
+    if (job->is_gang() && (now < job->next_gang_look || !gangs_.gang_may_be_placed(*job))) continue;
+    if (job->at_fault() && (job->placed > 0 || now < job->next_trial_at)) continue;
+    if (!rules_.allowed_on(*job, machine)) continue;
+    const auto saved = saved_for.find(job->team);
+    if (!rules_.within_quota(*job)) {
+      if (saved == saved_for.end() || saved->second == job.get()) quotas_.note_shortage(*job);
+      continue;
+    }
+    if (saved != saved_for.end()) continue;
+    // Others have room for what can go anywhere; what cannot is still taken.
+    if (machine.cordoned && rules_.fits_smaller_type(*job, machine.type)) continue;
+    if (keep_for_large && rules_.fits_smaller_type(*job, machine.type)) continue;
+    const bool yields = rules_.is_preemptible(*job);
+    if (yields && !preemptor_.open_to_best_effort(*job, machine, room_for_best_effort)) continue;
+    Request request;
+    request.demand = job->demand;
+    request.local = machine.has_image(job->image);
+    const double fetch = request.local ? 0 : fetch_seconds(spec, type);
+    if (spec.deadline_s) {
+      request.pressure = deadline_pressure(job->record.submitted + *spec.deadline_s - wall,
+                                           1.3 * std::max(1.0, spec.estimated_s) + fetch);
+    }
+    Candidates& candidates = yields ? best_effort : first;
+    candidates.requests.push_back(request);
+    candidates.jobs.push_back(job);
+  }
+  place_greedily(machine, first);
+  place_greedily(machine, best_effort);
+}
+
+// Takes one task of the job with the highest preference, and scores again, until nothing fits.
+void TaskPlacement::place_greedily(Machine& machine, Candidates& candidates) {
+  auto& [requests, jobs] = candidates;
+  const double wall = ctx_.env->wall();
+  while (!requests.empty()) {
+    for (std::size_t i = 0; i < requests.size();) {
+      const Job& job = *jobs[i];
+      const JobSpec& spec = job.spec();
+      const bool out = job.waiting.empty() || !fits(job.demand, machine.room) ||
+                       !rules_.allowed_on(job, machine) || !rules_.within_quota(job) ||
+                       (job.at_fault() && job.placed > 0);
+      if (out) {
+        requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(i));
+        jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(i));
+        continue;
+      }
+      Request& request = requests[i];
+      request.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.task_count;
+      for (std::size_t r = 0; r < 3; r++) request.held[r] = job.demand[r] * job.placed;
+      request.nothing_placed = job.placed == 0 && job.done.empty();
+      request.bonus = PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) +
+                      (model_.teams().in_guarantee(job.team, job.demand) ? kGuaranteeBonus : 0) +
+                      rules_.age_bonus(job, wall);
+      i++;
+    }
+    const int best = choose(machine.room, requests, rules_.weights());
+    if (best < 0) break;
+    const JobPtr job = jobs[static_cast<std::size_t>(best)];
+    if (!job->is_gang()) {
+      // Unique and rising: the fencing token is new for every owner, the counter within it.
+      place_task(machine, job, model_.next_attempt());
+    } else if (!gangs_.place_gang(job)) {
+      requests.erase(requests.begin() + best);
+      jobs.erase(jobs.begin() + best);
+    }
+  }
+}
+
+void TaskPlacement::place_task(Machine& machine, const JobPtr& job, std::uint64_t attempt) {
+  const double now = ctx_.env->now();
+  Placement placement;
+  placement.job = job;
+  placement.index = *job->waiting.first();
+  placement.attempt = attempt;
+  job->waiting.erase(placement.index);
+  job->idle_since = now;
+  model_.occupy_room(machine, *job);
+  if (!machine.has_image(job->image)) {
+    model_.counters().fetches++;
+    machine.use_image(job->image, job->spec().image_gb, ctx_.types->at(machine.type).cache_gb);
+  }
+  machine.placements.push_back(std::move(placement));
+  if (rules_.is_preemptible(*job)) {
+    preemptor_.use_headroom(job->demand[0]);
+  } else {
+    machine.wanted_at = now;
+  }
+  journal_.note_new_placement();
+  machine.busy_at = now;
+}
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/shard/task_placement.hpp
@@ -0,0 +1,53 @@
+// Fills a machine that reports with waiting tasks: HaSTE-A's greedy filling (docs/design.md, Yao et al.
+// section 3.4) with the preferences of scheduling/preference.hpp.
+#pragma once
+
+#include <vector>
+
+#include "coordination/shard/shard_context.hpp"
+#include "coordination/shard/shard_model.hpp"
+#include "scheduling/preference.hpp"
+#include "transport/callback_guard.hpp"
+
+namespace mothslip {
+
+class GangScheduler;
+class Journal;
+class PlacementRules;
+class Preemptor;
+class QuotaShares;
+class RecordCommitter;
+
+class TaskPlacement {
+ public:
+  TaskPlacement(const ShardContext& context, ShardModel& model, RecordCommitter& committer, Journal& journal,
+                PlacementRules& rules, GangScheduler& gangs, Preemptor& preemptor, QuotaShares& quotas);
+
+  // There is new work: machines whose reports are held can start it at once, those that have an image of it
+  // first.
+  void schedule_fill();
+  // Places waiting tasks on a machine that has just reported.
+  void fill(Machine& machine);
+  // Takes the first waiting task of the job.
+  void place_task(Machine& machine, const JobPtr& job, std::uint64_t attempt);
+
+ private:
+  struct Candidates {
+    std::vector<Request> requests;
+    std::vector<JobPtr> jobs;
+  };
+  void place_greedily(Machine& machine, Candidates& candidates);
+
+  const ShardContext& ctx_;
+  ShardModel& model_;
+  RecordCommitter& committer_;
+  Journal& journal_;
+  PlacementRules& rules_;
+  GangScheduler& gangs_;
+  Preemptor& preemptor_;
+  QuotaShares& quotas_;
+  CallbackGuard alive_;
+  bool fill_scheduled_ = false;
+};
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/shard/worker_commands.hpp
@@ -0,0 +1,47 @@
+// What workers are told: orders in the answers to their reports, and direct commands (stops and the fencing
+// token, never launches).
+#pragma once
+
+#include <optional>
+#include <vector>
+
+#include "coordination/shard/shard_context.hpp"
+#include "coordination/shard/shard_model.hpp"
+#include "transport/callback_guard.hpp"
+
+namespace mothslip {
+
+class GangScheduler;
+class RecordCommitter;
+class WorkerLiveness;
+
+class WorkerCommands {
+ public:
+  WorkerCommands(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
+                 GangScheduler& gangs, WorkerLiveness& liveness);
+
+  // Answers the report that the machine waits with, if any.
+  void answer(Machine& machine);
+  // Shows our token to machines with placements, a few at a time: a node that has taken over has leases to
+  // renew and users to answer meanwhile. Machines that report go first; silent ones are tried now and then.
+  void announce_fencing_token();
+  // Tells all machines with tasks of the job to stop them.
+  void stop_directly(const JobPtr& job);
+  // For all on it that is cancelled or preempted; once the direct command that is under way is over.
+  void send_stops(Machine& machine);
+
+ private:
+  std::vector<Order> orders_for(Machine& machine);
+  void send_direct(Machine& machine, const std::vector<Order>& orders, bool raise = false);
+  [[nodiscard]] static std::optional<double> stop_wanted(const Placement& placement);
+
+  const ShardContext& ctx_;
+  ShardModel& model_;
+  RecordCommitter& committer_;
+  GangScheduler& gangs_;
+  WorkerLiveness& liveness_;
+  CallbackGuard alive_;
+  int announcing_ = 0;  // direct commands under way that only show the fencing token
+};
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -0,0 +1,280 @@
+#include "coordination/shard/worker_liveness.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <cmath>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "coordination/shard/gang_scheduler.hpp"
+
+namespace mothslip {
+
+namespace {
+constexpr int kMaxIneffectiveLaunches =
+    3;                               // launches sent in vain, one report after the other: not a lost answer
+constexpr int kOnlyHere = 2;         // jobs
+constexpr double kFirstPause = 5.0;  // between two tries of a job that fails on every machine
+constexpr double kLongestPause = 60.0;
+}  // namespace
+
+WorkerLiveness::WorkerLiveness(const ShardContext& context, ShardModel& model, GangScheduler& gangs)
+    : ctx_(context), model_(model), gangs_(gangs) {}
+
+bool WorkerLiveness::apply_heartbeat(Machine& machine, const Report& report, bool direct) {
+  const double now = ctx_.env->now();
+  if (machine.heard && std::pair(report.worker_incarnation, report.sequence) <=
+                           std::pair(machine.record.worker_incarnation, machine.sequence)) {
+    return false;
+  }
+  if (report.worker_incarnation < machine.record.worker_incarnation)
+    return false;  // older than the record we inherited
+  if (!machine.heard) machine.first_heard = now;
+  if (!machine.heard || now - machine.last_heard > ctx_.settings->lease_s / 2) machine.steady_since = now;
+  machine.heard = true;
+  machine.last_heard = now;
+  machine.sequence = report.sequence;
+  if (machine.incarnation_since == 0) machine.incarnation_since = now;
+  if (machine.record.address != report.address) machine.record.address = report.address;
+  if (report.fencing_token == ctx_.fencing_token && !machine.token_acknowledged) {
+    machine.token_acknowledged = true;
+    machine.last_answer = std::max(machine.last_answer, now);
+  }
+  if (report.eviction_notice_s) {
+    if (!machine.evicted_at) {
+      spdlog::info("{} will be evicted in {} s", machine.name, *report.eviction_notice_s);
+      machine.evicted_at = now + *report.eviction_notice_s;
+    }
+  } else {
+    machine.evicted_at.reset();
+  }
+  if (report.worker_incarnation > machine.record.worker_incarnation) {
+    begin_incarnation(machine, report.worker_incarnation);
+  }
+
+  // (The tasks of a gang share an attempt number.)
+  std::map<std::pair<std::uint64_t, int>, const TaskReport*> by_attempt;
+  for (const TaskReport& task : report.tasks) by_attempt.emplace(std::pair(task.attempt, task.index), &task);
+  machine.unmatched.clear();
+  std::vector<const TaskReport*> exits;
+  for (Placement& placement : machine.placements) {
+    const auto it = by_attempt.find({placement.attempt, placement.index});
+    if (it != by_attempt.end() && it->second->ref == placement.job->spec().ref &&
+        it->second->index == placement.index) {
+      const TaskReport& task = *it->second;
+      by_attempt.erase(it);
+      placement.seen_sequence = report.sequence;
+      if (placement.sent_sequence != 0) machine.ineffective_launches = 0;
+      if (placement.phase == TaskPhase::kFetchingImage && task.phase != TaskPhase::kFetchingImage &&
+          task.phase != TaskPhase::kExited) {
+        machine.use_image(placement.job->image, placement.job->spec().image_gb,
+                          ctx_.types->at(std::max(0, machine.type)).cache_gb);
+      }
+      if (placement.running_since == 0 && task.phase == TaskPhase::kRunning) {
+        placement.running_since = now;
+        if (placement.job->is_gang()) placement.job->attempt.started = true;
+      }
+      placement.phase = task.phase;
+      if (task.phase == TaskPhase::kExited) {
+        if (placement.stage == Placement::Stage::kFreeing) {
+          machine.unmatched.push_back(task);
+        } else {
+          exits.push_back(&task);
+          machine.unmatched.push_back(task);
+        }
+      }
+    } else if (placement.stage == Placement::Stage::kRecorded && report.fencing_token == ctx_.fencing_token) {
+      // (a) missing, and no launch of it can still be on its way.
+      const bool settled = direct ? placement.inherited && placement.sent_sequence == 0
+                                  : placement.sent_sequence < report.sequence;
+      if (settled && (placement.job->over() || placement.job->cancelling || placement.preempted ||
+                      gangs_.attempt_over(*placement.job) || !machine.schedulable() ||
+                      placement.job->done.contains(placement.index))) {
+        model_.free_placement(placement, 0);
+      }
+    }
+  }
+  for (const auto& [attempt, task] : by_attempt) machine.unmatched.push_back(*task);
+  for (const TaskReport* task : exits) {
+    for (Placement& placement : machine.placements) {
+      if (placement.job == nullptr || placement.attempt != task->attempt || placement.index != task->index)
+        continue;
+      on_exit(machine, placement, task->cause);
+      break;
+    }
+  }
+  std::erase_if(machine.placements, [](const Placement& p) { return p.job == nullptr; });
+  if (!direct && report.fencing_token == ctx_.fencing_token) evaluate_reachability(machine);
+  if (report.fencing_token == ctx_.fencing_token) {
+    for (const auto& [attempt, task] : by_attempt) {
+      // Completed under a record that is gone, or taken over before it was noted: the work is done all the
+      // same.
+      if (task->phase != TaskPhase::kExited || task->cause != ExitCause::kDone) continue;
+      const JobPtr job = model_.find_task(task->ref, task->index);
+      if (job == nullptr || job->over() || task->index >= job->spec().task_count) continue;
+      model_.mark_done(job, task->index);
+    }
+  }
+  if (!machine.placements.empty()) machine.busy_at = now;
+  return true;
+}
+
+// (b) the incarnation that the placements belonged to is over: all are gone, launched or not.
+void WorkerLiveness::begin_incarnation(Machine& machine, std::uint64_t worker_incarnation) {
+  const double now = ctx_.env->now();
+  std::size_t freed = 0;
+  for (Placement& placement : machine.placements) {
+    if (placement.stage == Placement::Stage::kFreeing) continue;
+    model_.free_placement(placement, 0);
+    freed++;
+  }
+  if (freed > 0)
+    spdlog::info("{} is in incarnation {}: {} placements freed", machine.name, worker_incarnation, freed);
+  model_.counters().freed_by_incarnation += freed;
+  // Its lease ran out although we had answered it. Once, that is a cut or a hang; while its reports came all
+  // the time, or once more, the answers do not arrive. (A worker without answers goes from node to node: we
+  // hear it seldom.)
+  // Reports that a cut held back come all at once when it ends: they show nothing of the kind.
+  const bool answered = machine.last_answer >= machine.incarnation_since;
+  const bool lasted = now - machine.incarnation_since > ctx_.settings->lease_s / 2;
+  const bool all_along = now - machine.steady_since > 0.8 * ctx_.settings->lease_s;
+  machine.expired_incarnations = answered && lasted ? machine.expired_incarnations + 1 : 0;
+  if ((answered && lasted && machine.token_acknowledged && all_along) || machine.expired_incarnations >= 2) {
+    if (!machine.inbound_unreachable) {
+      machine.inbound_unreachable_since = now;
+      spdlog::info("{} is unreachable (inbound): its leases expire while it reports", machine.name);
+    }
+    machine.inbound_unreachable = true;
+  }
+  machine.record.worker_incarnation = worker_incarnation;
+  machine.last_answer = std::max(machine.last_answer, now);  // its lease counts from its beginning
+  machine.incarnation_since = now;
+  machine.ineffective_launches = 0;
+  machine.images.clear();
+}
+
+// A worker starts a new incarnation when no answer reached it for its lease; an incarnation older than that
+// has heard one.
+void WorkerLiveness::evaluate_reachability(Machine& machine) {
+  const double now = ctx_.env->now();
+  if (!machine.inbound_unreachable && machine.ineffective_launches >= kMaxIneffectiveLaunches) {
+    machine.inbound_unreachable = true;
+    machine.inbound_unreachable_since = machine.incarnation_since = now;
+    machine.ineffective_launches = 0;
+    // What it was sent in vain has not begun, and no answer to an older report can begin it any more (a).
+    for (Placement& placement : machine.placements) {
+      const bool missing =
+          placement.seen_sequence != machine.sequence && placement.sent_sequence < machine.sequence;
+      if (placement.stage == Placement::Stage::kRecorded && missing && placement.sent_sequence != 0)
+        model_.free_placement(placement, 0);
+    }
+    spdlog::info("{} is unreachable (inbound): {} launches had no effect", machine.name,
+                 kMaxIneffectiveLaunches);
+  }
+  if (machine.expired_incarnations > 0 && now - machine.incarnation_since > ctx_.worker_lease_bound_s())
+    machine.expired_incarnations = 0;
+  if (machine.inbound_unreachable && now - machine.incarnation_since > ctx_.worker_lease_bound_s()) {
+    machine.inbound_unreachable = false;
+    spdlog::info("{} is reachable again", machine.name);
+  }
+}
+
+void WorkerLiveness::on_exit(Machine& machine, Placement& placement, ExitCause cause) {
+  const JobPtr job = placement.job;
+  if (cause == ExitCause::kDone) {
+    model_.counters().completions++;
+    job->error_streak = 0;
+    machine.error_streak = 0;
+    machine.errors_of.clear();
+    model_.mark_done(job, placement.index);
+    // Not launched again by anyone: it is shown as exited until reaped, and that waits for durability.
+    model_.release_room(machine, *job);
+    placement.job = nullptr;
+    return;
+  }
+  double delay = 0;
+  if (cause == ExitCause::kError || cause == ExitCause::kOther) job->fail_attempt();
+  if (cause == ExitCause::kError) {
+    model_.counters().errors++;
+    job->error_streak++;
+    Job::Failing& failing = job->failing[machine.name];
+    failing.errors++;
+    failing.last = ctx_.env->now();
+    if (job->at_fault()) {
+      back_off_failing_job(*job);
+      model_.free_placement(placement, 0);
+      return;
+    }
+    machine.error_streak++;
+    if (std::find(machine.errors_of.begin(), machine.errors_of.end(), job->spec().ref) ==
+        machine.errors_of.end()) {
+      machine.errors_of.push_back(job->spec().ref);
+    }
+    // One job that fails again and again is its own fault. Several that have failed nowhere else are the
+    // machine's, and so is a first streak on a machine while the job completes elsewhere. (Two jobs submitted
+    // with a mistake may well meet on one machine.)
+    const auto only_here =
+        std::count_if(machine.errors_of.begin(), machine.errors_of.end(),
+                      [this](const std::string& ref) { return model_.failed_on_one(ref); });
+    const bool several = only_here >= kOnlyHere;
+    const bool job_works = machine.error_streak >= 2 && (job->works || !job->done.empty());
+    if (!machine.faulty && (several || job_works)) {
+      spdlog::warn("{} fails what it starts ({} in a row): not used any more", machine.name,
+                   machine.error_streak);
+      machine.faulty = true;
+    }
+    machine.no_fill_until = ctx_.env->now() + std::min(8.0, 1.0 * machine.error_streak);
+    delay = machine.faulty ? 0 : std::min(30.0, 0.5 * std::pow(2.0, std::min(job->error_streak, 6)));
+    spdlog::info("{} failed on {} (attempt {})", task_name(job->spec().ref, placement.index), machine.name,
+                 placement.attempt);
+  } else if (cause == ExitCause::kGangPeerLost || cause == ExitCause::kGangIncomplete) {
+    job->fail_attempt();  // neither the machine's fault nor the job's
+  } else if (cause != ExitCause::kHalted) {
+    spdlog::info("{} refused by {}: cause {}", task_name(job->spec().ref, placement.index), machine.name,
+                 static_cast<int>(cause));
+    machine.no_fill_until = ctx_.env->now() + 2;
+    delay = 1;
+  }
+  model_.free_placement(placement, delay);
+}
+
+// It fails wherever it is tried: the machines are cleared, and one task of it is tried now and then, until it
+// works or its user cancels it. (Incident db4e: five jobs submitted with a mistake failed 1 974 times within
+// minutes, and 156 good machines on which two of them had met were given back as faulty.)
+void WorkerLiveness::back_off_failing_job(Job& job) {
+  const std::string& ref = job.spec().ref;
+  if (job.pause == 0) spdlog::info("{} fails on every machine: tried now and then", ref);
+  // (What had started before it was found at fault fails within the first pause and does not lengthen it.)
+  if (ctx_.env->now() >= job.next_trial_at) {
+    job.pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
+    job.next_trial_at = ctx_.env->now() + job.pause;
+  }
+  for (const auto& [name, failing] : job.failing) {
+    const auto it = model_.machines().find(name);
+    if (it == model_.machines().end()) continue;
+    Machine& machine = *it->second;
+    if (std::erase(machine.errors_of, ref) == 0 || !machine.errors_of.empty()) continue;
+    machine.error_streak = 0;
+    machine.no_fill_until = 0;
+    if (machine.faulty && !machine.draining) machine.faulty = false;
+  }
+}
+
+void WorkerLiveness::expire_lease(Machine& machine) {
+  const double lease = ctx_.worker_lease_bound_s();
+  const bool expired = machine.token_acknowledged && machine.last_answer + lease < ctx_.env->now();
+  if (!expired || machine.placements.empty()) return;
+  std::size_t freed = 0;
+  for (Placement& placement : machine.placements) {
+    if (placement.stage != Placement::Stage::kRecorded) continue;
+    model_.free_placement(placement, 0);
+    freed++;
+  }
+  if (freed == 0) return;
+  spdlog::info("{} silent, its lease has expired: {} placements freed", machine.name, freed);
+  model_.counters().freed_by_lease += freed;
+}
+
+}  // namespace mothslip
