--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -128,17 +128,18 @@
 }
 
 void Cancellation::ask_delegate(const JobPtr& job, int shard) {
-  ctx_.ask(shard, "/peer/called_off", {{"ref", job->spec().ref}},
+  ctx_.ask(shard, peer_paths::kJobCancelled, CancellationNotice{job->spec().ref}.to_json(),
            alive_([this, job, shard](const Json& answer) {
-             const bool noted = answer.is_object() && answer.value("noted", false);
-             if (noted && answer.value("valid", false)) {
+             const auto reply = CancellationReply::from_json(answer);
+             if (!reply) return check_owner_changed(job, shard, 0);
+             if (!reply->noted) {
+               job->asking.erase(shard);  // it knows, and its machines are still stopping
+             } else if (reply->lease_valid) {
                job->asking.erase(shard);
                job->unaware.erase(shard);
                retry_cancellations();
-             } else if (answer.is_object() && answer.contains("noted") && !noted) {
-               job->asking.erase(shard);  // it knows, and its machines are still stopping
              } else {
-               check_owner_changed(job, shard, noted ? answer.value("baton", std::uint64_t{0}) : 0);
+               check_owner_changed(job, shard, reply->fencing_token);
              }
            }));
 }
@@ -175,8 +176,8 @@
   return job.placed == 0 || ctx_.env->now() - job.aborted_at >= kStopPatience;
 }
 
-Json Cancellation::on_job_cancelled(const Json& body) {
-  const std::string prefix = keys::delegations(ctx_.shard, body.value("ref", ""));
+CancellationReply Cancellation::on_job_cancelled(const CancellationNotice& notice) {
+  const std::string prefix = keys::delegations(ctx_.shard, notice.ref);
   bool noted = true;
   for (auto it = model_.jobs().lower_bound(prefix);
        it != model_.jobs().end() && it->first.rfind(prefix, 0) == 0; ++it) {
@@ -185,7 +186,7 @@
     it->second->acknowledged = true;
   }
   committer_.send_due_writes();
-  return {{"noted", noted}, {"valid", ctx_.exclusive_owner()}, {"baton", ctx_.fencing_token}};
+  return {noted, ctx_.exclusive_owner(), ctx_.fencing_token};
 }
 
 bool Cancellation::record_seen_cancellations() {
--- a/src/coordination/shard/cancellation.hpp
+++ b/src/coordination/shard/cancellation.hpp
@@ -11,6 +11,7 @@
 #include <string>
 
 #include "coordination/shard/shard_context.hpp"
+#include "coordination/shard/shard_messages.hpp"
 #include "coordination/shard/shard_model.hpp"
 #include "transport/callback_guard.hpp"
 
@@ -38,7 +39,7 @@
   void retry_cancellations();
   void confirm(const JobPtr& job);
   // Delegate: the home's owner says that a job is cancelled.
-  Json on_job_cancelled(const Json& body);
+  CancellationReply on_job_cancelled(const CancellationNotice& notice);
   // Delegate: where the home does not reach us, it reads that we know. (A delegation without tasks on
   // machines is deleted instead.)
   bool record_seen_cancellations();
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -16,6 +16,7 @@
 namespace mothslip {
 
 namespace {
+constexpr double kQuotaSlop = 1e-9;       // cores or GPUs: sums of decimal fractions come out a hair off
 constexpr double kLookAgain = 0.3;        // seconds between two searches for places of one gang
 constexpr double kReplaceShare = 0.6;     // of gang_wait_s: later than this a lost task is not replaced
 constexpr double kIncomplete = 12.0;      // an attempt that can't be placed whole for so long is given up
@@ -277,61 +278,58 @@
     if (!capacity_for(*job).empty()) continue;
     asked_for_capacity_ = ctx_.next_shard(asked_for_capacity_);
     seeking_ = true;
-    ctx_.ask(asked_for_capacity_, "/peer/gang_capacity", {{"job", job_to_json(job->spec())}},
+    ctx_.ask(asked_for_capacity_, peer_paths::kGangCapacity, GangCapacityRequest{job->spec()}.to_json(),
              alive_([this, job = job, shard = asked_for_capacity_](const Json& answer) {
                seeking_ = false;
-               if (!answer.is_object() || !answer.value("capacity", false)) return;
-               if (gang_waits(*job))
-                 delegation_.delegate_tasks(job, shard, answer.value("baton", std::uint64_t{0}),
-                                            job->waiting.size());
+               const auto reply = GangCapacityReply::from_json(answer);
+               if (reply.capacity && gang_waits(*job))
+                 delegation_.delegate_tasks(job, shard, reply.fencing_token, job->waiting.size());
              }));
     return;
   }
 }
 
-Json GangScheduler::on_gang_capacity(const Json& body) {
-  std::string why;
-  const auto spec = parse_job(body.at("job"), why);
-  if (!spec || !spec->gang) return {{"error", "malformed"}};
+GangCapacityReply GangScheduler::on_gang_capacity(const GangCapacityRequest& request) {
   JobRecord job_record;
-  job_record.spec = *spec;
+  job_record.spec = request.job;
   const JobPtr job = model_.make_job(std::move(job_record), 0);
-  job->waiting.insert(0, spec->task_count);
-  return {{"capacity", !capacity_for(*job).empty()}, {"baton", ctx_.fencing_token}};
+  job->waiting.insert(0, request.job.task_count);
+  return {!capacity_for(*job).empty(), ctx_.fencing_token};
 }
 
-int GangScheduler::delegate_gangs(const Json& body) {
-  const int to = body.at("part").get<int>();
-  if (!body.value("gangs", false)) return 0;  // an earlier version, which could not read them
-  std::vector<JobPtr> gangs;
+// In the order in which they are served.
+std::vector<JobPtr> GangScheduler::gangs_to_delegate() const {
+  std::vector<JobPtr> out;
   for (const auto& [name, job] : model_.jobs()) {
     if (job->delegated_here() || !gang_waits(*job) || job->at_fault() || !job->cancel_waiters.empty())
       continue;
-    gangs.push_back(job);
+    out.push_back(job);
   }
-  if (gangs.empty()) return 0;
-  std::sort(gangs.begin(), gangs.end(), [](const JobPtr& a, const JobPtr& b) { return goes_before(*a, *b); });
+  std::sort(out.begin(), out.end(), [](const JobPtr& a, const JobPtr& b) { return goes_before(*a, *b); });
+  return out;
+}
+
+int GangScheduler::delegate_gangs(TaskRequest& request) {
+  if (!request.gangs) return 0;  // an earlier version, which could not read them
   int delegated = 0;
   std::vector<Resources> rooms;
-  for (const Json& offer : body.at("rooms"))
-    rooms.push_back({offer.at(3).get<double>(), offer.at(4).get<double>(), offer.at(5).get<double>()});
-  for (const JobPtr& job : gangs) {
+  for (const RoomOffer& offer : request.offers) rooms.push_back(offer.room);
+  for (const JobPtr& job : gangs_to_delegate()) {
     if (finds_local_room(*job)) continue;
-    const Json& spare = body.at("spare").at(static_cast<std::size_t>(job->team));
+    const SpareQuota& spare = request.spare_of(job->team);
     const Resources needs = job->start_demand();
-    const bool quota =
-        needs[0] <= spare.at(0).get<double>() + 1e-9 && needs[2] <= spare.at(1).get<double>() + 1e-9;
-    const std::vector<GangShare> shares = find_offered_places(*job, body.at("rooms"), rooms);
+    const bool quota = needs[0] <= spare.cores + kQuotaSlop && needs[2] <= spare.gpus + kQuotaSlop;
+    const std::vector<GangShare> shares = find_offered_places(*job, request.offers, rooms);
     if (shares.empty()) continue;
     if (!quota) {
-      // Room without quota share is of no use: what we do not need of ours moves along.
-      quotas_.transfer_quota(job->team, to, needs[0], needs[2], false);
+      // Room without quota is of no use: what is not needed of this shard's share moves along.
+      quotas_.transfer_quota(job->team, request.shard, needs[0], needs[2], false);
       if (!rules_.starving(*job)) continue;
     }
     for (const GangShare& share : shares) {
       for (std::size_t r = 0; r < needs.size(); r++) rooms[share.machine][r] -= share.tasks * job->demand[r];
     }
-    delegation_.delegate_tasks(job, to, body.at("baton").get<std::uint64_t>(), job->waiting.size());
+    delegation_.delegate_tasks(job, request.shard, request.fencing_token, job->waiting.size());
     delegated += job->spec().task_count;
   }
   return delegated;
@@ -346,21 +344,20 @@
   return !find_gang_places(gang_needs(job), rooms).empty();
 }
 
-std::vector<GangShare> GangScheduler::find_offered_places(const Job& job, const Json& offers,
+std::vector<GangShare> GangScheduler::find_offered_places(const Job& job,
+                                                          const std::vector<RoomOffer>& offers,
                                                           const std::vector<Resources>& rooms) const {
   std::vector<GangMachine> machines;
   for (std::size_t i = 0; i < rooms.size(); i++) {
-    const Json& offer = offers.at(i);
-    const auto machine_type = offer.at(0).get<std::string>();
-    const auto zone = offer.at(1).get<std::string>();
-    const int type = ctx_.types->find(machine_type);
+    const RoomOffer& offer = offers[i];
+    const int type = ctx_.types->find(offer.machine_type);
     const bool open = type >= 0 &&
-                      rules_.allows_machine(job.spec(), machine_type, zone, offer.at(2).get<bool>()) &&
-                      !(offer.at(6).get<bool>() && rules_.fits_smaller_type(job, type));
-    const auto& images = offer.at(7);
-    const bool local = std::find(images.begin(), images.end(), Json(job.spec().image)) != images.end();
+                      rules_.allows_machine(job.spec(), offer.machine_type, offer.zone, offer.spot) &&
+                      !(offer.only_large && rules_.fits_smaller_type(job, type));
+    const bool local =
+        std::find(offer.images.begin(), offer.images.end(), job.spec().image) != offer.images.end();
     const double fetch = local || type < 0 ? 0 : fetch_seconds(job.spec(), ctx_.types->at(type));
-    machines.push_back({open ? rooms[i] : Resources{}, ctx_.zones->intern(zone), fetch});
+    machines.push_back({open ? rooms[i] : Resources{}, ctx_.zones->intern(offer.zone), fetch});
   }
   return find_gang_places(gang_needs(job), machines);
 }
@@ -373,17 +370,15 @@
     return;
   job->delegated_gang_runs = running;
   job->delegated_gang_heard_at = now;
-  ctx_.ask(job->home_shard, "/peer/gang_state", {{"ref", job->spec().ref}, {"running", running}},
+  ctx_.ask(job->home_shard, peer_paths::kGangState, GangState{job->spec().ref, running}.to_json(),
            [](const Json&) {});
 }
 
-Json GangScheduler::on_gang_state(const Json& body) {
-  const auto it = model_.jobs().find(body.at("ref").get<std::string>());
-  if (it != model_.jobs().end() && it->second->is_gang()) {
-    it->second->delegated_gang_runs = body.at("running").get<bool>();
-    it->second->delegated_gang_heard_at = ctx_.env->now();
-  }
-  return Json::object();
+void GangScheduler::on_gang_state(const GangState& state) {
+  const auto it = model_.jobs().find(state.ref);
+  if (it == model_.jobs().end() || !it->second->is_gang()) return;
+  it->second->delegated_gang_runs = state.running;
+  it->second->delegated_gang_heard_at = ctx_.env->now();
 }
 
 }  // namespace mothslip
--- a/src/coordination/shard/gang_scheduler.hpp
+++ b/src/coordination/shard/gang_scheduler.hpp
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include "coordination/shard/shard_context.hpp"
+#include "coordination/shard/shard_messages.hpp"
 #include "coordination/shard/shard_model.hpp"
 #include "scheduling/gang.hpp"
 #include "transport/callback_guard.hpp"
@@ -50,14 +51,15 @@
   // Every half second: attempts, reservations, and what the home shard is told.
   void maintain();
   // Another shard asks whether the machines here could hold a gang if they were empty.
-  Json on_gang_capacity(const Json& body);
+  [[nodiscard]] GangCapacityReply on_gang_capacity(const GangCapacityRequest& request);
   // Delegates gangs that find no room here, whole, where the asking shard has offered room for all their
   // tasks.
-  int delegate_gangs(const Json& body);
+  int delegate_gangs(TaskRequest& request);
   // A delegate says whether a gang of this home shard runs.
-  Json on_gang_state(const Json& body);
+  void on_gang_state(const GangState& state);
 
  private:
+  [[nodiscard]] std::vector<JobPtr> gangs_to_delegate() const;
   [[nodiscard]] bool gang_waits(const Job& job) const;
   [[nodiscard]] static GangNeeds gang_needs(const Job& job);
   [[nodiscard]] bool open_to_gang(const Job& job, const Machine& machine) const;
@@ -70,7 +72,8 @@
   void reserve_for(const JobPtr& job);
   void request_capacity();
   [[nodiscard]] bool finds_local_room(const Job& job) const;
-  [[nodiscard]] std::vector<GangShare> find_offered_places(const Job& job, const Json& offers,
+  [[nodiscard]] std::vector<GangShare> find_offered_places(const Job& job,
+                                                           const std::vector<RoomOffer>& offers,
                                                            const std::vector<Resources>& rooms) const;
   void report_to_home(const JobPtr& job);
 
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -24,33 +24,41 @@
   const int team_count = static_cast<int>(model_.teams().size());
   for (const StateItem& item : items) {
     const int team = std::atoi(item.key.c_str() + keys::kTeams.size());
-    if (team >= 0 && team < team_count) set_split(team, item.data, item.revision);
+    if (team >= 0 && team < team_count) read_split(team, item.data, item.revision);
   }
   for (int team = 0; team < team_count; team++) {
     if (splits_.count(team) == 0) set_split(team, even_split(team), 0);
   }
 }
 
-Json QuotaShares::even_split(int team) const {
+QuotaSplit QuotaShares::even_split(int team) const {
   const Team& limits = ctx_.settings->teams[static_cast<std::size_t>(team)];
-  Json cores = Json::array();
-  Json gpus = Json::array();
-  const double c = grains(limits.cpus_max / ctx_.shard_count);
-  const double g = grains(limits.gpus_max / ctx_.shard_count);
-  for (int p = 0; p < ctx_.shard_count; p++) {
-    cores.push_back(p > 0 ? c : limits.cpus_max - c * (ctx_.shard_count - 1));
-    gpus.push_back(p > 0 ? g : limits.gpus_max - g * (ctx_.shard_count - 1));
+  const double cores = grains(limits.cpus_max / ctx_.shard_count);
+  const double gpus = grains(limits.gpus_max / ctx_.shard_count);
+  const int others = ctx_.shard_count - 1;
+  QuotaSplit out;
+  out.cores.assign(static_cast<std::size_t>(ctx_.shard_count), cores);
+  out.gpus.assign(static_cast<std::size_t>(ctx_.shard_count), gpus);
+  // The first shard has what does not divide evenly.
+  out.cores[0] = limits.cpus_max - cores * others;
+  out.gpus[0] = limits.gpus_max - gpus * others;
+  return out;
+}
+
+void QuotaShares::set_split(int team, const QuotaSplit& split, std::uint64_t revision) {
+  const auto at = static_cast<std::size_t>(ctx_.shard);
+  if (at >= split.cores.size() || at >= split.gpus.size()) {
+    spdlog::error("record {} cannot be read", keys::team(team));
+    return;
   }
-  return {{"c", std::move(cores)}, {"g", std::move(gpus)}};
+  model_.teams().set_quota(team, split.cores[at], split.gpus[at], revision);
+  splits_[team] = split;
 }
 
-void QuotaShares::set_split(int team, const Json& data, std::uint64_t revision) {
+void QuotaShares::read_split(int team, const Json& record, std::uint64_t revision) {
   try {
-    const auto at = static_cast<std::size_t>(ctx_.shard);
-    model_.teams().set_quota(team, data.at("c").at(at).get<double>(), data.at("g").at(at).get<double>(),
-                             revision);
-    splits_[team] = data;
-  } catch (const Json::exception&) {
+    set_split(team, QuotaSplit::from_json(record), revision);
+  } catch (const MalformedMessage&) {
     spdlog::error("record {} cannot be read", keys::team(team));
   }
 }
@@ -62,8 +70,8 @@
   if (team < 0 || team >= static_cast<int>(model_.teams().size()) ||
       revision <= model_.teams().revision(team))
     return;
-  if (moving_.count(team) > 0) return;  // our own move finds out
-  set_split(team, event["data"], revision);
+  if (moving_.count(team) > 0) return;  // the move under way finds out
+  read_split(team, event["data"], revision);
 }
 
 void QuotaShares::note_shortage(const Job& job) {
@@ -97,84 +105,86 @@
 void QuotaShares::request_quota() {
   if (short_of_.empty() || committer_.state_silent()) return;
   asked_for_quota_ = ctx_.next_shard(asked_for_quota_);
-  Json wants = Json::array();
+  QuotaRequest request{ctx_.shard, {}};
   for (const auto& [team, more] : short_of_) {
-    const bool pressing = starving_teams_.count(team) > 0;
-    Json want = {team, more[0] - model_.teams().spare_cores(team), more[2] - model_.teams().spare_gpus(team),
-                 pressing};
-    if (pressing) {
+    const double spare_cores = model_.teams().spare_cores(team);
+    const double spare_gpus = model_.teams().spare_gpus(team);
+    QuotaWant want{team, more[0] - spare_cores, more[2] - spare_gpus, starving_teams_.count(team) > 0, {}};
+    if (want.starving) {
       const Resources all = startable_demand(team);
-      want.push_back(all[0] - model_.teams().spare_cores(team));
-      want.push_back(all[2] - model_.teams().spare_gpus(team));
+      want.startable = SpareQuota{all[0] - spare_cores, all[2] - spare_gpus};
     }
-    wants.push_back(std::move(want));
+    request.wants.push_back(want);
   }
   short_of_.clear();
   starving_teams_.clear();
-  ctx_.ask(asked_for_quota_, "/peer/allow", {{"part", ctx_.shard}, {"wants", std::move(wants)}},
-           [](const Json&) {});
+  ctx_.ask(asked_for_quota_, peer_paths::kQuotaRequest, request.to_json(), [](const Json&) {});
 }
 
-void QuotaShares::on_quota_request(const Json& body) {
-  const int to = body.at("part").get<int>();
+void QuotaShares::on_quota_request(const QuotaRequest& request) {
+  const int to = request.shard;
   if (to < 0 || to >= ctx_.shard_count || to == ctx_.shard) return;
   const std::map<int, const Job*> saved_for = rules_.quota_saved_for();
-  for (const Json& want : body.at("wants")) {
-    const int team = want.at(0).get<int>();
+  for (const QuotaWant& want : request.wants) {
     // Two that save up for the same team would hand it to and fro: the lower shard number goes first.
-    const bool pressing = want.at(3).get<bool>();
-    if (saved_for.count(team) > 0 && (!pressing || to > ctx_.shard)) continue;
+    if (saved_for.count(want.team) > 0 && (!want.starving || to > ctx_.shard)) continue;
     // What nobody here waits for goes at once, for all that could start there: task by task, with a round of
     // questions in between, a shard with room stood idle for a minute.
-    if (pressing && want.size() > 5 &&
-        transfer_quota(team, to, want.at(4).get<double>(), want.at(5).get<double>())) {
+    if (want.starving && want.startable &&
+        transfer_quota(want.team, to, want.startable->cores, want.startable->gpus)) {
       continue;
     }
-    transfer_quota(team, to, want.at(1).get<double>(), want.at(2).get<double>(), !pressing);
+    transfer_quota(want.team, to, want.cores, want.gpus, !want.starving);
   }
 }
 
-bool QuotaShares::transfer_quota(int team, int to, double cores, double gpus, bool keep_own) {
-  if (team < 0 || team >= static_cast<int>(model_.teams().size()) || moving_.count(team) > 0 ||
-      splits_.count(team) == 0) {
-    return false;
-  }
-  double spare_cores = model_.teams().spare_cores(team);
-  double spare_gpus = model_.teams().spare_gpus(team);
+// What of the shard's share of the team's quota its own waiting tasks leave. Nothing, for a shard of a higher
+// number, where some wait: two shards that each lack a little would otherwise hand the remainder to and fro.
+SpareQuota QuotaShares::transferable(int team, int to, bool keep_own) const {
+  SpareQuota spare{model_.teams().spare_cores(team), model_.teams().spare_gpus(team)};
+  if (!keep_own) return spare;
   bool needed = false;
   for (const auto& [name, job] : model_.jobs()) {
-    if (!keep_own || job->over() || job->team != team || job->waiting.empty()) continue;
+    if (job->over() || job->team != team || job->waiting.empty()) continue;
     needed = true;
     int tasks = job->waiting.size();
-    if (job->demand[0] > 0) tasks = std::min(tasks, static_cast<int>(spare_cores / job->demand[0]));
-    if (job->demand[2] > 0) tasks = std::min(tasks, static_cast<int>(spare_gpus / job->demand[2]));
-    spare_cores -= tasks * job->demand[0];
-    spare_gpus -= tasks * job->demand[2];
+    if (job->demand[0] > 0) tasks = std::min(tasks, static_cast<int>(spare.cores / job->demand[0]));
+    if (job->demand[2] > 0) tasks = std::min(tasks, static_cast<int>(spare.gpus / job->demand[2]));
+    spare.cores -= tasks * job->demand[0];
+    spare.gpus -= tasks * job->demand[2];
+  }
+  return needed && to > ctx_.shard ? SpareQuota{} : spare;
+}
+
+bool QuotaShares::transfer_quota(int team, int to, double cores, double gpus, bool keep_own) {
+  if (team < 0 || team >= static_cast<int>(model_.teams().size()) || moving_.count(team) > 0 ||
+      splits_.count(team) == 0) {
+    return false;
   }
-  if (needed && to > ctx_.shard) return false;
-  const double give_cores = grains(std::clamp(cores, 0.0, std::max(0.0, spare_cores)));
-  const double give_gpus = grains(std::clamp(gpus, 0.0, std::max(0.0, spare_gpus)));
+  const SpareQuota spare = transferable(team, to, keep_own);
+  const double give_cores = grains(std::clamp(cores, 0.0, std::max(0.0, spare.cores)));
+  const double give_gpus = grains(std::clamp(gpus, 0.0, std::max(0.0, spare.gpus)));
   if (give_cores <= 0 && give_gpus <= 0) return false;
-  Json split = splits_.at(team);
+  QuotaSplit split = splits_.at(team);
   const auto from_at = static_cast<std::size_t>(ctx_.shard);
   const auto to_at = static_cast<std::size_t>(to);
-  split["c"][from_at] = split["c"][from_at].get<double>() - give_cores;
-  split["c"][to_at] = split["c"][to_at].get<double>() + give_cores;
-  split["g"][from_at] = split["g"][from_at].get<double>() - give_gpus;
-  split["g"][to_at] = split["g"][to_at].get<double>() + give_gpus;
+  if (to_at >= split.cores.size() || to_at >= split.gpus.size()) return false;
+  split.cores[from_at] -= give_cores;
+  split.cores[to_at] += give_cores;
+  split.gpus[from_at] -= give_gpus;
+  split.gpus[to_at] += give_gpus;
   Transaction txn = committer_.guarded_transaction();
   txn.guard(keys::team(team), model_.teams().revision(team));
-  txn.put(keys::team(team), split);
-  // Given up before it is written: whenever the write takes effect, we do not use it any more.
-  model_.teams().set_quota(team, split["c"][from_at].get<double>(), split["g"][from_at].get<double>(),
-                           model_.teams().revision(team));
+  txn.put(keys::team(team), split.to_json());
+  // Given up before it is written: whenever the write takes effect, this shard does not use it any more.
+  model_.teams().set_quota(team, split.cores[from_at], split.gpus[from_at], model_.teams().revision(team));
   moving_.insert(team);
   model_.counters().moves++;
   commit_quota(team, std::make_shared<std::string>(txn.body()), split);
   return true;
 }
 
-void QuotaShares::commit_quota(int team, const std::shared_ptr<std::string>& body, const Json& split) {
+void QuotaShares::commit_quota(int team, const std::shared_ptr<std::string>& body, const QuotaSplit& split) {
   ctx_.state->commit_body(
       RequestPriority::kRest, *body, 1, alive_([this, team, body, split](const StateReply& reply) {
         if (reply.ok()) {
@@ -193,7 +203,7 @@
   ctx_.state->get(RequestPriority::kRest, keys::team(team), alive_([this, team](const StateReply& reply) {
                     if (reply.ok() && reply.body.contains("data")) {
                       moving_.erase(team);
-                      set_split(team, reply.body["data"], reply.body.value("stamp", std::uint64_t{0}));
+                      read_split(team, reply.body["data"], reply.body.value("stamp", std::uint64_t{0}));
                     } else if (reply.outcome == Outcome::kMissing) {
                       moving_.erase(team);
                       set_split(team, even_split(team), 0);
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -244,18 +244,27 @@
 }
 
 Json ShardLeader::on_peer(const std::string& path, const Json& body) {
-  // Durable already, whoever says so and however late: it needs no lease of ours.
-  // While we load, too: delegations that are not read yet are checked after they have been.
-  if (path == "/peer/called_off") return cancellation_.on_job_cancelled(body);
-  if (!model_.active() || committer_.state_silent() || !ctx_.exclusive_owner()) return {{"lent", 0}};
+  // A cancellation is durable already, whoever says so and however late: taking note of it needs no valid
+  // lease. While records are being read, too: delegations that are not read yet are checked after they have
+  // been.
+  if (path == peer_paths::kJobCancelled)
+    return cancellation_.on_job_cancelled(CancellationNotice::from_json(body)).to_json();
+  if (!model_.active() || committer_.state_silent() || !ctx_.exclusive_owner()) return TaskReply{}.to_json();
   try {
-    if (path == "/peer/borrow") return {{"lent", delegation_.on_task_request(body)}};
-    if (path == "/peer/allow") quotas_.on_quota_request(body);
-    if (path == "/peer/gang_capacity") return gangs_.on_gang_capacity(body);
-    if (path == "/peer/gang_state") return gangs_.on_gang_state(body);
-  } catch (const Json::exception&) {
+    return dispatch(path, body);
+  } catch (const MalformedMessage& error) {
+    spdlog::debug("shard {}: {}", ctx_.shard, error.what());
     return {{"error", "malformed"}};
   }
+}
+
+Json ShardLeader::dispatch(const std::string& path, const Json& body) {
+  if (path == peer_paths::kTaskRequest)
+    return delegation_.on_task_request(TaskRequest::from_json(body)).to_json();
+  if (path == peer_paths::kGangCapacity)
+    return gangs_.on_gang_capacity(GangCapacityRequest::from_json(body)).to_json();
+  if (path == peer_paths::kQuotaRequest) quotas_.on_quota_request(QuotaRequest::from_json(body));
+  if (path == peer_paths::kGangState) gangs_.on_gang_state(GangState::from_json(body));
   return Json::object();
 }
 
--- a/src/coordination/shard/shard_leader.hpp
+++ b/src/coordination/shard/shard_leader.hpp
@@ -93,6 +93,7 @@
 
   static ShardContext with_identity(Context context, int id, std::uint64_t fencing_token);
   void on_loaded();
+  Json dispatch(const std::string& path, const Json& body);
   void tick();
   void requeue_due(const JobPtr& job);
   void send_due_writes();
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -23,6 +23,7 @@
 constexpr double kSaveUp = 30;     // longer where room or quota share is saved up for it
 constexpr double kGatherGang = 60;
 constexpr std::size_t kMaxOffers = 40;
+constexpr double kLeastCoresOffered = 0.5;
 constexpr std::size_t kMaxUnwrittenDelegations = 8;  // not written yet
 constexpr int kMaxDelegationsPerRequest = 4;         // per request
 constexpr double kDelegationFrame = 120;  // bytes of a delegation's record without its job and its ranges
@@ -32,11 +33,6 @@
 double delegation_bytes(const RangeSet& range) {
   return 2 * (kBytesPerRange * static_cast<double>(range.range_count()) + kBytesPerTask * range.size());
 }
-bool take(Resources& room, const Resources& demand) {
-  if (!fits(demand, room)) return false;
-  for (std::size_t r = 0; r < room.size(); r++) room[r] -= demand[r];
-  return true;
-}
 }  // namespace
 
 TaskDelegation::TaskDelegation(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -47,6 +43,7 @@
       committer_(committer),
       journal_(journal),
       rules_(rules),
+      planner_(context, model, rules),
       gangs_(gangs),
       preemptor_(preemptor),
       quotas_(quotas),
@@ -170,120 +167,142 @@
   return true;
 }
 
+// Waiting tasks that found no place here for long go home, unless others of the job are bound to stay.
+bool TaskDelegation::gives_back(const Job& job) const {
+  const double patience = !rules_.starving(job) ? kGiveBack : job.is_gang() ? kGatherGang : kSaveUp;
+  return !job.waiting.empty() && ctx_.env->now() - job.idle_since > patience &&
+         (!job.bound() || (job.placed == 0 && job.backoff.empty()));
+}
+
+// Adds what the delegate writes of one delegation to the transaction.
+TaskDelegation::DelegationWrite TaskDelegation::add_write(Transaction& txn, const std::string& key,
+                                                          const JobPtr& job, bool give_back) {
+  DelegationWrite out{job, job->range, job->done, false};
+  job->fold_due = false;
+  if (give_back) {
+    model_.counters().tasks_returned += static_cast<std::uint64_t>(job->waiting.size());
+    out.range.erase(job->waiting);
+    // From here on they belong to the home shard, whatever becomes of the write: it is repeated until it is
+    // done.
+    job->waiting.clear();
+    job->range = out.range;
+  }
+  out.erase = out.range.empty();
+  txn.guard(key, job->delegation_revision);
+  if (out.erase) {
+    txn.remove(key);
+  } else {
+    txn.put(key, delegation_record(*job).to_json());
+  }
+  job->progress_inflight = true;
+  return out;
+}
+
 bool TaskDelegation::commit_delegations() {
-  const double now = ctx_.env->now();
   Transaction txn = committer_.guarded_transaction();
-  struct Item {
-    JobPtr job;
-    RangeSet range;
-    RangeSet done;
-    bool erase;
-  };
-  std::vector<Item> batch;
+  std::vector<DelegationWrite> batch;
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (auto& [key, job] : model_.jobs()) {
     if (!job->delegated_here() || job->record.aborted || job->progress_inflight || job->cleaning) continue;
-    const double patience = !rules_.starving(*job) ? kGiveBack : job->is_gang() ? kGatherGang : kSaveUp;
-    const bool give_back = !job->waiting.empty() && now - job->idle_since > patience &&
-                           (!job->bound() || (job->placed == 0 && job->backoff.empty()));
+    const bool give_back = gives_back(*job);
     // Until the delegation is complete its completions are kept in the journal's segments.
     const bool due = (!job->unsaved.empty() && job->complete()) || job->fold_due;
     if (!give_back && !due) continue;
     if (txn.then.size() + 1 > most) break;
-    if (!fit_delegation(*job)) continue;
-    Item item{job, job->range, job->done, false};
-    job->fold_due = false;
-    if (give_back) {
-      model_.counters().tasks_returned += static_cast<std::uint64_t>(job->waiting.size());
-      item.range.erase(job->waiting);
-      // From here on they are not ours, whatever becomes of the write: it is repeated until it is done.
-      job->waiting.clear();
-      job->range = item.range;
-    }
-    item.erase = item.range.empty();
-    txn.guard(key, job->delegation_revision);
-    if (item.erase) {
-      txn.remove(key);
-    } else {
-      txn.put(key, delegation_record(*job).to_json());
-    }
-    job->progress_inflight = true;
-    batch.push_back(std::move(item));
+    if (fit_delegation(*job)) batch.push_back(add_write(txn, key, job, give_back));
   }
   if (batch.empty()) return false;
   committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn,
-                    [this, batch](std::uint64_t revision) {
-                      for (const Item& item : batch) {
-                        item.job->progress_inflight = false;
-                        item.job->delegation_revision = revision;
-                        journal_.on_completions_recorded(item.job, item.job->delegation, item.done);
-                        if (item.erase) model_.forget(item.job->delegation);
-                      }
-                    });
+                    [this, batch](std::uint64_t revision) { on_delegations_written(batch, revision); });
   return true;
 }
 
-void TaskDelegation::request_tasks() {
-  const double now = ctx_.env->now();
-  if (task_request_open_ || now < next_task_request_ || committer_.state_silent() || !ctx_.exclusive_owner())
-    return;
-  next_task_request_ = now + kTaskRequestInterval;
-  // Others' work that goes before best-effort work gets the room of ours too.
-  const bool others_wait = preemptor_.best_effort_here() &&
-                           std::any_of(model_.demand_elsewhere().begin(), model_.demand_elsewhere().end(),
-                                       [](const auto& hint) { return hint.startable; });
-  std::vector<std::pair<const Machine*, Resources>> rooms;
+void TaskDelegation::on_delegations_written(const std::vector<DelegationWrite>& batch,
+                                            std::uint64_t revision) {
+  for (const DelegationWrite& write : batch) {
+    write.job->progress_inflight = false;
+    write.job->delegation_revision = revision;
+    journal_.on_completions_recorded(write.job, write.job->delegation, write.done);
+    if (write.erase) model_.forget(write.job->delegation);
+  }
+}
+
+// Other shards' work that goes before best-effort work gets the room of best-effort tasks too.
+bool TaskDelegation::others_wait() const {
+  const std::vector<WaitingHint>& hints = model_.demand_elsewhere();
+  return preemptor_.best_effort_here() &&
+         std::any_of(hints.begin(), hints.end(), [](const WaitingHint& hint) { return hint.startable; });
+}
+
+// The room of this shard's machines; for other shards' work, with what best-effort tasks hold.
+DelegationPlanner::FreeRooms TaskDelegation::free_rooms(bool for_others) const {
+  DelegationPlanner::FreeRooms out;
   for (const auto& [name, machine] : model_.machines()) {
-    if (machine->type < 0 || !machine->schedulable() || now < machine->no_fill_until) continue;
-    if (!machine->heard || now - machine->last_heard > ctx_.report_freshness_s() || machine->reserved_for)
-      continue;
+    if (!planner_.has_usable_room(*machine)) continue;
     Resources room = machine->room;
-    if (others_wait) {
+    if (for_others) {
       const Preemptor::PreemptibleRoom free = preemptor_.preemptible_room(*machine);
       room = free.room;
       for (const PreemptionCandidate& each : free.candidates) {
         for (std::size_t r = 0; r < room.size(); r++) room[r] += each.held[r];
       }
     }
-    if (room[0] < 0.5) continue;
+    if (room[0] < kLeastCoresOffered) continue;
     machine->keeping = rules_.reserves_for_large(*machine);
-    rooms.emplace_back(machine.get(), room);
+    out.emplace_back(machine.get(), room);
   }
+  return out;
+}
+
+// Takes out of the rooms what this shard's own waiting tasks will use.
+void TaskDelegation::use_rooms(DelegationPlanner::FreeRooms& rooms, bool for_others) const {
   for (const auto& [name, job] : model_.jobs()) {
     // (A gang that fits here is placed; the room that it can't use is offered.)
-    if (job->over() || job->is_gang() || (others_wait && rules_.is_preemptible(*job))) continue;
+    if (job->over() || job->is_gang() || (for_others && rules_.is_preemptible(*job))) continue;
     int left = std::min(job->waiting.size(), model_.teams().tasks_within(job->team, job->demand));
     for (auto& [machine, room] : rooms) {
       if (machine->keeping && rules_.fits_smaller_type(*job, machine->type)) continue;
-      while (left > 0 && rules_.allowed_on(*job, *machine) && take(room, job->demand)) left--;
+      while (left > 0 && rules_.allowed_on(*job, *machine) && take_room(room, job->demand)) left--;
     }
   }
-  Json offers = Json::array();
+}
+
+TaskRequest TaskDelegation::task_request() const {
+  const bool for_others = others_wait();
+  DelegationPlanner::FreeRooms rooms = free_rooms(for_others);
+  use_rooms(rooms, for_others);
+  TaskRequest out;
+  out.shard = ctx_.shard;
+  out.fencing_token = ctx_.fencing_token;
   for (const auto& [machine, room] : rooms) {
-    if (room[0] < 0.5 || offers.size() >= kMaxOffers) continue;
-    Json images = Json::array();
-    for (const auto& [image, gb] : machine->images) images.push_back(model_.images().name(image));
-    offers.push_back({machine->record.machine_type, machine->record.zone, machine->record.spot, room[0],
-                      room[1], room[2], machine->cordoned || machine->keeping, std::move(images),
-                      others_wait});
-  }
-  if (offers.empty()) return;
-  Json spare = Json::array();
-  for (std::size_t t = 0; t < model_.teams().size(); t++) {
-    spare.push_back(
-        {model_.teams().spare_cores(static_cast<int>(t)), model_.teams().spare_gpus(static_cast<int>(t))});
+    if (room[0] < kLeastCoresOffered || out.offers.size() >= kMaxOffers) continue;
+    RoomOffer offer{machine->record.machine_type,
+                    machine->record.zone,
+                    machine->record.spot,
+                    room,
+                    machine->cordoned || machine->keeping,
+                    {},
+                    for_others};
+    for (const auto& [image, gb] : machine->images) offer.images.push_back(model_.images().name(image));
+    out.offers.push_back(std::move(offer));
   }
+  for (int team = 0; team < static_cast<int>(model_.teams().size()); team++)
+    out.spare.push_back({model_.teams().spare_cores(team), model_.teams().spare_gpus(team)});
+  return out;
+}
+
+void TaskDelegation::request_tasks() {
+  const double now = ctx_.env->now();
+  if (task_request_open_ || now < next_task_request_ || committer_.state_silent() || !ctx_.exclusive_owner())
+    return;
+  next_task_request_ = now + kTaskRequestInterval;
+  const TaskRequest request = task_request();
+  if (request.offers.empty()) return;
   asked_for_tasks_ = ctx_.next_shard(asked_for_tasks_);
   task_request_open_ = true;
-  ctx_.ask(asked_for_tasks_, "/peer/borrow",
-           {{"part", ctx_.shard},
-            {"baton", ctx_.fencing_token},
-            {"rooms", std::move(offers)},
-            {"spare", std::move(spare)},
-            {"gangs", true}},
-           alive_([this](const Json& answer) {
+  ctx_.ask(asked_for_tasks_, peer_paths::kTaskRequest, request.to_json(), alive_([this](const Json& answer) {
              task_request_open_ = false;
-             const bool delegated = answer.is_object() && answer.value("lent", 0) > 0;
+             const bool delegated = TaskReply::from_json(answer).delegated > 0;
              // Asking costs processor time on both sides: seldom while the fleet knows of nothing that waits.
              next_task_request_ = ctx_.env->now() + (delegated || !model_.demand_elsewhere().empty()
                                                          ? kTaskRequestInterval
@@ -291,139 +310,45 @@
            }));
 }
 
-int TaskDelegation::on_task_request(const Json& body) {
-  const int to = body.at("part").get<int>();
-  const auto to_fencing_token = body.at("baton").get<std::uint64_t>();
+TaskReply TaskDelegation::on_task_request(TaskRequest request) {
+  const int to = request.shard;
   if (to < 0 || to >= ctx_.shard_count || to == ctx_.shard ||
       journal_.unwritten_delegation_count() >= kMaxUnwrittenDelegations)
-    return 0;
-  const int gang_tasks = gangs_.delegate_gangs(body);
-  const double now = ctx_.env->now();
-  std::vector<std::pair<const Machine*, Resources>> rooms;
-  for (const auto& [name, machine] : model_.machines()) {
-    if (machine->type < 0 || !machine->schedulable() || now < machine->no_fill_until) continue;
-    if (!machine->heard || now - machine->last_heard > ctx_.report_freshness_s() || machine->reserved_for)
-      continue;
-    machine->keeping = rules_.reserves_for_large(*machine);
-    rooms.emplace_back(machine.get(), machine->room);
+    return {};
+  int delegated = gangs_.delegate_gangs(request);
+  std::vector<SurplusJob> jobs = planner_.surplus_jobs();
+  if (!jobs.empty()) {
+    std::map<int, Resources> lacking;  // by team
+    for (const RoomOffer& offer : request.offers) planner_.choose_for(offer, request, jobs, lacking);
+    delegated += delegate_chosen(jobs, request);
+    transfer_lacking(lacking, to);
   }
-  std::vector<Request> requests;
-  std::vector<JobPtr> jobs;
-  std::vector<int> surplus;
-  std::vector<int> counts;
-  const double wall = ctx_.env->wall();
-  for (const auto& [name, job] : model_.jobs()) {
-    const JobSpec& spec = job->spec();
-    if (job->delegated_here() || job->is_gang() || job->over() || job->cancelling || job->waiting.empty() ||
-        job->at_fault() || !job->cancel_waiters.empty()) {
-      continue;
-    }
-    // Where the tasks of a job are bound to each other one shard must see all that are placed: they go whole.
-    if (job->bound() && (job->placed > 0 || job->delegated_open() > 0 || !job->backoff.empty())) continue;
-    int left = job->waiting.size();
-    int here = std::min(left, model_.teams().tasks_within(job->team, job->demand));
-    for (auto& [machine, room] : rooms) {
-      if ((machine->keeping || machine->cordoned) && rules_.fits_smaller_type(*job, machine->type)) continue;
-      while (here > 0 && rules_.allowed_on(*job, *machine) && take(room, job->demand)) {
-        here--;
-        left--;
-      }
-    }
-    if (left <= 0) continue;
-    Request request;
-    request.demand = job->demand;
-    request.assigned_share = static_cast<double>(job->placed + job->done.size()) / spec.task_count;
-    request.nothing_placed = job->placed == 0 && job->done.empty() && job->delegated.empty();
-    request.bonus =
-        PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) + rules_.age_bonus(*job, wall);
-    if (spec.deadline_s) {
-      request.pressure = deadline_pressure(job->record.submitted + *spec.deadline_s - wall,
-                                           1.3 * std::max(1.0, spec.estimated_s));
-    }
-    requests.push_back(request);
-    jobs.push_back(job);
-    surplus.push_back(left);
-    counts.push_back(0);
-  }
-  if (requests.empty()) {
-    if (gang_tasks > 0) committer_.send_due_writes();
-    return gang_tasks;
-  }
-  std::vector<std::pair<double, double>> spare;
-  for (const Json& item : body.at("spare"))
-    spare.emplace_back(item.at(0).get<double>(), item.at(1).get<double>());
-  std::map<int, Resources> lacking;
-  for (const Json& offer : body.at("rooms")) {
-    const auto machine_type = offer.at(0).get<std::string>();
-    const auto zone = offer.at(1).get<std::string>();
-    const bool spot = offer.at(2).get<bool>();
-    const bool choosy = offer.at(6).get<bool>();
-    const auto images = offer.at(7).get<std::vector<std::string>>();
-    const bool before_best_effort = offer.size() > 8 && offer.at(8).get<bool>();
-    const int type = ctx_.types->find(machine_type);
-    Resources room = {offer.at(3).get<double>(), offer.at(4).get<double>(), offer.at(5).get<double>()};
-    std::vector<Request> listed;
-    std::vector<std::size_t> index;
-    for (std::size_t i = 0; i < jobs.size(); i++) {
-      const JobSpec& spec = jobs[i]->spec();
-      if (!rules_.allows_machine(spec, machine_type, zone, spot)) continue;
-      // Winding down or kept for large tasks, it takes only what cannot go anywhere else.
-      if (choosy && type >= 0 && rules_.fits_smaller_type(*jobs[i], type)) continue;
-      // Best-effort work does not travel where it would not be started, or where other work is to go.
-      if (rules_.is_preemptible(*jobs[i]) &&
-          ((before_best_effort || (!spot && spec.allows_spot)) && !rules_.long_unplaced(*jobs[i])))
-        continue;
-      listed.push_back(requests[i]);
-      listed.back().local = std::find(images.begin(), images.end(), spec.image) != images.end();
-      index.push_back(i);
-    }
-    while (!listed.empty()) {
-      for (std::size_t k = 0; k < listed.size();) {
-        const std::size_t i = index[k];
-        const Job& job = *jobs[i];
-        auto& [cores, gpus] = spare.at(static_cast<std::size_t>(job.team));
-        // Quota share for a task of one that starves is saved up there.
-        const bool quota =
-            (job.demand[0] <= cores && job.demand[2] <= gpus) || (rules_.starving(job) && counts[i] == 0);
-        if (counts[i] < surplus[i] && !quota && fits(job.demand, room)) {
-          Resources& more = lacking[job.team];
-          for (std::size_t r = 0; r < 3; r++) more[r] = std::max(more[r], job.demand[r]);
-        }
-        if (counts[i] >= surplus[i] || !quota || !fits(job.demand, room)) {
-          listed.erase(listed.begin() + static_cast<std::ptrdiff_t>(k));
-          index.erase(index.begin() + static_cast<std::ptrdiff_t>(k));
-        } else {
-          k++;
-        }
-      }
-      const int best = choose(room, listed, rules_.weights());
-      if (best < 0) break;
-      const std::size_t i = index[static_cast<std::size_t>(best)];
-      take(room, jobs[i]->demand);
-      counts[i]++;
-      spare.at(static_cast<std::size_t>(jobs[i]->team)).first -= jobs[i]->demand[0];
-      spare.at(static_cast<std::size_t>(jobs[i]->team)).second -= jobs[i]->demand[2];
-    }
-  }
-  int delegated = gang_tasks;
+  if (delegated > 0) committer_.send_due_writes();
+  return {delegated};
+}
+
+int TaskDelegation::delegate_chosen(const std::vector<SurplusJob>& jobs, const TaskRequest& request) {
+  int tasks = 0;
   int delegations = 0;
-  for (std::size_t i = 0; i < jobs.size() && delegations < kMaxDelegationsPerRequest; i++) {
-    if (counts[i] == 0) continue;
-    if (jobs[i]->bound()) counts[i] = jobs[i]->waiting.size();
-    delegate_tasks(jobs[i], to, to_fencing_token, counts[i]);
-    delegated += counts[i];
+  for (const SurplusJob& each : jobs) {
+    if (delegations >= kMaxDelegationsPerRequest) break;
+    if (each.chosen == 0) continue;
+    const int count = each.job->bound() ? each.job->waiting.size() : each.chosen;
+    delegate_tasks(each.job, request.shard, request.fencing_token, count);
+    tasks += count;
     delegations++;
   }
-  // Room without quota share is of no use: what we do not need of ours moves along.
-  // The tasks in question have no place here, so nothing is held back for them; what we lack too, others may
-  // have.
+  return tasks;
+}
+
+// Room without quota is of no use: what is not needed of this shard's share moves along. The tasks in
+// question have no place here, so nothing is held back for them; what this shard lacks too, others may have.
+void TaskDelegation::transfer_lacking(const std::map<int, Resources>& lacking, int to) {
   for (const auto& [team, more] : lacking) {
     if (more[0] > model_.teams().spare_cores(team) || more[2] > model_.teams().spare_gpus(team))
       quotas_.set_shortage(team, more);
     quotas_.transfer_quota(team, to, more[0], more[2], false);
   }
-  if (delegated > 0) committer_.send_due_writes();
-  return delegated;
 }
 
 // Bytes that the record of a delegation of the job has for ranges.
--- a/src/coordination/shard/task_delegation.hpp
+++ b/src/coordination/shard/task_delegation.hpp
@@ -4,9 +4,13 @@
 // back what found no place.
 #pragma once
 
+#include <map>
 #include <string>
+#include <vector>
 
+#include "coordination/shard/delegation_planner.hpp"
 #include "coordination/shard/shard_context.hpp"
+#include "coordination/shard/shard_messages.hpp"
 #include "coordination/shard/shard_model.hpp"
 #include "transport/callback_guard.hpp"
 
@@ -14,7 +18,6 @@
 
 class GangScheduler;
 class Journal;
-class PlacementRules;
 class Preemptor;
 class QuotaShares;
 class RecordCommitter;
@@ -40,11 +43,11 @@
   void reclaim_tasks(const JobPtr& job, const std::string& key, const RangeSet& range, const RangeSet& done);
   // Delegate: writes completions, and gives back tasks that found no place; false: nothing is due.
   bool commit_delegations();
-  // With room that our own waiting tasks do not fill, we ask the other shards in turn.
+  // With room that this shard's own waiting tasks do not fill, the other shards are asked in turn.
   void request_tasks();
-  // Delegates what our own machines have no room for, by the same preference as if the offered room were
-  // ours.
-  int on_task_request(const Json& body);
+  // Another shard offers room: delegates tasks for which this shard's own machines have none. Throws
+  // MalformedMessage.
+  TaskReply on_task_request(TaskRequest request);
   // One conditional write a delegation: it holds while we own the home, the delegate owns its shard, and the
   // job is open. It rides in the journal's next write: a copy of that write which comes late finds the active
   // segment changed and fails. (Its own key would not tell: a delegation that was made, given back and
@@ -52,6 +55,22 @@
   void delegate_tasks(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count);
 
  private:
+  // What a transaction writes of one delegation.
+  struct DelegationWrite {
+    JobPtr job;
+    RangeSet range;
+    RangeSet done;
+    bool erase = false;
+  };
+  [[nodiscard]] bool others_wait() const;
+  [[nodiscard]] DelegationPlanner::FreeRooms free_rooms(bool for_others) const;
+  void use_rooms(DelegationPlanner::FreeRooms& rooms, bool for_others) const;
+  [[nodiscard]] TaskRequest task_request() const;
+  int delegate_chosen(const std::vector<SurplusJob>& jobs, const TaskRequest& request);
+  void transfer_lacking(const std::map<int, Resources>& lacking, int to);
+  [[nodiscard]] bool gives_back(const Job& job) const;
+  DelegationWrite add_write(Transaction& txn, const std::string& key, const JobPtr& job, bool give_back);
+  void on_delegations_written(const std::vector<DelegationWrite>& batch, std::uint64_t revision);
   [[nodiscard]] bool fit_delegation(Job& job) const;
   [[nodiscard]] double delegation_budget(const Job& job) const;
 
@@ -60,6 +79,7 @@
   RecordCommitter& committer_;
   Journal& journal_;
   PlacementRules& rules_;
+  DelegationPlanner planner_;
   GangScheduler& gangs_;
   Preemptor& preemptor_;
   QuotaShares& quotas_;
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -13,6 +13,8 @@
 namespace mothslip {
 
 namespace {
+constexpr double kLeastCores = 0.01;     // less is no room at all
+constexpr double kEstimateMargin = 1.3;  // estimates are often too low
 constexpr double kAnswerPatience = 1.2;  // workers drop answers after 4 s; committing rarely takes this long
 constexpr double kGuaranteeBonus = 0.5;
 }  // namespace
@@ -34,108 +36,136 @@
   fill_scheduled_ = true;
   ctx_.env->after(0, alive_([this] {
                     fill_scheduled_ = false;
-                    std::vector<std::pair<bool, Machine*>> held;
-                    for (auto& [name, machine] : model_.machines()) {
-                      if (!machine->held || machine->answer.answered()) continue;
-                      const bool local = std::any_of(model_.jobs().begin(), model_.jobs().end(),
-                                                     [&machine = *machine](const auto& item) {
-                                                       return !item.second->waiting.empty() &&
-                                                              machine.has_image(item.second->image);
-                                                     });
-                      held.emplace_back(!local, machine.get());
-                    }
-                    std::stable_sort(held.begin(), held.end(),
-                                     [](const auto& a, const auto& b) { return a.first < b.first; });
-                    for (const auto& [far, machine] : held) {
-                      const std::size_t before = machine->placements.size();
-                      fill(*machine);
-                      if (machine->placements.size() == before) continue;
-                      machine->held = false;
-                      machine->answer_by = ctx_.env->now() + kAnswerPatience;
-                    }
+                    fill_held_machines();
                     committer_.send_due_writes();
                   }));
 }
 
-void TaskPlacement::fill(Machine& machine) {
+bool TaskPlacement::has_image_of_waiting_job(const Machine& machine) const {
+  return std::any_of(model_.jobs().begin(), model_.jobs().end(), [&machine](const auto& item) {
+    return !item.second->waiting.empty() && machine.has_image(item.second->image);
+  });
+}
+
+void TaskPlacement::fill_held_machines() {
+  std::vector<std::pair<bool, Machine*>> held;  // with whether the image would have to be fetched
+  for (auto& [name, machine] : model_.machines()) {
+    if (!machine->held || machine->answer.answered()) continue;
+    held.emplace_back(!has_image_of_waiting_job(*machine), machine.get());
+  }
+  std::stable_sort(held.begin(), held.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
+  for (const auto& [fetches, machine] : held) {
+    const std::size_t before = machine->placements.size();
+    fill(*machine);
+    if (machine->placements.size() == before) continue;
+    machine->held = false;
+    machine->answer_by = ctx_.env->now() + kAnswerPatience;
+  }
+}
+
+bool TaskPlacement::may_fill(const Machine& machine) const {
+  if (machine.type < 0 || !machine.schedulable() || ctx_.env->now() < machine.no_fill_until) return false;
+  // A machine that has not shown the leader's token may be a late copy of a report, of a machine that is no
+  // more.
+  if (!machine.token_acknowledged) return false;
+  if (committer_.state_silent() || !ctx_.exclusive_owner()) return false;
+  return fits({kLeastCores, 0, 0}, machine.room);
+}
+
+// The job has tasks that may be started now, room and quota apart.
+bool TaskPlacement::may_start(const Job& job, const Machine& machine) const {
   const double now = ctx_.env->now();
-  if (machine.type < 0 || !machine.schedulable() || now < machine.no_fill_until) return;
-  // A machine that has not shown our token may be a late copy of a report, of a machine that is no more.
-  if (!machine.token_acknowledged) return;
-  if (committer_.state_silent() || !ctx_.exclusive_owner()) return;
-  if (!fits({0.01, 0, 0}, machine.room)) return;
-  const bool keep_for_large = rules_.reserves_for_large(machine);
-  const std::map<int, const Job*> saved_for = rules_.quota_saved_for();
-  const bool room_for_best_effort = preemptor_.best_effort_here() && preemptor_.quiet(machine);
+  if (job.waiting.empty() || job.over() || job.cancelling || !job.cancel_waiters.empty()) return false;
+  if (!fits(job.demand, machine.room)) return false;
+  if (machine.reserved_for && machine.reserved_for.get() != &job) return false;
+  if (job.is_gang() && (now < job.next_gang_look || !gangs_.gang_may_be_placed(job))) return false;
+  if (job.at_fault() && (job.placed > 0 || now < job.next_trial_at)) return false;
+  return rules_.allowed_on(job, machine);
+}
+
+// Notes where the team's quota share is too small.
+bool TaskPlacement::has_quota(const Job& job, const FillPass& pass) {
+  const auto saved = pass.quota_saved_for.find(job.team);
+  if (rules_.within_quota(job)) return saved == pass.quota_saved_for.end();
+  if (saved == pass.quota_saved_for.end() || saved->second == &job) quotas_.note_shortage(job);
+  return false;
+}
+
+bool TaskPlacement::is_candidate(const Job& job, const Machine& machine, const FillPass& pass) {
+  if (!may_start(job, machine) || !has_quota(job, pass)) return false;
+  // Others have room for what can go anywhere; what cannot is still taken.
+  if ((machine.cordoned || pass.keep_for_large) && rules_.fits_smaller_type(job, machine.type)) return false;
+  return !rules_.is_preemptible(job) || preemptor_.open_to_best_effort(job, machine, pass.quiet);
+}
+
+Request TaskPlacement::request_for(const Job& job, const Machine& machine) const {
+  const JobSpec& spec = job.spec();
+  Request out;
+  out.demand = job.demand;
+  out.local = machine.has_image(job.image);
+  const double fetch_s = out.local ? 0 : fetch_seconds(spec, ctx_.types->at(machine.type));
+  if (spec.deadline_s) {
+    const double time_left_s = job.record.submitted + *spec.deadline_s - ctx_.env->wall();
+    out.pressure =
+        deadline_pressure(time_left_s, kEstimateMargin * std::max(1.0, spec.estimated_s) + fetch_s);
+  }
+  return out;
+}
+
+void TaskPlacement::fill(Machine& machine) {
+  if (!may_fill(machine)) return;
+  FillPass pass;
+  pass.keep_for_large = rules_.reserves_for_large(machine);
+  pass.quota_saved_for = rules_.quota_saved_for();
+  pass.quiet = preemptor_.best_effort_here() && preemptor_.quiet(machine);
   Candidates first;
   Candidates best_effort;  // placed in what the others leave
-  const double wall = ctx_.env->wall();
-  const MachineType& type = ctx_.types->at(machine.type);
-  for (const auto& [ref, job] : model_.jobs()) {
-    if (job->waiting.empty() || job->over() || job->cancelling || !job->cancel_waiters.empty()) continue;
-    const JobSpec& spec = job->spec();
-    if (!fits(job->demand, machine.room)) continue;
-    if (machine.reserved_for && machine.reserved_for != job) continue;
-    if (job->is_gang() && (now < job->next_gang_look || !gangs_.gang_may_be_placed(*job))) continue;
-    if (job->at_fault() && (job->placed > 0 || now < job->next_trial_at)) continue;
-    if (!rules_.allowed_on(*job, machine)) continue;
-    const auto saved = saved_for.find(job->team);
-    if (!rules_.within_quota(*job)) {
-      if (saved == saved_for.end() || saved->second == job.get()) quotas_.note_shortage(*job);
-      continue;
-    }
-    if (saved != saved_for.end()) continue;
-    // Others have room for what can go anywhere; what cannot is still taken.
-    if (machine.cordoned && rules_.fits_smaller_type(*job, machine.type)) continue;
-    if (keep_for_large && rules_.fits_smaller_type(*job, machine.type)) continue;
-    const bool yields = rules_.is_preemptible(*job);
-    if (yields && !preemptor_.open_to_best_effort(*job, machine, room_for_best_effort)) continue;
-    Request request;
-    request.demand = job->demand;
-    request.local = machine.has_image(job->image);
-    const double fetch = request.local ? 0 : fetch_seconds(spec, type);
-    if (spec.deadline_s) {
-      request.pressure = deadline_pressure(job->record.submitted + *spec.deadline_s - wall,
-                                           1.3 * std::max(1.0, spec.estimated_s) + fetch);
-    }
-    Candidates& candidates = yields ? best_effort : first;
-    candidates.requests.push_back(request);
+  for (const auto& [name, job] : model_.jobs()) {
+    if (!is_candidate(*job, machine, pass)) continue;
+    Candidates& candidates = rules_.is_preemptible(*job) ? best_effort : first;
+    candidates.requests.push_back(request_for(*job, machine));
     candidates.jobs.push_back(job);
   }
   place_greedily(machine, first);
   place_greedily(machine, best_effort);
 }
 
+// Drops the jobs of which nothing may be placed any more, and brings the requests of the others up to date.
+void TaskPlacement::update_requests(const Machine& machine, Candidates& candidates) const {
+  auto& [requests, jobs] = candidates;
+  const double wall = ctx_.env->wall();
+  for (std::size_t i = 0; i < requests.size();) {
+    const Job& job = *jobs[i];
+    const JobSpec& spec = job.spec();
+    const bool out = job.waiting.empty() || !fits(job.demand, machine.room) ||
+                     !rules_.allowed_on(job, machine) || !rules_.within_quota(job) ||
+                     (job.at_fault() && job.placed > 0);
+    if (out) {
+      requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(i));
+      jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(i));
+      continue;
+    }
+    Request& request = requests[i];
+    request.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.task_count;
+    for (std::size_t r = 0; r < request.held.size(); r++) request.held[r] = job.demand[r] * job.placed;
+    request.nothing_placed = job.placed == 0 && job.done.empty();
+    request.bonus = PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) +
+                    (model_.teams().in_guarantee(job.team, job.demand) ? kGuaranteeBonus : 0) +
+                    rules_.age_bonus(job, wall);
+    i++;
+  }
+}
+
 // Takes one task of the job with the highest preference, and scores again, until nothing fits.
 void TaskPlacement::place_greedily(Machine& machine, Candidates& candidates) {
   auto& [requests, jobs] = candidates;
-  const double wall = ctx_.env->wall();
   while (!requests.empty()) {
-    for (std::size_t i = 0; i < requests.size();) {
-      const Job& job = *jobs[i];
-      const JobSpec& spec = job.spec();
-      const bool out = job.waiting.empty() || !fits(job.demand, machine.room) ||
-                       !rules_.allowed_on(job, machine) || !rules_.within_quota(job) ||
-                       (job.at_fault() && job.placed > 0);
-      if (out) {
-        requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(i));
-        jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(i));
-        continue;
-      }
-      Request& request = requests[i];
-      request.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.task_count;
-      for (std::size_t r = 0; r < 3; r++) request.held[r] = job.demand[r] * job.placed;
-      request.nothing_placed = job.placed == 0 && job.done.empty();
-      request.bonus = PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) +
-                      (model_.teams().in_guarantee(job.team, job.demand) ? kGuaranteeBonus : 0) +
-                      rules_.age_bonus(job, wall);
-      i++;
-    }
+    update_requests(machine, candidates);
     const int best = choose(machine.room, requests, rules_.weights());
     if (best < 0) break;
     const JobPtr job = jobs[static_cast<std::size_t>(best)];
     if (!job->is_gang()) {
-      // Unique and rising: the fencing token is new for every owner, the counter within it.
+      // Unique and rising: the fencing token is new for every leader, the counter within it.
       place_task(machine, job, model_.next_attempt());
     } else if (!gangs_.place_gang(job)) {
       requests.erase(requests.begin() + best);
--- a/src/coordination/shard/task_placement.hpp
+++ b/src/coordination/shard/task_placement.hpp
@@ -2,6 +2,7 @@
 // section 3.4) with the preferences of scheduling/preference.hpp.
 #pragma once
 
+#include <map>
 #include <vector>
 
 #include "coordination/shard/shard_context.hpp"
@@ -36,6 +37,20 @@
     std::vector<Request> requests;
     std::vector<JobPtr> jobs;
   };
+  // What holds for all jobs while one machine is filled.
+  struct FillPass {
+    bool keep_for_large = false;                // no tasks that fit a smaller machine type
+    std::map<int, const Job*> quota_saved_for;  // by team
+    bool quiet = false;                         // best-effort work may start
+  };
+  void fill_held_machines();
+  [[nodiscard]] bool has_image_of_waiting_job(const Machine& machine) const;
+  [[nodiscard]] bool may_fill(const Machine& machine) const;
+  [[nodiscard]] bool may_start(const Job& job, const Machine& machine) const;
+  bool has_quota(const Job& job, const FillPass& pass);
+  bool is_candidate(const Job& job, const Machine& machine, const FillPass& pass);
+  [[nodiscard]] Request request_for(const Job& job, const Machine& machine) const;
+  void update_requests(const Machine& machine, Candidates& candidates) const;
   void place_greedily(Machine& machine, Candidates& candidates);
 
   const ShardContext& ctx_;
--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -13,8 +13,8 @@
 namespace mothslip {
 
 namespace {
-constexpr int kMaxIneffectiveLaunches =
-    3;                               // launches sent in vain, one report after the other: not a lost answer
+// Launches sent in vain, one report after the other: not a lost answer.
+constexpr int kMaxIneffectiveLaunches = 3;
 constexpr int kOnlyHere = 2;         // jobs
 constexpr double kFirstPause = 5.0;  // between two tries of a job that fails on every machine
 constexpr double kLongestPause = 60.0;
@@ -23,14 +23,16 @@
 WorkerLiveness::WorkerLiveness(const ShardContext& context, ShardModel& model, GangScheduler& gangs)
     : ctx_(context), model_(model), gangs_(gangs) {}
 
-bool WorkerLiveness::apply_heartbeat(Machine& machine, const Report& report, bool direct) {
+// Reports are ordered by the worker's incarnation and the sequence number within it.
+bool WorkerLiveness::is_news(const Machine& machine, const Report& report) {
+  // What an earlier leader has recorded of the machine counts, too.
+  if (report.worker_incarnation < machine.record.worker_incarnation) return false;
+  return !machine.heard || std::pair(report.worker_incarnation, report.sequence) >
+                               std::pair(machine.record.worker_incarnation, machine.sequence);
+}
+
+void WorkerLiveness::note_contact(Machine& machine, const Report& report) const {
   const double now = ctx_.env->now();
-  if (machine.heard && std::pair(report.worker_incarnation, report.sequence) <=
-                           std::pair(machine.record.worker_incarnation, machine.sequence)) {
-    return false;
-  }
-  if (report.worker_incarnation < machine.record.worker_incarnation)
-    return false;  // older than the record we inherited
   if (!machine.heard) machine.first_heard = now;
   if (!machine.heard || now - machine.last_heard > ctx_.settings->lease_s / 2) machine.steady_since = now;
   machine.heard = true;
@@ -38,65 +40,95 @@
   machine.sequence = report.sequence;
   if (machine.incarnation_since == 0) machine.incarnation_since = now;
   if (machine.record.address != report.address) machine.record.address = report.address;
-  if (report.fencing_token == ctx_.fencing_token && !machine.token_acknowledged) {
+  if (shows_our_token(report) && !machine.token_acknowledged) {
     machine.token_acknowledged = true;
     machine.last_answer = std::max(machine.last_answer, now);
   }
-  if (report.eviction_notice_s) {
-    if (!machine.evicted_at) {
-      spdlog::info("{} will be evicted in {} s", machine.name, *report.eviction_notice_s);
-      machine.evicted_at = now + *report.eviction_notice_s;
-    }
-  } else {
+}
+
+void WorkerLiveness::note_eviction_notice(Machine& machine, const Report& report) const {
+  if (!report.eviction_notice_s) {
     machine.evicted_at.reset();
+  } else if (!machine.evicted_at) {
+    spdlog::info("{} will be evicted in {} s", machine.name, *report.eviction_notice_s);
+    machine.evicted_at = ctx_.env->now() + *report.eviction_notice_s;
   }
-  if (report.worker_incarnation > machine.record.worker_incarnation) {
+}
+
+bool WorkerLiveness::apply_heartbeat(Machine& machine, const Report& report, bool direct) {
+  if (!is_news(machine, report)) return false;
+  note_contact(machine, report);
+  note_eviction_notice(machine, report);
+  if (report.worker_incarnation > machine.record.worker_incarnation)
     begin_incarnation(machine, report.worker_incarnation);
-  }
 
   // (The tasks of a gang share an attempt number.)
-  std::map<std::pair<std::uint64_t, int>, const TaskReport*> by_attempt;
-  for (const TaskReport& task : report.tasks) by_attempt.emplace(std::pair(task.attempt, task.index), &task);
-  machine.unmatched.clear();
+  TaskReports unmatched;
+  for (const TaskReport& task : report.tasks) unmatched.emplace(std::pair(task.attempt, task.index), &task);
+  const std::vector<const TaskReport*> exits = match_placements(machine, report, direct, unmatched);
+  for (const auto& [attempt, task] : unmatched) machine.unmatched.push_back(*task);
+  apply_exits(machine, exits);
+  if (shows_our_token(report)) {
+    if (!direct) evaluate_reachability(machine);
+    note_unmatched_completions(unmatched);
+  }
+  if (!machine.placements.empty()) machine.busy_at = ctx_.env->now();
+  return true;
+}
+
+// Works what the report says of each placement into the model. Takes the reports of tasks that are placed out
+// of `unmatched`, and returns those of tasks that have exited.
+std::vector<const TaskReport*> WorkerLiveness::match_placements(Machine& machine, const Report& report,
+                                                                bool direct, TaskReports& unmatched) {
   std::vector<const TaskReport*> exits;
+  machine.unmatched.clear();
   for (Placement& placement : machine.placements) {
-    const auto it = by_attempt.find({placement.attempt, placement.index});
-    if (it != by_attempt.end() && it->second->ref == placement.job->spec().ref &&
-        it->second->index == placement.index) {
-      const TaskReport& task = *it->second;
-      by_attempt.erase(it);
-      placement.seen_sequence = report.sequence;
-      if (placement.sent_sequence != 0) machine.ineffective_launches = 0;
-      if (placement.phase == TaskPhase::kFetchingImage && task.phase != TaskPhase::kFetchingImage &&
-          task.phase != TaskPhase::kExited) {
-        machine.use_image(placement.job->image, placement.job->spec().image_gb,
-                          ctx_.types->at(std::max(0, machine.type)).cache_gb);
-      }
-      if (placement.running_since == 0 && task.phase == TaskPhase::kRunning) {
-        placement.running_since = now;
-        if (placement.job->is_gang()) placement.job->attempt.started = true;
-      }
-      placement.phase = task.phase;
-      if (task.phase == TaskPhase::kExited) {
-        if (placement.stage == Placement::Stage::kFreeing) {
-          machine.unmatched.push_back(task);
-        } else {
-          exits.push_back(&task);
-          machine.unmatched.push_back(task);
-        }
-      }
-    } else if (placement.stage == Placement::Stage::kRecorded && report.fencing_token == ctx_.fencing_token) {
-      // (a) missing, and no launch of it can still be on its way.
-      const bool settled = direct ? placement.inherited && placement.sent_sequence == 0
-                                  : placement.sent_sequence < report.sequence;
-      if (settled && (placement.job->over() || placement.job->cancelling || placement.preempted ||
-                      gangs_.attempt_over(*placement.job) || !machine.schedulable() ||
-                      placement.job->done.contains(placement.index))) {
-        model_.free_placement(placement, 0);
-      }
+    const auto it = unmatched.find({placement.attempt, placement.index});
+    if (it == unmatched.end() || it->second->ref != placement.job->spec().ref) {
+      if (shows_our_token(report)) free_if_missing(machine, placement, report, direct);
+      continue;
     }
+    const TaskReport& task = *it->second;
+    unmatched.erase(it);
+    update_placement(machine, placement, task);
+    if (task.phase != TaskPhase::kExited) continue;
+    if (placement.stage != Placement::Stage::kFreeing) exits.push_back(&task);
+    machine.unmatched.push_back(task);
+  }
+  return exits;
+}
+
+void WorkerLiveness::update_placement(Machine& machine, Placement& placement, const TaskReport& task) const {
+  const JobSpec& spec = placement.job->spec();
+  placement.seen_sequence = machine.sequence;
+  if (placement.sent_sequence != 0) machine.ineffective_launches = 0;
+  const bool has_image = task.phase != TaskPhase::kFetchingImage && task.phase != TaskPhase::kExited;
+  if (placement.phase == TaskPhase::kFetchingImage && has_image) {
+    const double cache_gb = ctx_.types->at(std::max(0, machine.type)).cache_gb;
+    machine.use_image(placement.job->image, spec.image_gb, cache_gb);
   }
-  for (const auto& [attempt, task] : by_attempt) machine.unmatched.push_back(*task);
+  if (placement.running_since == 0 && task.phase == TaskPhase::kRunning) {
+    placement.running_since = ctx_.env->now();
+    if (placement.job->is_gang()) placement.job->attempt.started = true;
+  }
+  placement.phase = task.phase;
+}
+
+// (a) the task is missing from a report that shows our token. It is given up where no launch of it can still
+// be on its way and nobody wants it launched again.
+void WorkerLiveness::free_if_missing(const Machine& machine, Placement& placement, const Report& report,
+                                     bool direct) {
+  if (placement.stage != Placement::Stage::kRecorded) return;
+  const bool settled = direct ? placement.inherited && placement.sent_sequence == 0
+                              : placement.sent_sequence < report.sequence;
+  if (!settled) return;
+  const Job& job = *placement.job;
+  const bool unwanted = job.over() || job.cancelling || placement.preempted || gangs_.attempt_over(job) ||
+                        !machine.schedulable() || job.done.contains(placement.index);
+  if (unwanted) model_.free_placement(placement, 0);
+}
+
+void WorkerLiveness::apply_exits(Machine& machine, const std::vector<const TaskReport*>& exits) {
   for (const TaskReport* task : exits) {
     for (Placement& placement : machine.placements) {
       if (placement.job == nullptr || placement.attempt != task->attempt || placement.index != task->index)
@@ -106,19 +138,16 @@
     }
   }
   std::erase_if(machine.placements, [](const Placement& p) { return p.job == nullptr; });
-  if (!direct && report.fencing_token == ctx_.fencing_token) evaluate_reachability(machine);
-  if (report.fencing_token == ctx_.fencing_token) {
-    for (const auto& [attempt, task] : by_attempt) {
-      // Completed under a record that is gone, or taken over before it was noted: the work is done all the
-      // same.
-      if (task->phase != TaskPhase::kExited || task->cause != ExitCause::kDone) continue;
-      const JobPtr job = model_.find_task(task->ref, task->index);
-      if (job == nullptr || job->over() || task->index >= job->spec().task_count) continue;
-      model_.mark_done(job, task->index);
-    }
+}
+
+// Completed under a record that is gone, or taken over before it was noted: the work is done all the same.
+void WorkerLiveness::note_unmatched_completions(const TaskReports& unmatched) {
+  for (const auto& [attempt, task] : unmatched) {
+    if (task->phase != TaskPhase::kExited || task->cause != ExitCause::kDone) continue;
+    const JobPtr job = model_.find_task(task->ref, task->index);
+    if (job == nullptr || job->over() || task->index >= job->spec().task_count) continue;
+    model_.mark_done(job, task->index);
   }
-  if (!machine.placements.empty()) machine.busy_at = now;
-  return true;
 }
 
 // (b) the incarnation that the placements belonged to is over: all are gone, launched or not.
--- a/src/coordination/shard/worker_liveness.hpp
+++ b/src/coordination/shard/worker_liveness.hpp
@@ -6,6 +6,11 @@
 //  (d) the cloud has confirmed that the machine is gone (ShardModel::remove_machine).
 #pragma once
 
+#include <cstdint>
+#include <map>
+#include <utility>
+#include <vector>
+
 #include "coordination/shard/shard_context.hpp"
 #include "coordination/shard/shard_model.hpp"
 
@@ -24,6 +29,20 @@
   bool apply_heartbeat(Machine& machine, const Report& report, bool direct);
 
  private:
+  // By attempt and task index.
+  using TaskReports = std::map<std::pair<std::uint64_t, int>, const TaskReport*>;
+  [[nodiscard]] bool shows_our_token(const Report& report) const {
+    return report.fencing_token == ctx_.fencing_token;
+  }
+  [[nodiscard]] static bool is_news(const Machine& machine, const Report& report);
+  void note_contact(Machine& machine, const Report& report) const;
+  void note_eviction_notice(Machine& machine, const Report& report) const;
+  std::vector<const TaskReport*> match_placements(Machine& machine, const Report& report, bool direct,
+                                                  TaskReports& unmatched);
+  void update_placement(Machine& machine, Placement& placement, const TaskReport& task) const;
+  void free_if_missing(const Machine& machine, Placement& placement, const Report& report, bool direct);
+  void apply_exits(Machine& machine, const std::vector<const TaskReport*>& exits);
+  void note_unmatched_completions(const TaskReports& unmatched);
   void begin_incarnation(Machine& machine, std::uint64_t worker_incarnation);
   void evaluate_reachability(Machine& machine);
   void on_exit(Machine& machine, Placement& placement, ExitCause cause);
