--- a/src/coordination/state/state_client.cpp
+++ b/src/coordination/state/state_client.cpp
@@ -14,36 +14,8 @@
 constexpr double kLeaseAgain = 0.1;
 constexpr double kRaiseEvery = 1.0;
 constexpr int kLeastTransaction = 4;  // changes
-
-Outcome outcome_of(int status) {
-  switch (status) {
-    case 0:
-      return Outcome::kUnknown;
-    case 200:
-      return Outcome::kOk;
-    case 400:
-      return Outcome::kInvalid;
-    case 404:
-      return Outcome::kMissing;
-    case 409:
-      return Outcome::kConflict;
-    case 410:
-      return Outcome::kGone;
-    case 429:
-    case 503:
-      return Outcome::kRefused;
-    default:
-      return Outcome::kUnknown;  // a proxy's 502 or 504 says nothing about execution
-  }
-}
 }  // namespace
 
-std::string Transaction::body() const {
-  Json conditions = Json::array();
-  for (const auto& [key, revision] : guards) conditions.push_back({{"k", key}, {"stamp", revision}});
-  return dump_json({{"guards", std::move(conditions)}, {"then", then}});
-}
-
 StateClient::StateClient(Env& env, const Settings& settings, Incarnation incarnation, StateMonitor* monitor)
     : env_(env),
       key_space_(std::move(incarnation)),
@@ -190,7 +162,7 @@
     }
     if (reply.unanswered()) counters_.unanswered++;
     StateReply out;
-    out.outcome = outcome_of(reply.status);
+    out.outcome = outcome_of_status(reply.status);
     if (!reply.body.empty()) out.body = parse_json(reply.body);
     if (out.outcome == Outcome::kOk && !out.body.is_object()) out.outcome = Outcome::kUnknown;
     key_space_.translate_answer(out.body);
@@ -259,13 +231,8 @@
       return;
     }
     if (work->revision == 0) work->revision = reply.revision();
-    std::vector<StateItem> page;
-    const auto items = reply.body.find("items");
-    if (items != reply.body.end() && items->is_array()) {
-      for (Json& item : *items)
-        page.push_back({item.value("k", ""), std::move(item["data"]), item.value("stamp", std::uint64_t{0})});
-    }
-    const bool more = reply.body.value("more", false) && !page.empty();
+    std::vector<StateItem> page = reply.take_items();
+    const bool more = reply.more_items() && !page.empty();
     if (more) work->from = page.back().key;
     work->page(std::move(page));
     if (more) {
--- a/src/coordination/state/state_client.hpp
+++ b/src/coordination/state/state_client.hpp
@@ -10,6 +10,7 @@
 #include <vector>
 
 #include "coordination/state/incarnation.hpp"
+#include "coordination/state/state_messages.hpp"
 #include "coordination/state/state_monitor.hpp"
 #include "protocol/messages.hpp"
 #include "transport/adaptive_rate.hpp"
@@ -20,46 +21,8 @@
 
 enum class RequestPriority { kLease = 0, kCancel, kAccept, kLaunch, kDone, kRest, kCount };
 
-enum class Outcome {
-  kOk,
-  kMissing,   // 404
-  kConflict,  // 409: a guard failed, nothing was changed
-  kGone,      // 410
-  kInvalid,   // 400, or 400 "no such lease": nothing was changed
-  kRefused,   // 429, 503, or refused here: not executed
-  kUnknown,   // no response: may have been executed, or may be executed later
-};
-
-struct StateReply {
-  Outcome outcome = Outcome::kUnknown;
-  Json body;
-  [[nodiscard]] bool ok() const { return outcome == Outcome::kOk; }
-  [[nodiscard]] std::uint64_t revision() const {
-    return body.is_object() ? body.value("epoch", std::uint64_t{0}) : 0;
-  }
-};
 using StateHandler = std::function<void(StateReply)>;
 
-// Shards look for something to commit far more often than they find it: a transaction is cheap until it is
-// sent.
-struct Transaction {
-  std::vector<std::pair<std::string, std::uint64_t>> guards;
-  Json then = Json::array();
-  void guard(const std::string& key, std::uint64_t revision) { guards.emplace_back(key, revision); }
-  void put(const std::string& key, Json data) { then.push_back({{"put", key}, {"data", std::move(data)}}); }
-  void put_with_lease(const std::string& key, Json data, std::uint64_t lease_id) {
-    then.push_back({{"put", key}, {"data", std::move(data)}, {"hold", lease_id}});
-  }
-  void remove(const std::string& key) { then.push_back({{"delete", key}}); }
-  [[nodiscard]] std::string body() const;
-};
-
-struct StateItem {
-  std::string key;
-  Json data;
-  std::uint64_t revision = 0;
-};
-
 class StateClient {
  public:
   // `monitor` may be null; it must outlive the client.
--- /dev/null
+++ b/src/coordination/state/state_messages.cpp
@@ -0,0 +1,74 @@
+#include "coordination/state/state_messages.hpp"
+
+namespace mothslip {
+
+Outcome outcome_of_status(int status) {
+  switch (status) {
+    case 0:
+      return Outcome::kUnknown;
+    case 200:
+      return Outcome::kOk;
+    case 400:
+      return Outcome::kInvalid;
+    case 404:
+      return Outcome::kMissing;
+    case 409:
+      return Outcome::kConflict;
+    case 410:
+      return Outcome::kGone;
+    case 429:
+    case 503:
+      return Outcome::kRefused;
+    default:
+      return Outcome::kUnknown;  // a proxy's 502 or 504 says nothing about execution
+  }
+}
+
+const Json& StateReply::data() const {
+  static const Json kNoData;
+  if (!body.is_object()) return kNoData;
+  const auto found = body.find("data");
+  return found == body.end() ? kNoData : *found;
+}
+
+std::vector<WatchEvent> StateReply::events() const {
+  std::vector<WatchEvent> out;
+  if (!body.is_object()) return out;
+  const auto events = body.find("events");
+  if (events == body.end() || !events->is_array()) return out;
+  out.reserve(events->size());
+  for (const Json& event : *events) {
+    WatchEvent change;
+    change.put = event.contains("put");
+    change.key = event.value(change.put ? "put" : "delete", "");
+    change.has_data = change.put && event.contains("data");
+    if (change.has_data) change.data = event["data"];
+    change.revision = event.value("stamp", std::uint64_t{0});
+    out.push_back(std::move(change));
+  }
+  return out;
+}
+
+std::vector<StateItem> StateReply::take_items() {
+  std::vector<StateItem> out;
+  const auto items = body.find("items");
+  if (items == body.end() || !items->is_array()) return out;
+  for (Json& item : *items)
+    out.push_back({item.value("k", ""), std::move(item["data"]), item.value("stamp", std::uint64_t{0})});
+  return out;
+}
+
+std::vector<std::string> StateReply::failed_keys() const {
+  std::vector<std::string> out;
+  if (!body.is_object() || !body.contains("failed")) return out;
+  for (const Json& key : body["failed"]) out.push_back(key.get<std::string>());
+  return out;
+}
+
+std::string Transaction::body() const {
+  Json conditions = Json::array();
+  for (const auto& [key, revision] : guards) conditions.push_back({{"k", key}, {"stamp", revision}});
+  return dump_json({{"guards", std::move(conditions)}, {"then", then}});
+}
+
+}  // namespace mothslip
