--- /dev/null
+++ b/src/coordination/ownership/owner_watch.cpp
@@ -0,0 +1,102 @@
+#include "coordination/ownership/owner_watch.hpp"
+
+#include <algorithm>
+#include <optional>
+
+#include "bookkeeping/records.hpp"
+#include "coordination/ownership/owner_records.hpp"
+
+namespace mothslip {
+
+namespace {
+constexpr double kRetrySeconds = 0.3;
+constexpr double kWatchSeconds = 8.0;  // a watch whose answer is lost tells nothing until it is over
+constexpr double kQuickFailureSeconds = 1.0;
+}  // namespace
+
+OwnerWatch::OwnerWatch(Env& env, StateClient& state, const ShardOwners& owners, ShardClaims& claims,
+                       LiveNodes& live_nodes)
+    : env_(env), state_(state), owners_(owners), claims_(claims), live_nodes_(live_nodes) {}
+
+void OwnerWatch::read_all() {
+  if (reading_) return;
+  reading_ = true;
+  state_.list(RequestPriority::kLease, keys::kShardOwners,
+              [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t revision) {
+                reading_ = false;
+                if (outcome != Outcome::kOk) {
+                  env_.after(kRetrySeconds, [this] { read_all(); });
+                  return;
+                }
+                on_records(items, revision);
+                watched_ = revision;
+                if (!watching_) watch();
+                claims_.on_owners_read();
+              });
+}
+
+void OwnerWatch::on_records(const std::vector<StateItem>& items, std::uint64_t revision) {
+  std::vector<bool> present(static_cast<std::size_t>(owners_.count()), false);
+  live_nodes_.clear();
+  for (const StateItem& item : items) {
+    const auto key = parse_owner_key(item.key, owners_.count());
+    if (!key) continue;
+    if (!key->node.empty()) {
+      on_announcement(key->node, item.data);
+      continue;
+    }
+    present[static_cast<std::size_t>(key->shard)] = true;
+    claims_.on_owner_seen(key->shard, OwnerRecord::from_json(item.data).node, item.revision);
+  }
+  for (int shard = 0; shard < owners_.count(); shard++) {
+    if (!present[static_cast<std::size_t>(shard)]) claims_.on_owner_seen(shard, "", revision);
+  }
+}
+
+void OwnerWatch::watch() {
+  watching_ = true;
+  const double asked = env_.now();
+  state_.watch(keys::kShardOwners, watched_, kWatchSeconds, [this, asked](const StateReply& reply) {
+    watching_ = false;
+    on_watch_reply(asked, reply);
+  });
+}
+
+void OwnerWatch::on_watch_reply(double asked, const StateReply& reply) {
+  if (reply.ok()) {
+    for (const WatchEvent& event : reply.events()) on_event(event);
+    watched_ = std::max(watched_, reply.revision());
+    watch();
+  } else if (reply.outcome == Outcome::kGone) {
+    read_all();
+  } else {
+    // A watch that failed may have missed changes only up to what the next one reports.
+    const bool quick = env_.now() - asked < kQuickFailureSeconds;
+    env_.after(quick ? kRetrySeconds : 0.0, [this] {
+      if (!watching_) watch();
+    });
+  }
+}
+
+void OwnerWatch::on_event(const WatchEvent& event) {
+  const auto key = parse_owner_key(event.key, owners_.count());
+  if (!key) return;
+  if (!key->node.empty()) {
+    const Json without_fields = Json::object();
+    on_announcement(key->node, event.put && !event.has_data ? without_fields : event.data);
+  } else {
+    const std::string node = event.put ? OwnerRecord::from_json(event.data).node : "";
+    claims_.on_owner_seen(key->shard, node, event.revision);
+  }
+}
+
+// `announced`: null when the announcement is gone.
+void OwnerWatch::on_announcement(const std::string& node, const Json& announced) {
+  if (const auto announcement = NodeAnnouncement::from_json(announced)) {
+    live_nodes_.note_announced(node, *announcement, env_.now());
+  } else {
+    live_nodes_.note_gone(node);
+  }
+}
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/ownership/owner_watch.hpp
@@ -0,0 +1,40 @@
+// Follows the records of owners and of live nodes in the state service: read once, then watched.
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+#include "coordination/ownership/live_nodes.hpp"
+#include "coordination/ownership/shard_claims.hpp"
+#include "coordination/ownership/shard_owners.hpp"
+#include "coordination/state/state_client.hpp"
+
+namespace mothslip {
+
+class OwnerWatch {
+ public:
+  // All must outlive the watch.
+  OwnerWatch(Env& env, StateClient& state, const ShardOwners& owners, ShardClaims& claims,
+             LiveNodes& live_nodes);
+
+  // Reads all records, until that succeeds, and watches from then on.
+  void read_all();
+
+ private:
+  void on_records(const std::vector<StateItem>& items, std::uint64_t revision);
+  void watch();
+  void on_watch_reply(double asked, const StateReply& reply);
+  void on_event(const WatchEvent& event);
+  void on_announcement(const std::string& node, const Json& announced);
+
+  Env& env_;
+  StateClient& state_;
+  const ShardOwners& owners_;
+  ShardClaims& claims_;
+  LiveNodes& live_nodes_;
+  std::uint64_t watched_ = 0;  // the revision up to which changes are known
+  bool reading_ = false;
+  bool watching_ = false;
+};
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/ownership/shard_claims.cpp
@@ -0,0 +1,111 @@
+#include "coordination/ownership/shard_claims.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "bookkeeping/records.hpp"
+#include "coordination/ownership/owner_records.hpp"
+
+namespace mothslip {
+
+namespace {
+constexpr double kTurnSeconds = 0.15;  // between the claims of two nodes that follow in the order
+constexpr double kRetrySeconds = 0.3;
+}  // namespace
+
+std::vector<std::string> claim_order(const Settings& settings, int shard) {
+  std::vector<std::string> names = {settings.node};
+  for (const Member& member : settings.members) names.push_back(member.node);
+  std::sort(names.begin(), names.end());
+  std::rotate(names.begin(), names.begin() + shard % static_cast<int>(names.size()), names.end());
+  return names;
+}
+
+ShardClaims::ShardClaims(Env& env, StateClient& state, const Settings& settings, std::string boot,
+                         const NodeLease& lease, ShardOwners& owners)
+    : env_(env), state_(state), settings_(settings), boot_(std::move(boot)), lease_(lease), owners_(owners) {}
+
+void ShardClaims::on_owners_read() {
+  if (owners_read_) return;
+  owners_read_ = true;
+  consider_all();
+}
+
+void ShardClaims::on_owner_seen(int shard, const std::string& node, std::uint64_t revision) {
+  if (owners_.see(shard, node, revision)) consider(shard);
+}
+
+void ShardClaims::consider_all() {
+  for (int shard = 0; shard < owners_.count(); shard++) consider(shard);
+}
+
+bool ShardClaims::may_claim(int shard) const {
+  const ShardOwners::Shard& entry = owners_.at(shard);
+  return lease_.is_open() && !entry.held() && !entry.claiming;
+}
+
+void ShardClaims::consider(int shard) {
+  if (!owners_read_ || !may_claim(shard)) return;
+  const ShardOwner& owner = owners_.at(shard).owner;
+  if (owner.node.empty()) {
+    env_.after(claim_delay(shard), [this, shard] {
+      if (may_claim(shard) && owners_.at(shard).owner.node.empty()) claim(shard, 0);
+    });
+  } else if (owner.node == settings_.node) {
+    // Held by an earlier process of this very node, which has ended: no need to wait for its lease. Or by a
+    // late copy of a claim of this process, for a shard that it gave away since: the others take it for its
+    // own.
+    claim(shard, owner.fencing_token);
+  }
+}
+
+// A free shard is taken at once by its home; the others hold back a little, so that claims do not collide.
+double ShardClaims::claim_delay(int shard) const {
+  const std::vector<std::string> order = claim_order(settings_, shard);
+  const auto turn = std::find(order.begin(), order.end(), settings_.node) - order.begin();
+  return kTurnSeconds * static_cast<double>(turn);
+}
+
+// `revision`: that of the shard's key as it is now; 0: there is none.
+void ShardClaims::claim(int shard, std::uint64_t revision) {
+  owners_.at(shard).claiming = true;
+  const std::uint64_t lease_id = lease_.id();
+  Transaction txn;
+  txn.guard(keys::shard(shard), revision);
+  txn.put_with_lease(keys::shard(shard), OwnerRecord{settings_.node, boot_}.to_json(), lease_id);
+  state_.commit(RequestPriority::kLease, txn, [this, shard, lease_id](const StateReply& reply) {
+    owners_.at(shard).claiming = false;
+    if (reply.ok() && lease_id == lease_.id()) {
+      owners_.gain(shard, settings_.node, reply.revision(), "");
+    } else {
+      read_key(shard, lease_id);  // lost the race, or nobody knows
+    }
+  });
+}
+
+void ShardClaims::read_key(int shard, std::uint64_t lease_id) {
+  owners_.at(shard).claiming = true;
+  state_.get(RequestPriority::kLease, keys::shard(shard), [this, shard, lease_id](const StateReply& reply) {
+    owners_.at(shard).claiming = false;
+    on_key_read(shard, lease_id, reply);
+  });
+}
+
+void ShardClaims::on_key_read(int shard, std::uint64_t lease_id, const StateReply& reply) {
+  if (reply.has_data()) {
+    const OwnerRecord found = OwnerRecord::from_json(reply.data());
+    const std::uint64_t revision = reply.item_revision();
+    const bool same_lease = lease_.is_open() && lease_id == lease_.id() && reply.lease_id() == lease_.id();
+    if (found.boot == boot_ && same_lease) {
+      if (owners_.at(shard).held_token != revision) owners_.gain(shard, found.node, revision, " (found)");
+      return;
+    }
+    on_owner_seen(shard, found.node, revision);
+  } else if (reply.outcome == Outcome::kMissing) {
+    on_owner_seen(shard, "", reply.revision());
+  }
+  // What was seen may be no news, and the shard still be to be had: a start once stalled here.
+  env_.after(kRetrySeconds, [this, shard] { consider(shard); });
+}
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/ownership/shard_owners.cpp
@@ -0,0 +1,79 @@
+#include "coordination/ownership/shard_owners.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "bookkeeping/records.hpp"
+
+namespace mothslip {
+
+ShardOwners::ShardOwners(StateMonitor* monitor, Listener listener)
+    : monitor_(monitor), listener_(std::move(listener)) {}
+
+int ShardOwners::held_count() const {
+  return static_cast<int>(
+      std::count_if(shards_.begin(), shards_.end(), [](const Shard& shard) { return shard.held(); }));
+}
+
+// What is older than what is known already (a claim's own answer overtakes the watch) must not take a fresh
+// shard away from this node.
+bool ShardOwners::see(int shard, const std::string& node, std::uint64_t revision) {
+  Shard& entry = at(shard);
+  if (revision < entry.owner.fencing_token) return false;
+  if (monitor_ != nullptr && node == kRebuiltOwner) {
+    monitor_->on_other_incarnation();
+    return false;
+  }
+  if (entry.held()) {
+    if (node.empty()) {
+      lose(shard, "key gone");
+    } else if (revision > entry.held_token) {
+      lose(shard, "another owner");
+    }
+  }
+  const bool changed = entry.owner.node != node || entry.owner.fencing_token != revision;
+  entry.owner = {node, revision};
+  if (changed) listener_.owners_changed();
+  return changed;
+}
+
+void ShardOwners::hear(int shard, const std::string& node, std::uint64_t fencing_token) {
+  if (shard < 0 || shard >= count()) return;
+  Shard& entry = at(shard);
+  if (fencing_token <= entry.owner.fencing_token) return;
+  if (entry.held()) lose(shard, "a newer owner was heard of");
+  entry.owner = {node, fencing_token};
+  listener_.owners_changed();
+}
+
+void ShardOwners::gain(int shard, const std::string& node, std::uint64_t fencing_token, const char* how) {
+  Shard& entry = at(shard);
+  entry.held_token = fencing_token;
+  entry.owner = {node, fencing_token};
+  spdlog::info("shard {} gained, fencing token {}{}", shard, fencing_token, how);
+  listener_.gained(shard, fencing_token);
+  listener_.owners_changed();
+}
+
+void ShardOwners::lose(int shard, const char* why) {
+  Shard& entry = at(shard);
+  if (!entry.held()) return;
+  if (monitor_ != nullptr && monitor_->lost()) return;
+  spdlog::info("shard {} lost, fencing token {}: {}", shard, entry.held_token, why);
+  entry.held_token = 0;
+  listener_.lost(shard);
+}
+
+void ShardOwners::lose_all(const char* why) {
+  for (int shard = 0; shard < count(); shard++) lose(shard, why);
+}
+
+void ShardOwners::release(int shard, std::uint64_t revision) {
+  at(shard).owner = {"", revision};
+  lose(shard, "sent home");
+  listener_.owners_changed();
+}
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/state/request_queue.cpp
@@ -0,0 +1,90 @@
+#include "coordination/state/request_queue.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace mothslip {
+
+namespace {
+constexpr std::size_t kMaxQueueLength = 128;  // requests of one priority class
+constexpr double kQueueSeconds = 2.0;
+constexpr double kLeaseRetrySeconds = 0.1;
+// Bounds of the time until the next look at the queues.
+constexpr double kShortestWaitSeconds = 0.002;
+constexpr double kLongestWaitSeconds = 0.5;
+}  // namespace
+
+RequestQueue::RequestQueue(Env& env, RequestBudget& budget, Listener listener)
+    : env_(env), budget_(budget), listener_(std::move(listener)) {}
+
+RequestQueue::~RequestQueue() {
+  if (send_timer_ != 0) env_.cancel(send_timer_);
+}
+
+void RequestQueue::submit(RequestPriority priority, HttpCall call, int writes, StateHandler handler) {
+  auto& queue = queue_of(priority);
+  if (queue.size() >= kMaxQueueLength) {
+    listener_.refused(std::move(handler));
+    return;
+  }
+  queue.push_back({std::move(call), writes, env_.now() + kQueueSeconds, std::move(handler)});
+  send_ready();
+}
+
+void RequestQueue::put_back(RequestPriority priority, QueuedRequest request) {
+  queue_of(priority).push_front(std::move(request));
+  if (priority == RequestPriority::kLease) {
+    env_.after(kLeaseRetrySeconds, [this] { send_ready(); });  // it needs no tokens, but is not sent at once
+  } else {
+    send_ready();
+  }
+}
+
+bool RequestQueue::busy(RequestPriority priority, double patience_s) {
+  std::size_t calls_ahead = 0;
+  double writes = 1;
+  for (std::size_t i = 0; i <= static_cast<std::size_t>(priority); i++) {
+    calls_ahead += queues_[i].size();
+    for (const QueuedRequest& request : queues_[i]) writes += request.writes;
+  }
+  return budget_.takes_longer(static_cast<double>(calls_ahead + 1), writes, patience_s, env_.now());
+}
+
+// Sends what has its tokens, and looks again when the next request may have them.
+void RequestQueue::send_ready() {
+  const double now = env_.now();
+  budget_.raise_rates(now);
+  std::optional<double> shortest_wait;
+  for (std::size_t i = 0; i < queues_.size(); i++) {
+    const std::optional<double> wait = send_ready(static_cast<RequestPriority>(i), now);
+    if (wait && (!shortest_wait || *wait < *shortest_wait)) shortest_wait = wait;
+  }
+  if (!shortest_wait || send_timer_ != 0) return;
+  send_timer_ = env_.after(*shortest_wait, [this] {
+    send_timer_ = 0;
+    send_ready();
+  });
+}
+
+// Seconds until the first request that is left may be sent, or is to be refused; nothing: none is left.
+std::optional<double> RequestQueue::send_ready(RequestPriority priority, double now) {
+  auto& queue = queue_of(priority);
+  while (!queue.empty()) {
+    QueuedRequest& next = queue.front();
+    if (now >= next.deadline) {
+      listener_.refused(std::move(next.handler));
+      queue.pop_front();
+      continue;
+    }
+    if (!budget_.take(priority, next.writes, now)) {
+      const double wait = std::min(budget_.wait_s(priority, next.writes, now), next.deadline - now);
+      return std::clamp(wait, kShortestWaitSeconds, kLongestWaitSeconds);
+    }
+    QueuedRequest ready = std::move(next);
+    queue.pop_front();
+    listener_.ready(priority, std::move(ready));
+  }
+  return std::nullopt;
+}
+
+}  // namespace mothslip
