--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -35,7 +35,7 @@
   for (const auto& [key, delegation] : world.state.values()) {
     if (key.rfind(keys::kDelegations, 0) != 0) continue;
     Spread out{delegation["head"]["job"]["ref"], delegation["home"], keys::delegation_target(key)};
-    if (world.owner_of(out.home_shard) == world.owner_of(out.delegate)) continue;
+    if (world.nodes.owner_of(out.home_shard) == world.nodes.owner_of(out.delegate)) continue;
     if (tasks_of(world, out.ref, out.delegate) > 0) return out;
   }
   return {};
@@ -66,7 +66,7 @@
   for (auto& [name, worker] : world.workers) {
     if (shard_of(name, world.options.nodes) != shard) continue;
     for (int i = 0; i < world.options.nodes; i++) {
-      if (i != node) world.cuts.insert({name, node_name(i)});
+      if (i != node) world.network.cuts.insert({name, node_name(i)});
     }
   }
 }
@@ -78,14 +78,14 @@
 // for less and for more than its lease.
 TEST_P(Cancelled, WhileABorrowerIsRefusedAndThenTheServiceIsDown) {
   World world(options());
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   add_long_jobs(world, 150);
   Spread spread;
   const double refused_for = GetParam() % 2 == 0 ? 1 : 7;
   world.at(kPick, [&] {
     spread = find_spread(world);
     ASSERT_GE(spread.home_shard, 0);
-    world.cut_node(world.owner_of(spread.delegate), false);
+    world.network.cut_node(world.nodes.owner_of(spread.delegate), false);
   });
   world.at(kPick + refused_for, [&world] { cancel_all(world); });
   world.at(kPick + refused_for + 2, [&world] { world.state.set_outage(true); });
@@ -93,7 +93,7 @@
   world.at(kPick + refused_for + 2.1, [&] { told = world.jobs.at(spread.ref).told_aborted; });
   world.at(kPick + refused_for + 82, [&world] {
     world.state.set_outage(false);
-    world.mend_nodes();
+    world.network.mend_nodes();
   });
   world.troubles_end = kPick + refused_for + 82;
   world.run_until(300);
@@ -107,15 +107,15 @@
 // it runs.
 TEST_P(Cancelled, WhileAnOldOwnerIsAloneWithItsMachines) {
   World world(options());
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   add_long_jobs(world, 200);
   Spread spread;
   int left = 0;
   world.at(kPick, [&] {
     spread = find_spread(world);
     ASSERT_GE(spread.home_shard, 0);
-    const int node = world.owner_of(spread.delegate);
-    world.cut_node(node, true);
+    const int node = world.nodes.owner_of(spread.delegate);
+    world.network.cut_node(node, true);
     leave_alone_with(world, spread.delegate, node);
   });
   world.at(kPick + 8, [&world] { cancel_all(world); });
@@ -131,7 +131,7 @@
   }
   world.at(kPick + 90, [&world] {
     world.state.set_outage(false);
-    world.mend_nodes();
+    world.network.mend_nodes();
   });
   world.troubles_end = kPick + 90;
   world.run_until(320);
@@ -142,18 +142,18 @@
 // The home's owner is refused, cut off from its peers and alone with its machines; the new owner confirms.
 TEST_P(Cancelled, WhileTheOldOwnerOfTheHomeIsAloneWithItsMachines) {
   World world(options());
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   add_long_jobs(world, 200);
   int node = -1;
   world.at(kPick, [&] {
     const std::string ref = world.jobs.begin()->first;
     const int home = shard_of(ref, world.options.nodes);
-    node = world.owner_of(home);
-    world.cut_node(node, true);
+    node = world.nodes.owner_of(home);
+    world.network.cut_node(node, true);
     leave_alone_with(world, home, node);
   });
   world.at(kPick + 8, [&world] { cancel_all(world); });
-  world.at(kPick + 90, [&world] { world.mend_nodes(); });
+  world.at(kPick + 90, [&world] { world.network.mend_nodes(); });
   world.troubles_end = kPick + 90;
   world.run_until(320);
   EXPECT_TRUE(world.violations.empty()) << world.summary();
@@ -164,28 +164,28 @@
 // cannot be asked, nor hear of it from the state service, until later.
 TEST_P(Cancelled, WhileTheConfirmingOwnerEnds) {
   World world(options());
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   add_long_jobs(world, 200);
   Spread spread;
   bool ended = false;
   world.at(kPick, [&] {
     spread = find_spread(world);
     ASSERT_GE(spread.home_shard, 0);
-    world.cut_node(world.owner_of(spread.delegate), true);
+    world.network.cut_node(world.nodes.owner_of(spread.delegate), true);
   });
-  world.on_commit = [&](const std::string& from, const Json& body) {
+  world.network.on_commit = [&](const std::string& from, const Json& body) {
     if (ended || spread.home_shard < 0) return;
     for (const Json& change : body["then"]) {
       if (change.value("put", "") != keys::job_record(spread.home_shard, spread.ref)) continue;
       ended = true;
       const int node = from.back() - '0';
-      world.in(0, [&world, node] { world.crash_node(node, 30); });
+      world.in(0, [&world, node] { world.nodes.crash(node, 30); });
     }
   };
   world.at(kPick + 0.5, [&] { world.cancel_job(spread.ref); });
   bool told_early = false;
   world.at(kPick + 3.5, [&] { told_early = world.jobs.at(spread.ref).told_aborted; });
-  world.at(kPick + 70, [&world] { world.mend_nodes(); });
+  world.at(kPick + 70, [&world] { world.network.mend_nodes(); });
   world.troubles_end = kPick + 70;
   world.run_until(800);
   EXPECT_TRUE(ended);
@@ -199,11 +199,11 @@
   World world(options());
   add_long_jobs(world, 60);
   world.at(kPick, [&world] {
-    world.hold_commits = true;
+    world.network.hold_commits = true;
     cancel_all(world);
   });
-  if (GetParam() % 2 == 0) world.at(kPick + 0.4, [&world] { world.crash_node(some_node(world), 0.2); });
-  world.at(kPick + 1, [&world] { world.hold_commits = false; });
+  if (GetParam() % 2 == 0) world.at(kPick + 0.4, [&world] { world.nodes.crash(some_node(world), 0.2); });
+  world.at(kPick + 1, [&world] { world.network.hold_commits = false; });
   world.troubles_end = kPick + 15;
   world.run_until(300);
   expect_kept(world);
@@ -219,11 +219,11 @@
     for (auto& [name, worker] : world.workers) {
       if (worker->dead || worker->tasks.empty() || hung >= 8) continue;
       hung++;
-      world.hang(*worker, world.uniform(2, 30));
+      worker->hang(world.uniform(2, 30));
     }
   });
   world.at(kPick + 0.2, [&world] { cancel_all(world); });
-  if (GetParam() % 2 == 0) world.at(kPick + 1, [&world] { world.crash_node(some_node(world), 0.3); });
+  if (GetParam() % 2 == 0) world.at(kPick + 1, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.troubles_end = kPick + 32;
   world.run_until(250);
   expect_kept(world);
@@ -257,7 +257,7 @@
   add_long_jobs(world, 200);
   world.at(50, [&world] { world.state.set_outage(true); });
   const int node = GetParam() % 3;
-  world.at(60, [&world, node] { world.crash_node(node, 0.2); });
+  world.at(60, [&world, node] { world.nodes.crash(node, 0.2); });
   int before = 0;
   int left = 0;
   const auto count = [&world] {
@@ -287,7 +287,7 @@
   job.cancel_at = 40;
   world.submit(job);
   world.at(39, [&world] {
-    for (auto& [name, worker] : world.workers) worker->stubborn = true;
+    for (auto& [name, worker] : world.workers) worker->ignores_stops = true;
   });
   world.run_until(120);
   ASSERT_FALSE(world.violations.empty());
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -34,15 +34,16 @@
   EXPECT_GT(world.cloud.rented, 2000);
   // What is sent does not grow with the fleet or the queue, but with time, nodes and starts.
   const double nodes = world.options.nodes;
-  EXPECT_LT(world.counts["/peer/summary"], 1.1 * kDay * nodes);
-  EXPECT_LT(world.counts["/peer/beat"], 1.1 * kDay / 2 * nodes * (nodes - 1));
-  EXPECT_LT(world.counts["/peer/borrow"], 1.1 * kDay / 0.4 * nodes);
+  EXPECT_LT(world.network.counts["/peer/summary"], 1.1 * kDay * nodes);
+  EXPECT_LT(world.network.counts["/peer/beat"], 1.1 * kDay / 2 * nodes * (nodes - 1));
+  EXPECT_LT(world.network.counts["/peer/borrow"], 1.1 * kDay / 0.4 * nodes);
   EXPECT_LT(world.state.changes_made, world.starts) << "a change covers several starts";
-  EXPECT_LT(world.counts["state request"], kDay * world.options.state_rps / 2);
-  EXPECT_LT(world.counts["command"], world.starts / 4) << "launches ride in answers, commands only stop";
+  EXPECT_LT(world.network.counts["state request"], kDay * world.options.state_rps / 2);
+  EXPECT_LT(world.network.counts["command"], world.starts / 4)
+      << "launches ride in answers, commands only stop";
   if (std::getenv("SIM_SIZES") != nullptr) {
-    for (const auto& [kind, bytes] : world.largest)
-      std::cout << kind << ": " << world.counts[kind] << ", at most " << bytes << " bytes\n";
+    for (const auto& [kind, bytes] : world.network.largest)
+      std::cout << kind << ": " << world.network.counts[kind] << ", at most " << bytes << " bytes\n";
     std::cout << world.workers.size() << " machines, " << world.starts << " starts, "
               << world.state.changes_made << " changes, " << world.state.too_many << " too many\n";
   }
@@ -60,7 +61,7 @@
     *check = [&world, &down, since, check] {
       for (int p = 0; p < world.options.nodes; p++) {
         bool active = false;
-        for (const World::Process& process : world.nodes) {
+        for (const Nodes::Process& process : world.nodes) {
           const ShardLeader* shard = process.node ? process.node->shard(p) : nullptr;
           active |= shard != nullptr && shard->active();
         }
@@ -74,7 +75,7 @@
     world.in(0.5, [check] { (*check)(); });
   };
   const auto restart_all = [&world, &until_active](double after) {
-    for (int i = 0; i < world.options.nodes; i++) world.crash_node(i, after + world.uniform(0, 0.3));
+    for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, after + world.uniform(0, 0.3));
     until_active(world.now + after);
   };
   world.at(60, [&world] { world.state.slow_s = 0.15; });
@@ -83,7 +84,7 @@
     int count = 0;
     for (auto& [name, worker] : world.workers) {
       if (count++ % 10 != 0) continue;
-      world.hang(*worker, world.uniform(10, 40));
+      worker->hang(world.uniform(10, 40));
     }
   });
   world.at(100, [&restart_all] { restart_all(6); });
@@ -112,18 +113,18 @@
     for (auto& [name, worker] : world.workers) {
       if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // some 15 % of all
       if (!worker->tasks.empty()) cut.push_back(worker.get());
-      world.cut_off(name);
+      world.network.cut_off(name);
     }
   });
   world.at(75, [&world] {
     int count = 0;
     for (auto& [name, worker] : world.workers) {
       if (worker->zone == "hall-0" || count++ % 10 != 0) continue;
-      world.hang(*worker, world.uniform(10, 30));
+      worker->hang(world.uniform(10, 30));
     }
   });
   world.at(95, [&world, &cut] {
-    world.cuts.clear();
+    world.network.cuts.clear();
     int kept = 0;
     for (const Worker* worker : cut) kept += worker->dead ? 0 : 1;
     EXPECT_GT(cut.size(), 20u);
@@ -139,7 +140,7 @@
   world.troubles_end = 130;
   world.run_until(330);
   expect_kept(world);
-  EXPECT_EQ(world.orders_to_copies, 0);
+  EXPECT_EQ(world.rules.orders_to_copies, 0);
   EXPECT_LT(world.cloud.rented, 2 * rented_before) << "rented beyond need";
 }
 
@@ -151,13 +152,13 @@
   add_crowd(world, 300, 150);
   const auto freeze = [&world](int node, double for_s) {
     const std::string name = node_name(node);
-    world.freeze_node(node, for_s);
-    world.isolated[name] = world.now;
-    world.in(for_s + 0.01, [&world, name] { world.isolated.erase(name); });
+    world.nodes.freeze(node, for_s);
+    world.network.isolated[name] = world.now;
+    world.in(for_s + 0.01, [&world, name] { world.network.isolated.erase(name); });
   };
   world.at(60, [&freeze] { freeze(0, 30); });
   world.at(110, [&freeze] { freeze(2, 9); });
-  world.at(114, [&world] { world.crash_node(3, 0.1); });
+  world.at(114, [&world] { world.nodes.crash(3, 0.1); });
   world.troubles_end = 125;
   world.run_until(330);
   expect_kept(world);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -126,15 +126,9 @@
 TEST_P(Gang, MachinesHang) {
   World world(options());
   add_gangs(world, 3, 40);
-  world.at(20, [&world] {
-    when_member(world, "waiting", false, [&world](Worker& worker) { world.hang(worker, 25); });
-  });
-  world.at(50, [&world] {
-    when_member(world, "running", true, [&world](Worker& worker) { world.hang(worker, 8); });
-  });
-  world.at(60, [&world] {
-    when_member(world, "running", false, [&world](Worker& worker) { world.hang(worker, 40); });
-  });
+  world.at(20, [&world] { when_member(world, "waiting", false, [](Worker& worker) { worker.hang(25); }); });
+  world.at(50, [&world] { when_member(world, "running", true, [](Worker& worker) { worker.hang(8); }); });
+  world.at(60, [&world] { when_member(world, "running", false, [](Worker& worker) { worker.hang(40); }); });
   world.troubles_end = 105;
   world.run_until(360);
   expect_all_done(world);
@@ -145,8 +139,8 @@
   add_gangs(world, 3, 30);
   world.at(15, [&world] {
     when_member(world, "pulling", false, [&world](Worker& worker) {
-      worker.muffled = true;
-      world.in(40, [&worker] { worker.muffled = false; });
+      worker.answers_lost = true;
+      world.in(40, [&worker] { worker.answers_lost = false; });
     });
   });
   world.at(40, [&world] {
@@ -185,7 +179,7 @@
     }
     ASSERT_GT(warned, 1);
   });
-  world.on_commit = [&](const std::string&, const Json&) {
+  world.network.on_commit = [&](const std::string&, const Json&) {
     bool recorded = false;
     for (const auto& [key, value] : world.state.values())
       recorded |= key.rfind("h/", 0) == 0 && value.dump().find("\"x\":[") != std::string::npos;
@@ -209,10 +203,10 @@
   world.submit(gang_job(world, 90, 3, 8, 80, 4));  // on two machines at the least
   add_gangs(world, 3, 60);
   bool ended = false;
-  world.on_commit = [&](const std::string& from, const Json& txn) {
+  world.network.on_commit = [&](const std::string& from, const Json& txn) {
     if (ended || txn.dump().find("\"x\":[") == std::string::npos) return;
     ended = true;
-    world.in(0.02, [&world, from] { world.crash_node(node_number(from), GetParam() % 2 == 0 ? 0.3 : 8); });
+    world.in(0.02, [&world, from] { world.nodes.crash(node_number(from), GetParam() % 2 == 0 ? 0.3 : 8); });
   };
   world.at(70, [&world] {
     when_member(world, "running", true, [&world](Worker& worker) { take_away(world, worker, 15); });
@@ -235,9 +229,9 @@
   add_gangs(world, 3, 60);
   // Its home is away, and comes back: 15 s later the shard is sent home.
   const int home = shard_of(job.ref, world.options.nodes);
-  world.at(50, [&world, home] { world.crash_node(home, 5); });
+  world.at(50, [&world, home] { world.nodes.crash(home, 5); });
   bool met = false;
-  world.on_commit = [&](const std::string&, const Json& txn) {
+  world.network.on_commit = [&](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
       const bool released = change.contains("delete") && change["delete"] == keys::shard(home);
       if (!released || met) continue;
@@ -260,10 +254,10 @@
   World world(options());
   add_gangs(world, 20, 20);
   int ended = 0;
-  world.on_commit = [&](const std::string& from, const Json& txn) {
+  world.network.on_commit = [&](const std::string& from, const Json& txn) {
     if (ended >= 2 || !places_a_gang(txn)) return;
     ended++;
-    world.in(0, [&world, from] { world.crash_node(node_number(from), 0.3); });
+    world.in(0, [&world, from] { world.nodes.crash(node_number(from), 0.3); });
   };
   world.troubles_end = 80;
   world.run_until(360);
@@ -275,7 +269,7 @@
   World world(options());
   add_gangs(world, 20, 20);
   int lost = 0;
-  world.commit_answer = [&](const std::string&, const Json& txn) {
+  world.network.commit_answer = [&](const std::string&, const Json& txn) {
     return places_a_gang(txn) && lost++ % 2 == 0 ? -1.0 : 0.0;
   };
   world.run_until(300);
@@ -295,7 +289,7 @@
       when_member(world, "running", false, [](Worker& worker) { worker.reboot(false); });
     });
   }
-  world.at(62, [&world] { world.crash_node(some_node(world), 0.3); });
+  world.at(62, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.troubles_end = 120;
   world.run_until(420);
   expect_all_done(world);
@@ -331,7 +325,7 @@
   World world(options());
   add_gangs(world, 3, 40);
   world.at(45, [&world] {
-    for (int i = 0; i < world.options.nodes; i++) world.crash_node(i, 16 + i);
+    for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, 16 + i);
   });
   world.troubles_end = 66;
   world.run_until(360);
@@ -343,10 +337,10 @@
   World world(options());
   add_gangs(world, 3, 40);
   world.at(45, [&world] {
-    when_member(world, "running", true, [&world](Worker& worker) { world.cut_off(worker.name); });
+    when_member(world, "running", true, [&world](Worker& worker) { world.network.cut_off(worker.name); });
   });
-  world.at(50, [&world] { world.crash_node(some_node(world), 0.3); });
-  world.at(85, [&world] { world.mend_nodes(); });
+  world.at(50, [&world] { world.nodes.crash(some_node(world), 0.3); });
+  world.at(85, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 150;  // what was held back arrives up to a minute later
   world.run_until(420);
   expect_all_done(world);
@@ -430,22 +424,22 @@
   World world(day);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2 + 2 * i, 8, 20));
   double accepted_at = 0;
-  world.on_commit = [&](const std::string&, const Json& txn) {
+  world.network.on_commit = [&](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
       if (change.contains("put") && change["put"] == "gangs" && accepted_at == 0) accepted_at = world.now;
     }
   };
-  for (int i = 0; i < 3; i++) world.at(30 + 10 * i, [&world, i] { world.upgrade_node(i, 2); });
+  for (int i = 0; i < 3; i++) world.at(30 + 10 * i, [&world, i] { world.nodes.upgrade(i, 2); });
   // (Users submit them only later. A node that is upgraded already says when to come back.)
   int told_to_wait = 0;
   world.at(36, [&world, &told_to_wait] {
     const UserJob early = gang_job(world, 90, 36, 4, 15);
-    world.send("user", {client_address_of(0), "POST", "/v2/runs", dump_json(early.body), 5},
-               [&told_to_wait](const HttpReply& reply) { told_to_wait = reply.status; });
+    world.network.send("user", {client_address_of(0), "POST", "/v2/runs", dump_json(early.body), 5},
+                       [&told_to_wait](const HttpReply& reply) { told_to_wait = reply.status; });
   });
   for (int i = 0; i < 4; i++) world.submit(gang_job(world, 95 + i, 70 + i, 4, 15));
   world.at(80, [&world] { world.state.lower_limits(2, 4, 20); });
-  world.at(85, [&world] { world.crash_node(some_node(world), 0.3); });
+  world.at(85, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.troubles_end = 100;
   world.run_until(300);
   expect_kept(world);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -78,7 +78,7 @@
 TEST_P(Limits, FallWhileAnOwnerIsReplaced) {
   World world(options());
   add_many_tasks(world, 5, 40);
-  world.at(60, [&world] { world.crash_node(1, 8); });
+  world.at(60, [&world] { world.nodes.crash(1, 8); });
   world.at(62, [&world] { lower(world); });
   world.troubles_end = 75;
   world.run_until(330);
@@ -95,9 +95,9 @@
   add_many_tasks(world, 2, 70);
   std::size_t before = 0;
   world.at(60, [&] { before = largest_segment(world); });
-  for (int i = 0; i < 3; i++) world.at(60 + 8 * i, [&world, i] { world.upgrade_node(i, 2); });
+  for (int i = 0; i < 3; i++) world.at(60 + 8 * i, [&world, i] { world.nodes.upgrade(i, 2); });
   world.at(95, [&world] { lower(world); });
-  world.at(100, [&world] { world.crash_node(0, 0.3); });
+  world.at(100, [&world] { world.nodes.crash(0, 0.3); });
   world.troubles_end = 110;
   world.run_until(420);
   expect_kept(world);
@@ -112,12 +112,12 @@
   day.earlier_version = true;
   World world(day);
   add_many_tasks(world, 2, 60);
-  world.at(40, [&world] { world.upgrade_node(0, 1); });
-  world.at(58, [&world] { world.crash_node(0, 9); });  // its shard goes to an old one, and comes back
-  world.at(60, [&world] { world.crash_node(1, 0.3); });
-  world.at(95, [&world] { world.upgrade_node(1, 1); });
-  world.at(96, [&world] { world.crash_node(2, 5); });  // comes back old
-  world.at(110, [&world] { world.upgrade_node(2, 1); });
+  world.at(40, [&world] { world.nodes.upgrade(0, 1); });
+  world.at(58, [&world] { world.nodes.crash(0, 9); });  // its shard goes to an old one, and comes back
+  world.at(60, [&world] { world.nodes.crash(1, 0.3); });
+  world.at(95, [&world] { world.nodes.upgrade(1, 1); });
+  world.at(96, [&world] { world.nodes.crash(2, 5); });  // comes back old
+  world.at(110, [&world] { world.nodes.upgrade(2, 1); });
   world.troubles_end = 125;
   world.run_until(420);
   expect_kept(world);
@@ -169,7 +169,7 @@
     }
     for (int i = 0; i < 100000; i += 2) job.completed.insert(i);
     world.submit(job);
-    world.crash_node(0, 0.3);
+    world.nodes.crash(0, 0.3);
   });
   world.run_until(150);
   EXPECT_TRUE(world.violations.empty()) << world.summary();
@@ -203,7 +203,7 @@
   world.state.lower_limits(1, 4, day.write_rps);
   for (int i = 0; i < 4; i++) world.submit(plain_job(world, i, 3, 80, 15, 4));
   std::size_t largest = 0;
-  world.on_commit = [&largest](const std::string&, const Json& txn) {
+  world.network.on_commit = [&largest](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
       if (change.contains("put") && change["put"].get<std::string>().rfind(keys::kRentals, 0) == 0)
         largest = std::max(largest, change["data"].dump().size());
@@ -230,7 +230,7 @@
   world.submit(plain_job(world, 1, 3, 8, 15, 4));
   world.at(40, [&world] {
     world.cloud.outage = true;
-    for (int i = 0; i < world.options.nodes; i++) world.crash_node(i, 0.3);
+    for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, 0.3);
   });
   world.submit(plain_job(world, 2, 50, 4, 5, 1));
   world.run_until(140);
--- a/tests/loopback/real_cluster.cpp
+++ b/tests/loopback/real_cluster.cpp
@@ -45,7 +45,7 @@
 
 RealCluster::RealCluster(const sim::Options& options, std::string directory)
     : world_(options), directory_(std::move(directory)), began_(env_.now()) {
-  world_.call_node = [this](const HttpCall& call, const std::function<void(HttpReply)>& reply) {
+  world_.network.call_node = [this](const HttpCall& call, const std::function<void(HttpReply)>& reply) {
     HttpCall real = call;
     real.destination = to_loopback(call.destination);
     real.body = addresses_to_loopback(call.body);
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -34,7 +34,7 @@
 }
 
 void crash_all(World& world, double back_after) {
-  for (int i = 0; i < world.options.nodes; i++) world.crash_node(i, back_after);
+  for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, back_after);
 }
 
 }  // namespace
@@ -45,28 +45,28 @@
   Options late = options();
   late.copies = 0.3;
   World world(late);
-  world.hold_share = 1;
+  world.network.hold_share = 1;
   add_jobs(world, 2, 100);
   int handovers = 0;
   for (double t = 30; t < 120; t += 22) {
     world.at(t, [&world] {
       int cut = 0;
       for (auto& [name, worker] : world.workers) {
-        if (worker->up() && !worker->tasks.empty() && cut++ < 4) world.cut_off(name);
+        if (worker->up() && !worker->tasks.empty() && cut++ < 4) world.network.cut_off(name);
       }
     });
     world.at(t + 1.5, [&] {
       const int node = some_node(world);
-      handovers += world.owner_of(node) == node ? 1 : 0;
-      world.crash_node(node, 9);
+      handovers += world.nodes.owner_of(node) == node ? 1 : 0;
+      world.nodes.crash(node, 9);
     });
-    world.at(t + 8, [&world] { world.cuts.clear(); });
+    world.at(t + 8, [&world] { world.network.cuts.clear(); });
   }
   world.troubles_end = 220;
   world.run_until(600);
   expect_kept(world);
   EXPECT_GT(handovers, 1);
-  EXPECT_EQ(world.orders_to_copies, 0);
+  EXPECT_EQ(world.rules.orders_to_copies, 0);
 }
 
 // A share of all transactions gets no answer and is carried out seconds later, after newer ones of the same
@@ -77,7 +77,7 @@
   World world(late);
   add_jobs(world, 2, 100);
   for (double t = 25; t < 110; t += world.uniform(12, 25)) {
-    world.at(t, [&world] { world.crash_node(some_node(world), world.uniform(0.1, 9)); });
+    world.at(t, [&world] { world.nodes.crash(some_node(world), world.uniform(0.1, 9)); });
   }
   world.at(120, [&world] { world.options.late_writes = 0; });
   world.troubles_end = 135;
@@ -99,8 +99,8 @@
       outbound_unreachable++;
       world.in(world.uniform(4, 50), [worker] { worker->outbound_unreachable = false; });
       const int shard = shard_of(worker->name, world.options.nodes);
-      if (const int owner = world.owner_of(shard); owner >= 0 && world.rng() % 2 == 0)
-        world.in(world.uniform(0.5, 6), [&world, owner] { world.crash_node(owner, world.uniform(0.1, 9)); });
+      if (const int owner = world.nodes.owner_of(shard); owner >= 0 && world.rng() % 2 == 0)
+        world.in(world.uniform(0.5, 6), [&world, owner] { world.nodes.crash(owner, world.uniform(0.1, 9)); });
     });
   }
   world.troubles_end = 165;
@@ -119,7 +119,7 @@
       for (auto& [name, worker] : world.workers) {
         for (const Task& task : worker->tasks) ran += worker->on_machine(task) ? 1 : 0;
       }
-      for (int i = 0; i < world.options.nodes; i++) world.crash_node(i, world.options.lease_s + 3 + i);
+      for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, world.options.lease_s + 3 + i);
     });
   }
   world.troubles_end = 115;
@@ -134,7 +134,7 @@
   add_jobs(world, 2, 120);
   std::set<std::uint64_t> fencing_tokens;
   for (int i = 0; i < 10; i++) {
-    world.at(20 + i * 12, [&world, i] { world.crash_node(i % world.options.nodes, i % 3 == 0 ? 0.1 : 6); });
+    world.at(20 + i * 12, [&world, i] { world.nodes.crash(i % world.options.nodes, i % 3 == 0 ? 0.1 : 6); });
     world.at(19 + i * 12, [&] {
       for (int p = 0; p < world.options.nodes; p++)
         fencing_tokens.insert(world.state.revision(keys::shard(p)));
@@ -219,7 +219,7 @@
     for (const auto& [ref, job] : world.jobs) half += job.completed.empty() || job.told_done ? 0 : 1;
     crash_all(world, 0.3);
   });
-  world.at(100, [&world] { world.crash_node(0, 9); });
+  world.at(100, [&world] { world.nodes.crash(0, 9); });
   world.troubles_end = 115;
   world.run_until(400);
   expect_kept(world);
@@ -266,7 +266,7 @@
   tight.nodes = 3;
   tight.team_max = 40;
   World world(tight);
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   // The other team's work ends just before and leaves room.
   for (int i = 0; i < 20; i++) {
     UserJob job = plain_job(world, i, i < 14 ? 2 : 50, 8, i < 8 ? 160 : i < 14 ? 34 : 60, 2);
@@ -290,13 +290,13 @@
         away.insert(name);
       }
     }
-    for (const std::string& name : away) world.cut_off(name);
+    for (const std::string& name : away) world.network.cut_off(name);
     for (auto& [ref, job] : world.jobs) {
       if (job.run_s > 100) world.cancel_job(ref);
     }
   });
   world.at(61.5, [&world] { crash_all(world, 0.2); });
-  world.at(74, [&world] { world.cuts.clear(); });
+  world.at(74, [&world] { world.network.cuts.clear(); });
   world.troubles_end = 76;
   world.run_until(1500);
   expect_kept(world);
@@ -308,7 +308,7 @@
 // meanwhile, cut ones get it late.
 TEST_P(Meeting, HeldUpCommandsReachMachinesThatGoOn) {
   World world(options());
-  world.hold_share = 1;
+  world.network.hold_share = 1;
   add_jobs(world, 2, 100);
   int held = 0;
   for (double t = 25; t < 110; t += 7) {
@@ -317,11 +317,11 @@
       if (worker == nullptr) return;
       held++;
       if (world.rng() % 2 == 0) {
-        world.hang(*worker, world.uniform(2, 11));
+        worker->hang(world.uniform(2, 11));
       } else {
-        world.cut_off(worker->name);
+        world.network.cut_off(worker->name);
         world.in(world.uniform(2, 11), [&world, name = worker->name] {
-          for (int i = 0; i < world.options.nodes; i++) world.cuts.erase({name, node_name(i)});
+          for (int i = 0; i < world.options.nodes; i++) world.network.cuts.erase({name, node_name(i)});
         });
       }
       for (const Task& task : worker->tasks) {
@@ -330,7 +330,7 @@
           break;
         }
       }
-      if (world.rng() % 3 == 0) world.crash_node(some_node(world), world.uniform(0.1, 5));
+      if (world.rng() % 3 == 0) world.nodes.crash(some_node(world), world.uniform(0.1, 5));
     });
   }
   world.troubles_end = 200;
@@ -347,7 +347,7 @@
   for (double t = 25; t < 150; t += 20) {
     world.at(t, [&world] {
       const int node = some_node(world);
-      world.freeze_node(node, world.rng() % 2 == 0 ? world.uniform(3, 9) : world.uniform(30, 70));
+      world.nodes.freeze(node, world.rng() % 2 == 0 ? world.uniform(3, 9) : world.uniform(30, 70));
       if (world.rng() % 2 == 0) {
         world.in(6, [&world] {
           for (auto& [ref, job] : world.jobs) {
@@ -426,7 +426,7 @@
     }
     idle.erase(0);  // its owner rents and returns: that one goes on
     ASSERT_FALSE(idle.empty());
-    world.freeze_node(world.owner_of(idle.begin()->first), 20);
+    world.nodes.freeze(world.nodes.owner_of(idle.begin()->first), 20);
   });
   int lost = 0;
   world.at(84, [&] {
@@ -447,7 +447,7 @@
   mix.copies = 0.1;
   mix.late_writes = 0.05;
   World world(mix);
-  world.hold_share = 0.6;
+  world.network.hold_share = 0.6;
   add_jobs(world, 2, 140);
   for (double t = 20; t < 150; t += world.uniform(2, 9)) {
     world.at(t, [&world] {
@@ -456,18 +456,18 @@
       const double for_s = world.uniform(2, 40);
       switch (world.rng() % 9) {
         case 0:
-          world.crash_node(node, world.rng() % 2 == 0 ? 0.1 : 8);
+          world.nodes.crash(node, world.rng() % 2 == 0 ? 0.1 : 8);
           break;
         case 1:
           world.state.set_outage(true);
           world.in(world.rng() % 3 == 0 ? for_s + 15 : 5, [&world] { world.state.set_outage(false); });
           break;
         case 2:
-          world.cut_node(node, world.rng() % 2 == 0);
-          world.in(for_s, [&world] { world.mend_nodes(); });
+          world.network.cut_node(node, world.rng() % 2 == 0);
+          world.in(for_s, [&world] { world.network.mend_nodes(); });
           break;
         case 3:
-          world.freeze_node(node, for_s);
+          world.nodes.freeze(node, for_s);
           break;
         case 4:
           if (worker == nullptr) break;
@@ -480,7 +480,7 @@
           world.in(for_s, [worker] { worker->outbound_unreachable = false; });
           break;
         case 6:
-          if (worker != nullptr) world.hang(*worker, for_s);
+          if (worker != nullptr) worker->hang(for_s);
           break;
         case 7:
           if (worker != nullptr) worker->reboot(world.rng() % 2 == 0);
@@ -494,7 +494,7 @@
   }
   world.at(190, [&world] {
     world.options.late_writes = world.options.copies = 0;
-    world.mend_nodes();
+    world.network.mend_nodes();
     world.state.set_outage(false);
   });
   world.troubles_end = 250;
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -113,12 +113,12 @@
   world.at(45, [&] {
     lost_before = world.lost_to_leases;
     for (auto& [name, worker] : world.workers) {
-      if (world.owner_of(shard_of(name, world.options.nodes)) == 0)
+      if (world.nodes.owner_of(shard_of(name, world.options.nodes)) == 0)
         on_its_machines += static_cast<int>(worker->tasks.size());
     }
-    world.cut_from_workers(0);
+    world.network.cut_from_workers(0);
   });
-  world.at(95, [&world] { world.mend_nodes(); });
+  world.at(95, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 100;
   world.run_until(400);
   expect_kept(world);
@@ -138,12 +138,12 @@
     lost_before = world.lost_to_leases;
     for (auto& [name, worker] : world.workers) {
       if (!worker->up() || worker->zone != "a") continue;
-      world.cuts.insert({name, node_name(1)});
-      cut += worker->tasks.empty() || world.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
+      world.network.cuts.insert({name, node_name(1)});
+      cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
     }
-    world.cuts.insert({node_name(1), node_name(2)});  // the next node that they try
+    world.network.cuts.insert({node_name(1), node_name(2)});  // the next node that they try
   });
-  world.at(95, [&world] { world.mend_nodes(); });
+  world.at(95, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 100;
   world.run_until(400);
   expect_kept(world);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -41,7 +41,7 @@
 // done, the others run again. Repeats itself until the list is empty.
 void decide_as_operator(World& world) {
   const int node = some_node(world);
-  world.send(
+  world.network.send(
       "operator", {peer_address_of(node), "GET", "/ops/recovery/unaccounted", "", 2.0},
       [&world, node](const HttpReply& reply) {
         if (reply.status != 200) return;
@@ -52,9 +52,9 @@
           const bool done = static_cast<int>(job.completed.size()) == job.task_count;
           const bool cancelled = job.told_aborted || (job.cancel_asked && !done);
           const Json decision = {{"job", ref}, {"as", cancelled ? "cancelled" : done ? "done" : "rerun"}};
-          world.send("operator",
-                     {peer_address_of(node), "POST", "/ops/recovery/resolve", dump_json(decision), 2.0},
-                     [](const HttpReply&) {});
+          world.network.send(
+              "operator", {peer_address_of(node), "POST", "/ops/recovery/resolve", dump_json(decision), 2.0},
+              [](const HttpReply&) {});
         }
       });
   world.in(5, [&world] { decide_as_operator(world); });
@@ -89,9 +89,9 @@
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
-    world.at(t + world.uniform(0, 18), [&world] { world.crash_node(some_node(world), 3); });
-    world.at(t + 22, [&world] { world.state_refuses.insert(node_name(some_node(world))); });
-    world.at(t + 30, [&world] { world.state_refuses.clear(); });
+    world.at(t + world.uniform(0, 18), [&world] { world.nodes.crash(some_node(world), 3); });
+    world.at(t + 22, [&world] { world.network.state_refuses.insert(node_name(some_node(world))); });
+    world.at(t + 30, [&world] { world.network.state_refuses.clear(); });
   }
   world.run_until(600);
   expect_kept(world);
@@ -154,7 +154,7 @@
   const double loss = world.uniform(60, 80);
   set_back(world, 55, loss);
   world.at(loss, [&world] {
-    for (int node = 0; node < world.options.nodes; node++) world.crash_node(node, world.uniform(0.2, 8));
+    for (int node = 0; node < world.options.nodes; node++) world.nodes.crash(node, world.uniform(0.2, 8));
   });
   world.troubles_end = loss + kOperatorAfter + 30;
   world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
@@ -174,11 +174,11 @@
   set_back(world, 55, loss);
   world.at(loss - 0.5, [&world] {
     for (const auto& [name, worker] : world.workers) {
-      if (!worker->tasks.empty()) world.cut_off(name);
+      if (!worker->tasks.empty()) world.network.cut_off(name);
     }
   });
-  world.at(loss + 40, [&world] { world.cuts.clear(); });
-  world.at(loss, [&world] { world.crash_node(some_node(world), world.uniform(0.2, 3)); });
+  world.at(loss + 40, [&world] { world.network.cuts.clear(); });
+  world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 3)); });
   world.troubles_end = loss + kOperatorAfter + 30;
   world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
   world.run_until(600);
@@ -192,7 +192,7 @@
   add_witnesses(world);
   const double loss = world.uniform(60, 80);
   set_back(world, 55, loss);
-  world.at(loss, [&world] { world.crash_node(some_node(world), world.uniform(0.2, 20)); });
+  world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 20)); });
   world.troubles_end = loss + kOperatorAfter + 30;
   world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
   world.run_until(600);
@@ -212,7 +212,7 @@
       const Json leader = stored(world, recovery::kLeaderKey);
       for (int node = 0; node < world.options.nodes; node++) {
         if (leader.is_object() && leader["node"] == node_name(node))
-          world.crash_node(node, world.uniform(0.3, 8));
+          world.nodes.crash(node, world.uniform(0.3, 8));
       }
     });
   }
@@ -246,8 +246,8 @@
   const double loss = world.uniform(60, 80);
   const int cut = some_node(world);
   set_back(world, 50, loss);
-  world.at(loss - world.uniform(0, 4), [&world, cut] { world.cut_node(cut, true); });
-  world.at(loss + 80, [&world] { world.mend_nodes(); });
+  world.at(loss - world.uniform(0, 4), [&world, cut] { world.network.cut_node(cut, true); });
+  world.at(loss + 80, [&world] { world.network.mend_nodes(); });
   world.troubles_end = loss + 80 + kOperatorAfter + 30;
   world.at(loss + 80 + kOperatorAfter, [&world] { decide_as_operator(world); });
   world.run_until(700);
@@ -267,11 +267,11 @@
     world.at(t, [&world] {
       if (Worker* worker = some_worker(world); worker != nullptr) {
         if (world.rng() % 2 == 0) {
-          world.hang(*worker, world.uniform(3, 40));
+          worker->hang(world.uniform(3, 40));
         } else {
           const std::string name = worker->name;
-          world.cut_off(name);
-          world.in(world.uniform(5, 60), [&world] { world.cuts.clear(); });
+          world.network.cut_off(name);
+          world.in(world.uniform(5, 60), [&world] { world.network.cuts.clear(); });
         }
       }
     });
--- /dev/null
+++ b/tests/sim/addresses.hpp
@@ -0,0 +1,40 @@
+// Names and addresses in the simulated cluster.
+#pragma once
+
+#include <optional>
+#include <string>
+
+namespace mothslip::sim {
+
+inline constexpr const char* kStateAddress = "10.2.0.1:2379";
+inline constexpr const char* kCloudAddress = "10.2.0.2:8443";
+// Every controller's name begins so; nobody else's does.
+inline constexpr const char* kNodeNamePrefix = "roost";
+
+inline std::string node_name(int index) { return "roost-" + std::to_string(index); }
+
+// The index of the node of this name. (There are at most ten.)
+inline int node_index(const std::string& name) { return name.back() - '0'; }
+
+// The address at which a node serves users and workers.
+inline std::string client_address_of(int node) { return "10.0.0." + std::to_string(node + 1) + ":8080"; }
+
+// The address at which a node serves other nodes and operators.
+inline std::string peer_address_of(int node) { return "10.0.0." + std::to_string(node + 1) + ":8081"; }
+
+// Which node has an address, and at which of its two it is called.
+struct NodeAddress {
+  int index;
+  bool client_address;  // false: the one for other nodes and operators
+};
+
+// Nothing: none of so many nodes has it.
+inline std::optional<NodeAddress> node_at(const std::string& address, int nodes) {
+  for (int i = 0; i < nodes; i++) {
+    if (address == client_address_of(i)) return NodeAddress{i, true};
+    if (address == peer_address_of(i)) return NodeAddress{i, false};
+  }
+  return std::nullopt;
+}
+
+}  // namespace mothslip::sim
--- /dev/null
+++ b/tests/sim/cloud.cpp
@@ -0,0 +1,123 @@
+#include "sim/cloud.hpp"
+
+#include <algorithm>
+#include <memory>
+#include <sstream>
+
+#include "sim/query.hpp"
+#include "sim/world.hpp"
+
+namespace mothslip::sim {
+
+namespace {
+// Of the protocol: machines in one call.
+constexpr int kMostRented = 50;
+constexpr std::size_t kMostReturned = 100;
+constexpr std::size_t kMostListed = 500;
+}  // namespace
+
+Cloud::Cloud(World& world) : world_(world), calls_(world.options.cloud_rps, 2 * world.options.cloud_rps, 0) {}
+
+void Cloud::handle(const std::string& target, const std::string& body, const Reply& reply) {
+  if (outage) return reply(503, {{"error", "trouble"}});
+  if (world_.options.rate_limits) {
+    if (!calls_.can_take(1, 0, world_.now)) return reply(429, Json::object());
+    calls_.take(1, world_.now);
+  }
+  const std::string path = target.substr(0, target.find('?'));
+  const Json request = body.empty() ? Json::object() : parse_json(body);
+  if (path == "/machine_types") return list_machine_types(reply);
+  if (path == "/hosts/return") return return_machines(request, reply);
+  if (path == "/hosts" && !body.empty()) return rent_machines(request, reply);
+  if (path == "/hosts") return list_machines(target, reply);
+  reply(404, Json::object());
+}
+
+void Cloud::list_machine_types(const Reply& reply) const {
+  Json types = parse_json(R"({"flavours":[
+    {"name":"c4","cores":4,"accelerators":0,"memory_gb":16,"local_gb":20,"pull_gb_per_s":1,"hourly":0.4,
+     "spot_price":0.1,"boot_s":10},
+    {"name":"c16","cores":16,"accelerators":0,"memory_gb":64,"local_gb":20,"pull_gb_per_s":1,"hourly":1.2,
+     "spot_price":0.3,"boot_s":10}]})");
+  for (Json& type : types["flavours"]) type["halls"] = world_.options.zones;
+  reply(200, types);
+}
+
+void Cloud::return_machines(const Json& request, const Reply& reply) {
+  if (request["hosts"].size() > kMostReturned) world_.broken("more than 100 machines returned in one call");
+  for (const Json& machine_name : request["hosts"]) {
+    const auto worker = world_.workers.find(machine_name);
+    if (worker != world_.workers.end()) worker->second->dead = true;
+    const auto row = rows_.find(machine_name);
+    if (row != rows_.end()) row->second.gone = std::min(row->second.gone, world_.now);
+  }
+  reply(200, Json::object());
+}
+
+int Cloud::room_for(const Json& request) const {
+  const auto taken = std::count_if(rows_.begin(), rows_.end(), [&](const auto& named_row) {
+    const Row& row = named_row.second;
+    const bool same = row.item["flavour"] == request["flavour"] && row.item["hall"] == request["hall"] &&
+                      row.item["loaner"] == request["loaner"];
+    return same && row.gone > world_.now;
+  });
+  return world_.options.market - static_cast<int>(taken);
+}
+
+std::string Cloud::create_machine(const Json& request) {
+  std::ostringstream ref;
+  ref << "host-" << std::string(6 - std::to_string(next_).size(), '0') << next_;
+  const std::string address =
+      "10.1." + std::to_string(next_ / 250) + "." + std::to_string(next_ % 250) + ":9000";
+  next_++;
+  rented++;
+  auto worker = std::make_unique<Worker>(world_, ref.str(), address, request["flavour"], request["hall"],
+                                         request["loaner"], world_.uniform(kSlowestClock, kFastestClock));
+  Worker* raw = worker.get();
+  world_.workers.emplace(ref.str(), std::move(worker));
+  world_.by_address[address] = raw;
+  rows_[ref.str()] = {{{"ref", ref.str()},
+                       {"address", address},
+                       {"flavour", request["flavour"]},
+                       {"hall", request["hall"]},
+                       {"loaner", request["loaner"]},
+                       {"phase", "running"}},
+                      world_.now};
+  if (world_.uniform(0, 1) >= fail_share) world_.in(world_.uniform(3, 15), [raw] { raw->boot(); });
+  return ref.str();
+}
+
+void Cloud::rent_machines(const Json& request, const Reply& reply) {
+  const std::string rental = request["rental"];
+  if (rentals_.count(rental) > 0) return reply(200, rentals_[rental]);
+  const int wanted = request["how_many"].get<int>();
+  if (wanted > kMostRented) world_.broken("more than 50 machines rented in one call");
+  const int count = std::min(wanted, room_for(request));
+  if (count <= 0) return reply(503, {{"error", "no capacity"}});
+  Json machine_names = Json::array();
+  for (int i = 0; i < count; i++) machine_names.push_back(create_machine(request));
+  rentals_[rental] = {{"hosts", machine_names}};
+  reply(200, rentals_[rental]);
+}
+
+void Cloud::list_machines(const std::string& target, const Reply& reply) {
+  const double as_of = world_.now - world_.uniform(0, 6);  // the list is up to 6 s old
+  const std::string from = query(target, "from");
+  const std::size_t most = std::stoul(query(target, "most"));
+  if (most > kMostListed) return reply(400, {{"error", "too many at once"}});
+  bool more = false;
+  Json machines = Json::array();
+  for (const auto& [ref, row] : rows_) {
+    if (ref <= from || row.created > as_of || row.gone <= as_of) continue;
+    if (machines.size() == most) {
+      more = true;
+      break;
+    }
+    Json item = row.item;
+    item["age_s"] = as_of - row.created;
+    machines.push_back(item);
+  }
+  reply(200, {{"hosts", machines}, {"more", more}});
+}
+
+}  // namespace mothslip::sim
--- a/tests/sim/collector.hpp
+++ b/tests/sim/collector.hpp
@@ -15,7 +15,9 @@
   static constexpr std::size_t kMost = 12;  // of each kind
 
   explicit Collector(World& world) : world_(world) {
-    world.on_peer_message = [this](const HttpCall& call, const HttpAnswer& answer) { take(call, answer); };
+    world.network.on_peer_message = [this](const HttpCall& call, const HttpAnswer& answer) {
+      take(call, answer);
+    };
     look();
   }
 
--- a/tests/sim/gangs.cpp
+++ b/tests/sim/gangs.cpp
@@ -111,7 +111,7 @@
     if (static_cast<int>(job.completed.size()) < job.task_count) failures++;
     fall_back(job, attempt);
   }
-  if (world_.now - attempt.broken_at < world_.base_gang_peer_s()) return;
+  if (world_.now - attempt.broken_at < world_.options.gang_peer_s) return;
   for (Member& member : members) {
     if (!member.worker->hung) exit(member, "mates_gone");
   }
@@ -151,7 +151,7 @@
     }
     return;
   }
-  if (since < world_.base_gang_peer_s()) return;
+  if (since < world_.options.gang_peer_s) return;
   if (!attempt.saved && attempt.broken_at < 0) {
     attempt.broken_at = world_.now;
     failed_saves++;
--- /dev/null
+++ b/tests/sim/rule_checker.cpp
@@ -0,0 +1,192 @@
+#include "sim/rule_checker.hpp"
+
+#include <algorithm>
+
+#include "sim/world.hpp"
+
+namespace mothslip::sim {
+
+namespace {
+constexpr double kUnansweredS = 75;  // for which no question may go without an answer
+constexpr double kWaitingS = 90;     // for which no job may wait beside a machine with room
+constexpr double kAloneS = 6;        // after which a node's lease in the state service is over
+constexpr double kRounding = 1e-6;   // cores
+}  // namespace
+
+void RuleChecker::begin() { check_all(); }
+
+void RuleChecker::check_all() {
+  check_forgotten();
+  check_waiting();
+  check_cancelled();
+  world_.in(1, [this] { check_all(); });
+}
+
+// ---------------------------------------------------------------- starts
+
+void RuleChecker::check_start(const Worker& worker, const Task& task) {
+  const UserJob& job = *task.job;
+  if (job.gang) check_attempt(task);
+  if (job.told_aborted) {
+    late_starts++;
+    // Who has not heard of it by then has lost its lease.
+    if (world_.now - job.aborted_at > world_.options.lease_s)
+      world_.broken("started after its cancellation: " + task.ref);
+  }
+  check_places(worker, task);
+  if (job.told_aborted && world_.now - job.aborted_at > kCancelS)
+    world_.broken("ran_cancelled: " + task.ref + " starts");
+}
+
+void RuleChecker::check_attempt(const Task& task) {
+  UserJob& job = *task.job;
+  if (task.attempt < job.last_attempt)
+    world_.broken("attempt " + std::to_string(task.attempt) + " of " + task.ref + " after a newer one");
+  job.last_attempt = std::max(job.last_attempt, task.attempt);
+}
+
+// It runs once, under its team's limit, and where its job may run.
+void RuleChecker::check_places(const Worker& worker, const Task& task) const {
+  const UserJob& job = *task.job;
+  std::map<std::string, int> in_zone;
+  double used = 0;
+  for (const auto& [name, other] : world_.workers) {
+    if (other->dead) continue;
+    for (const Task& each : other->tasks) {
+      if (!other->on_machine(each)) continue;
+      if (each.job->team == job.team) used += each.job->cores;
+      if (each.job != &job) continue;
+      in_zone[other->zone]++;
+      if (each.index == task.index && !(other.get() == &worker && each.attempt == task.attempt)) {
+        world_.broken("ran_twice: " + task.ref + "/" + std::to_string(task.index) + " on " + worker.name +
+                      " and " + name);
+      }
+    }
+  }
+  if (used > world_.options.team_max + kRounding)
+    world_.broken("quota: " + job.team + " uses " + std::to_string(used));
+  if (worker.spot && !may_use_spot(job)) world_.broken("wrong_place: " + task.ref + " on spot");
+  if (!may_run_in(job, worker.zone)) world_.broken("wrong_place: " + task.ref + " hall");
+  if (is_bound_to_one_zone(job) && in_zone.size() > 1) world_.broken("wrong_place: " + task.ref + " apart");
+  if (is_scattered(job) && in_zone[worker.zone] > most_in_one_zone(job))
+    world_.broken("wrong_place: " + task.ref + " not scattered");
+}
+
+// ---------------------------------------------------------------- answers
+
+void RuleChecker::check_node_answer(const std::string& from, const std::string& node, const HttpCall& call,
+                                    const HttpAnswer& out, bool copy) {
+  if (call.path != "/hello" || out.status != 200) return;
+  const Json body = parse_json(out.body);
+  for (const Json& order : body["orders"]) {
+    if (order["verb"] != "launch") continue;
+    if (copy) orders_to_copies++;
+    check_launch(from, node, order);
+  }
+}
+
+void RuleChecker::check_launch(const std::string& from, const std::string& node, const Json& order) {
+  const auto since = world_.network.isolated.find(node);
+  if (since != world_.network.isolated.end() && world_.now - since->second > kAloneS)
+    world_.broken(std::string("started alone: ").append(node).append(" on ").append(from));
+  const auto worker = world_.workers.find(from);
+  if (worker == world_.workers.end() || !worker->second->inbound_unreachable) return;
+  std::string attempt = from;
+  attempt.append(" ").append(order["piece"].get<std::string>()).append(" ").append(order["try_no"].dump());
+  launches_to_unreachable[attempt]++;
+}
+
+// ---------------------------------------------------------------- once a second
+
+// From the troubles' end on every question finds an answer.
+void RuleChecker::check_forgotten() {
+  for (auto& [ref, job] : world_.jobs) {
+    if (job.asked_since < 0 || !job.accepted) continue;
+    if (world_.now - std::max(job.asked_since, world_.troubles_end) <= kUnansweredS) continue;
+    world_.broken("forgotten: " + ref + " without an answer for 75 s");
+    job.asked_since = world_.now;
+  }
+}
+
+void RuleChecker::check_cancelled() const {
+  for (const auto& [name, worker] : world_.workers) {
+    if (worker->dead) continue;
+    for (const Task& task : worker->tasks) {
+      if (!worker->on_machine(task)) continue;
+      const UserJob& job = *task.job;
+      if (job.told_aborted && world_.now - job.aborted_at > kCancelS)
+        world_.broken("ran_cancelled: " + task.ref + " on " + name);
+    }
+  }
+}
+
+// What its team's tasks take, while none of its own is on a machine.
+std::optional<double> RuleChecker::cores_of_team_without(const UserJob& job) const {
+  double used = 0;
+  for (const auto& [name, worker] : world_.workers) {
+    if (!worker->up()) continue;
+    for (const Task& task : worker->tasks) {
+      if (task.phase == "exited" || task.job->team != job.team) continue;
+      if (task.job == &job) return std::nullopt;
+      used += task.job->cores;
+    }
+  }
+  return used;
+}
+
+// Machines that are well have room for all its tasks, where they may go.
+bool RuleChecker::gang_could_run(const UserJob& job) const {
+  const auto used = cores_of_team_without(job);
+  if (!used) return false;
+  std::map<std::string, int> in_zone;
+  for (const auto& [name, worker] : world_.workers) {
+    if (!worker->up()) continue;
+    const bool well = worker->is_healthy() && worker->eviction_notice_s < 0;
+    const bool allowed = (!worker->spot || may_use_spot(job)) && may_run_in(job, worker->zone);
+    if (well && allowed) in_zone[worker->zone] += static_cast<int>(worker->free_cores() / job.cores);
+  }
+  int places = 0;
+  for (const auto& [zone, slots] : in_zone) {
+    if (is_bound_to_one_zone(job)) {
+      places = std::max(places, slots);
+    } else {
+      places += is_scattered(job) ? std::min(slots, most_in_one_zone(job)) : slots;
+    }
+  }
+  return places >= job.task_count && *used + job.task_count * job.cores <= world_.options.team_max &&
+         !has_completed(job);
+}
+
+// None of its tasks is on a machine, and one has room for it now, under its team's limit? (Where tasks are
+// bound to each other, only while none is done either.)
+bool RuleChecker::could_run(const UserJob& job) const {
+  if (job.gang) return gang_could_run(job);
+  const auto used = cores_of_team_without(job);
+  if (!used) return false;
+  const bool room =
+      std::any_of(world_.workers.begin(), world_.workers.end(), [&job](const auto& named_worker) {
+        const Worker& worker = *named_worker.second;
+        return worker.up() && worker.is_healthy() && worker.free_cores() >= job.cores &&
+               (!worker.spot || may_use_spot(job)) && may_run_in(job, worker.zone);
+      });
+  const bool bound = is_bound_to_one_zone(job) || is_scattered(job);
+  if (bound && !job.completed.empty()) return false;
+  return room && *used + job.cores <= world_.options.team_max && !has_completed(job);
+}
+
+// Once the troubles are over, no job waits for 90 s while a machine has room for it.
+void RuleChecker::check_waiting() {
+  if (!all_runs) return;
+  for (auto& [ref, job] : world_.jobs) {
+    if (!job.accepted || job.cancel_asked || job.told_done || !could_run(job)) {
+      job.waits_beside_room = -1;
+      continue;
+    }
+    if (job.waits_beside_room < 0) job.waits_beside_room = world_.now;
+    if (world_.now - std::max(job.waits_beside_room, world_.troubles_end) <= kWaitingS) continue;
+    world_.broken("waits: " + ref + " has waited for 90 s beside a machine with room");
+    job.waits_beside_room = world_.now;
+  }
+}
+
+}  // namespace mothslip::sim
--- /dev/null
+++ b/tests/sim/rule_checker.hpp
@@ -0,0 +1,49 @@
+// The protocol's rules as invariants of the simulated cluster: each start and each answer is checked as it
+// happens, and all jobs and machines once a second. A rule that is broken is reported to the World.
+#pragma once
+
+#include <map>
+#include <optional>
+#include <string>
+
+#include "sim/user_job.hpp"
+#include "sim/worker.hpp"
+#include "transport/env.hpp"
+#include "transport/http.hpp"
+
+namespace mothslip::sim {
+
+class World;
+
+class RuleChecker {
+ public:
+  explicit RuleChecker(World& world) : world_(world) {}
+  void begin();  // from now on, once a second
+
+  // A task has just come onto the machine.
+  void check_start(const Worker& worker, const Task& task);
+  // What a node may not do with its answers. `copy`: to a copy of an earlier message.
+  void check_node_answer(const std::string& from, const std::string& node, const HttpCall& call,
+                         const HttpAnswer& out, bool copy);
+
+  bool all_runs = true;  // no job may wait for 90 s beside a machine with room, once the troubles are over
+  int orders_to_copies = 0;  // launches in answers to copies of reports: they go nowhere
+  std::map<std::string, int> launches_to_unreachable;  // by attempt
+  int late_starts = 0;                                 // after the user was told that the job is cancelled
+
+ private:
+  void check_all();
+  void check_forgotten();
+  void check_waiting();
+  void check_cancelled() const;
+  void check_launch(const std::string& from, const std::string& node, const Json& order);
+  void check_attempt(const Task& task);
+  void check_places(const Worker& worker, const Task& task) const;
+  [[nodiscard]] bool could_run(const UserJob& job) const;
+  [[nodiscard]] std::optional<double> cores_of_team_without(const UserJob& job) const;
+  [[nodiscard]] bool gang_could_run(const UserJob& job) const;
+
+  World& world_;
+};
+
+}  // namespace mothslip::sim
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -1,5 +1,7 @@
-// The state service of the simulated cluster.
+#include "sim/state_service.hpp"
+
 #include <algorithm>
+#include <utility>
 
 #include "sim/query.hpp"
 #include "sim/world.hpp"
@@ -19,13 +21,6 @@
   writes_.set_rate(write_rps, write_rps, world_.now);
 }
 
-bool StateService::over_size(const Json& changes, std::size_t conditions) const {
-  if (changes.size() > txn_ops_ || conditions > 4 * txn_ops_) return true;
-  return std::any_of(changes.begin(), changes.end(), [this](const Json& change) {
-    return change.contains("put") && static_cast<double>(change["data"].dump().size()) > 1024 * value_kb_;
-  });
-}
-
 std::uint64_t StateService::revision(const std::string& key) const {
   const auto it = revisions_.find(key);
   return it == revisions_.end() ? 0 : it->second;
@@ -82,7 +77,7 @@
 void StateService::restore(const Copy& copy) {
   values_ = copy.values;
   revisions_ = copy.revisions;
-  lease_ids_ = copy.holds;
+  lease_ids_ = copy.lease_ids;
   revision_ = copy.revision;
   next_lease_ = copy.next_lease;
   leases_.clear();
@@ -125,7 +120,7 @@
   std::erase_if(watches_, [](const auto& watch) { return watch->over; });
 }
 
-void StateService::handle(const std::string& method, const std::string& target, const std::string& body,
+void StateService::handle(const std::string& /*method*/, const std::string& target, const std::string& body,
                           const Reply& reply) {
   expire();
   if (outage_) return reply(503, {{"error", "trouble"}});
@@ -137,103 +132,138 @@
     }
     calls_.take(1, world_.now);
   }
-  if (path == "/changes") {
-    auto watch = std::make_shared<Watch>();
-    watch->prefix = query(target, "prefix");
-    watch->from = std::stoull(query(target, "from"));
-    watch->reply = reply;
-    if (answer_watch(*watch)) return;
-    watches_.push_back(watch);
-    world_.in(std::stod(query(target, "wait_ms")) / 1000, [this, watch] {
-      if (watch->over || outage_ || hold_watches) return;
-      watch->over = true;
-      watch->reply(200, {{"epoch", revision_}, {"events", Json::array()}});
-    });
-    return;
-  }
-  if (path == "/keys") {
-    const std::string prefix = query(target, "prefix");
-    const std::string from = query(target, "from");
-    Json items = Json::array();
-    bool more = false;
-    for (auto it = values_.lower_bound(prefix); it != values_.end() && starts_with(it->first, prefix); ++it) {
-      if (!from.empty() && it->first <= from) continue;
-      if (items.size() == world_.options.page) {
-        more = true;
-        break;
-      }
-      items.push_back({{"k", it->first}, {"data", it->second}, {"stamp", revisions_[it->first]}});
+  if (path == "/changes") return open_watch(target, reply);
+  if (path == "/keys") return list_keys(target, reply);
+  if (starts_with(path, "/keys/")) return read_key(path.substr(6), reply);
+  const Json request = body.empty() ? Json::object() : parse_json(body);
+  if (path == "/commit") return commit(request, body, reply);
+  if (path == "/leases") return grant_lease(request, reply);
+  if (starts_with(path, "/leases/")) return renew_lease(std::stoull(path.substr(8)), reply);
+  reply(400, {{"error", "malformed"}});
+}
+
+// ---------------------------------------------------------------- reads
+
+void StateService::open_watch(const std::string& target, const Reply& reply) {
+  auto watch = std::make_shared<Watch>();
+  watch->prefix = query(target, "prefix");
+  watch->from = std::stoull(query(target, "from"));
+  watch->reply = reply;
+  if (answer_watch(*watch)) return;
+  watches_.push_back(watch);
+  world_.in(std::stod(query(target, "wait_ms")) / 1000, [this, watch] {
+    if (watch->over || outage_ || hold_watches) return;
+    watch->over = true;
+    watch->reply(200, {{"epoch", revision_}, {"events", Json::array()}});
+  });
+}
+
+void StateService::list_keys(const std::string& target, const Reply& reply) {
+  const std::string prefix = query(target, "prefix");
+  const std::string from = query(target, "from");
+  Json items = Json::array();
+  bool more = false;
+  for (auto it = values_.lower_bound(prefix); it != values_.end() && starts_with(it->first, prefix); ++it) {
+    if (!from.empty() && it->first <= from) continue;
+    if (items.size() == world_.options.page) {
+      more = true;
+      break;
     }
-    return reply(200, {{"items", items}, {"more", more}, {"epoch", revision_}});
+    items.push_back({{"k", it->first}, {"data", it->second}, {"stamp", revisions_[it->first]}});
   }
-  if (starts_with(path, "/keys/")) {
-    const std::string key = path.substr(6);
-    const auto it = values_.find(key);
-    if (it == values_.end()) return reply(404, {{"epoch", revision_}});
-    Json out = {{"k", key}, {"data", it->second}, {"stamp", revisions_[key]}};
-    if (lease_ids_.count(key) > 0) out["hold"] = lease_ids_[key];
-    return reply(200, out);
+  reply(200, {{"items", items}, {"more", more}, {"epoch", revision_}});
+}
+
+void StateService::read_key(const std::string& key, const Reply& reply) {
+  const auto it = values_.find(key);
+  if (it == values_.end()) return reply(404, {{"epoch", revision_}});
+  Json out = {{"k", key}, {"data", it->second}, {"stamp", revisions_[key]}};
+  if (lease_ids_.count(key) > 0) out["hold"] = lease_ids_[key];
+  reply(200, out);
+}
+
+// ---------------------------------------------------------------- transactions
+
+bool StateService::over_size(const Json& changes, std::size_t conditions) const {
+  if (changes.size() > txn_ops_ || conditions > 4 * txn_ops_) return true;
+  return std::any_of(changes.begin(), changes.end(), [this](const Json& change) {
+    return change.contains("put") && static_cast<double>(change["data"].dump().size()) > 1024 * value_kb_;
+  });
+}
+
+bool StateService::take_writes(std::size_t changes) {
+  if (!world_.options.rate_limits || changes == 0) return true;
+  const auto cost = static_cast<double>(changes);
+  if (!writes_.can_take(cost, 0, world_.now)) return false;
+  writes_.take(cost, world_.now);
+  return true;
+}
+
+Json StateService::failed_guards(const Json& transaction) const {
+  Json failed = Json::array();
+  for (const Json& guard : transaction["guards"]) {
+    if (revision(guard["k"]) != guard["stamp"].get<std::uint64_t>()) failed.push_back(guard["k"]);
   }
-  const Json json = body.empty() ? Json::object() : parse_json(body);
-  if (path == "/commit") {
-    const auto changes = json["then"].size();
-    if (over_size(json["then"], json["guards"].size())) {
-      too_large++;
-      if (!may_be_too_large) world_.broken("a transaction that is too large: " + body.substr(0, 300));
-      return reply(400, {{"error", "too large"}});
-    }
-    if (world_.options.rate_limits && changes > 0) {
-      const double cost = static_cast<double>(changes);
-      if (!writes_.can_take(cost, 0, world_.now)) {
-        too_many++;
-        return reply(429, Json::object());
-      }
-      writes_.take(cost, world_.now);
-    }
-    changes_made += static_cast<int>(changes);
-    Json failed = Json::array();
-    for (const Json& guard : json["guards"]) {
-      if (revision(guard["k"]) != guard["stamp"].get<std::uint64_t>()) failed.push_back(guard["k"]);
-    }
-    for (const Json& change : json["then"]) {
-      if (change.contains("hold") && leases_.count(change["hold"].get<std::uint64_t>()) == 0) {
-        return reply(400, {{"error", "no such lease"}});
-      }
-    }
-    if (!failed.empty()) return reply(409, {{"failed", failed}, {"epoch", revision_}});
-    if (!json["then"].empty()) revision_++;
-    for (const Json& change : json["then"]) {
-      if (change.contains("put")) {
-        const std::string key = change["put"];
-        values_[key] = change["data"];
-        revisions_[key] = revision_;
-        lease_ids_.erase(key);
-        if (change.contains("hold")) lease_ids_[key] = change["hold"].get<std::uint64_t>();
-        changed(key, {{"put", key}, {"data", change["data"]}, {"stamp", revision_}});
-      } else {
-        const std::string key = change["delete"];
-        if (values_.count(key) == 0) continue;
-        erase(key);
-        changed(key, {{"delete", key}, {"stamp", revision_}});
-      }
-    }
-    reply(200, {{"epoch", revision_}});
-    serve_watches();
-    return;
+  return failed;
+}
+
+bool StateService::has_unknown_lease(const Json& changes) const {
+  return std::any_of(changes.begin(), changes.end(), [this](const Json& change) {
+    return change.contains("hold") && leases_.count(change["hold"].get<std::uint64_t>()) == 0;
+  });
+}
+
+// `text`: of the transaction as it came.
+void StateService::commit(const Json& transaction, const std::string& text, const Reply& reply) {
+  const Json& changes = transaction["then"];
+  if (over_size(changes, transaction["guards"].size())) {
+    too_large++;
+    if (!may_be_too_large) world_.broken("a transaction that is too large: " + text.substr(0, 300));
+    return reply(400, {{"error", "too large"}});
   }
-  if (path == "/leases") {
-    const double ttl = json["ttl_ms"].get<double>() / 1000;
-    leases_[next_lease_] = {ttl, world_.now + ttl};
-    return reply(200, {{"hold", next_lease_++}});
+  if (!take_writes(changes.size())) {
+    too_many++;
+    return reply(429, Json::object());
   }
-  if (starts_with(path, "/leases/")) {
-    const auto it = leases_.find(std::stoull(path.substr(8)));
-    if (it == leases_.end()) return reply(404, Json::object());
-    it->second.ends = world_.now + it->second.ttl;
-    return reply(200, {{"hold", it->first}});
+  changes_made += static_cast<int>(changes.size());
+  const Json failed = failed_guards(transaction);
+  if (has_unknown_lease(changes)) return reply(400, {{"error", "no such lease"}});
+  if (!failed.empty()) return reply(409, {{"failed", failed}, {"epoch", revision_}});
+  if (!changes.empty()) revision_++;
+  for (const Json& change : changes) apply(change);
+  reply(200, {{"epoch", revision_}});
+  serve_watches();
+}
+
+void StateService::apply(const Json& change) {
+  if (change.contains("put")) {
+    const std::string key = change["put"];
+    values_[key] = change["data"];
+    revisions_[key] = revision_;
+    lease_ids_.erase(key);
+    if (change.contains("hold")) lease_ids_[key] = change["hold"].get<std::uint64_t>();
+    changed(key, {{"put", key}, {"data", change["data"]}, {"stamp", revision_}});
+    return;
   }
-  (void)method;
-  reply(400, {{"error", "malformed"}});
+  const std::string key = change["delete"];
+  if (values_.count(key) == 0) return;
+  erase(key);
+  changed(key, {{"delete", key}, {"stamp", revision_}});
+}
+
+// ---------------------------------------------------------------- leases
+
+void StateService::grant_lease(const Json& request, const Reply& reply) {
+  const double ttl = request["ttl_ms"].get<double>() / 1000;
+  leases_[next_lease_] = {ttl, world_.now + ttl};
+  reply(200, {{"hold", next_lease_++}});
+}
+
+void StateService::renew_lease(std::uint64_t id, const Reply& reply) {
+  const auto it = leases_.find(id);
+  if (it == leases_.end()) return reply(404, Json::object());
+  it->second.ends = world_.now + it->second.ttl;
+  reply(200, {{"hold", it->first}});
 }
 
 }  // namespace mothslip::sim
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -29,7 +29,7 @@
   } else if (question == Question::kCancellation) {
     call = {client_address_of(node), "POST", "/v2/runs/" + ref + "/cancel", "{}", kSubmitPatience};
   }
-  world_.send(
+  world_.network.send(
       "user", call,
       [this, question, ref, asked = world_.now, handler = std::move(handler)](const HttpReply& reply) {
         check(question, ref, asked, reply);
--- /dev/null
+++ b/tests/sim/worker.cpp
@@ -0,0 +1,296 @@
+#include "sim/worker.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "sim/addresses.hpp"
+#include "sim/world.hpp"
+
+namespace mothslip::sim {
+
+namespace {
+constexpr double kStep = 0.1;            // seconds between looks at its tasks
+constexpr double kShortestGap = 0.5;     // seconds between reports, however much changes
+constexpr double kReportPatience = 4.0;  // seconds for which it waits for the answer to a report
+constexpr double kFailsAfter = 0.5;      // seconds, of a task that fails
+}  // namespace
+
+Worker::Worker(World& world, std::string name_in, std::string address_in, std::string machine_type_in,
+               std::string zone_in, bool spot_in, double drift)
+    : name(std::move(name_in)),
+      address(std::move(address_in)),
+      machine_type(std::move(machine_type_in)),
+      zone(std::move(zone_in)),
+      spot(spot_in),
+      world_(world),
+      drift_(drift) {}
+
+double Worker::now() const { return world_.now * drift_; }
+
+void Worker::boot() {
+  if (dead) return;
+  booted_ = true;
+  node_ = node_name(static_cast<int>(world_.rng() % static_cast<std::uint64_t>(world_.options.nodes)));
+  last_answered_sent_ = now();
+  step();
+}
+
+bool Worker::is_healthy() const {
+  return !hung && !inbound_unreachable && !answers_lost && !outbound_unreachable && !faulty;
+}
+
+double Worker::free_cores() const {
+  double used = 0;
+  for (const Task& task : tasks) {
+    if (task.phase != "exited") used += task.job->cores;
+  }
+  return capacity() - used;
+}
+
+void Worker::reboot(bool forgets) {
+  tasks.clear();
+  images_.clear();
+  held_.clear();
+  in_flight_ = false;
+  flight_++;
+  fencing_token_ = 0;
+  worker_incarnation_ = forgets ? 1 : worker_incarnation_ + 1;
+  if (forgets) heartbeat_sequence_ = 0;
+  last_answered_sent_ = now();
+  changed_ = true;
+}
+
+void Worker::hang(double for_s) {
+  hung = true;
+  world_.in(for_s, [this] { resume(); });
+}
+
+void Worker::resume() {
+  hung = false;
+  check_lease();
+  const auto held = std::move(held_);
+  held_.clear();
+  for (const auto& action : held) action();
+}
+
+void Worker::run_or_hold(std::function<void()> action) {
+  if (hung) {
+    held_.push_back(std::move(action));
+  } else {
+    action();
+  }
+}
+
+void Worker::check_lease() {
+  if (now() - last_answered_sent_ <= world_.options.lease_s) return;
+  for (const Task& task : tasks) world_.lost_to_leases += on_machine(task) ? 1 : 0;
+  tasks.clear();
+  worker_incarnation_++;
+  last_answered_sent_ = now();
+  changed_ = true;
+}
+
+// ---------------------------------------------------------------- what its tasks do
+
+void Worker::step() {
+  if (dead) {
+    tasks.clear();
+    return;
+  }
+  check_lease();  // a machine resumes only within its lease: beyond it, its tasks are gone, hung or not
+  if (!hung) {
+    for (Task& task : tasks) step_task(task);
+    const bool due = now() >= next_report_ || (changed_ && now() - last_report_ >= kShortestGap);
+    if (!in_flight_ && due) send_report();
+  } else {
+    for (Task& task : tasks) {
+      if (task.phase != "exited") task.until += kStep;
+    }
+  }
+  world_.in(kStep, [this] { step(); });
+}
+
+void Worker::step_task(Task& task) {
+  if (task.phase == "exited" || world_.now < task.until) return;
+  const UserJob& job = *task.job;
+  if (job.gang && task.phase != "pulling") return;  // Gangs plays them
+  changed_ = true;
+  const bool fails = faulty || job.mistaken;
+  if (task.phase != "pulling") {
+    task.phase = "exited";
+    task.cause = fails ? "error" : "done";
+    if (!fails) world_.on_done(task);
+    return;
+  }
+  images_.insert(job.body["bundle"]);
+  if (job.gang) {
+    task.phase = "waiting";
+    task.until = world_.now + world_.options.gang_wait_s;
+  } else {
+    task.phase = "running";
+    const double takes =
+        job.spread_ends > 0 ? job.run_s + job.spread_ends * task.index : job.run_s * world_.uniform(0.7, 1.3);
+    task.until = world_.now + (fails ? kFailsAfter : takes);
+  }
+  world_.on_start(*this, task);
+}
+
+// ---------------------------------------------------------------- reports
+
+Json Worker::report() {
+  Json reported = Json::array();
+  for (const Task& task : tasks) {
+    Json item = {{"piece", task.ref + "/" + std::to_string(task.index)},
+                 {"try_no", task.attempt},
+                 {"phase", task.phase}};
+    if (task.phase == "exited") item["exit_cause"] = task.cause;
+    if (task.stored) item["stored"] = true;
+    reported.push_back(item);
+  }
+  return {{"host", name},
+          {"address", address},
+          {"flavour", machine_type},
+          {"hall", zone},
+          {"loaner", spot},
+          {"tenure", worker_incarnation_},
+          {"tick", ++heartbeat_sequence_},
+          {"baton", fencing_token_},
+          {"warning_s", eviction_notice_s < 0 ? Json(nullptr) : Json(eviction_notice_s)},
+          {"pieces", reported}};
+}
+
+void Worker::send_report() {
+  changed_ = false;
+  in_flight_ = true;
+  const Flight flight{++flight_, now(), worker_incarnation_, node_index(node_)};
+  last_report_ = flight.sent;
+  next_report_ = flight.sent + world_.options.report_s * world_.uniform(0.75, 1.25);
+  const HttpCall call{client_address_of(flight.node), "POST", "/hello", dump_json(report()), kReportPatience};
+  world_.in(kReportPatience + 0.05, [this, number = flight.number] { give_up_report(number); });
+  if (outbound_unreachable) return;
+  world_.network.send(name, call, [this, flight](const HttpReply& reply) {
+    run_or_hold([this, flight, reply] { on_report_answered(flight, reply); });
+  });
+}
+
+// Of one that nobody answers because of the machine's own faults. (In all other cases the network says so.)
+void Worker::give_up_report(std::uint64_t flight) {
+  if (dead || hung || flight != flight_ || !in_flight_) return;
+  if (!inbound_unreachable && !answers_lost && !outbound_unreachable) return;
+  in_flight_ = false;
+  node_ = node_name((node_index(node_) + 1) % world_.options.nodes);
+  next_report_ = now() + 1;
+}
+
+void Worker::on_report_answered(const Flight& flight, const HttpReply& reply) {
+  if (dead || flight.number != flight_ || !in_flight_) return;
+  if ((inbound_unreachable || answers_lost) && reply.status != 0) return;  // the time-out comes instead
+  in_flight_ = false;
+  if (reply.status == 200) {
+    on_report_accepted(flight, parse_json(reply.body));
+  } else {
+    on_report_refused(flight, reply);
+  }
+}
+
+void Worker::on_report_accepted(const Flight& flight, const Json& body) {
+  if (!body.is_object() || !body.contains("baton")) return;
+  const auto fencing_token = body["baton"].get<std::uint64_t>();
+  if (fencing_token < fencing_token_) return;
+  if (now() - flight.sent > kReportPatience || flight.worker_incarnation != worker_incarnation_) return;
+  if (fencing_token > fencing_token_) {
+    fencing_token_ = fencing_token;
+    changed_ = true;
+  }
+  last_answered_sent_ = std::max(last_answered_sent_, flight.sent);
+  execute(body["orders"]);
+}
+
+// It goes to the node that it was redirected to, or else to the next.
+void Worker::on_report_refused(const Flight& flight, const HttpReply& reply) {
+  std::string parent;
+  if (reply.status == 421) parent = parse_json(reply.body).value("parent", "");
+  if (!parent.empty() && parent != node_) {
+    node_ = parent;
+    next_report_ = now() + world_.uniform(0, 0.5);
+  } else {
+    node_ = node_name((flight.node + 1) % world_.options.nodes);
+    next_report_ = now() + 1;
+  }
+}
+
+// ---------------------------------------------------------------- commands
+
+void Worker::handle(const std::string& target, const std::string& body, const Reply& reply) {
+  if (inbound_unreachable) return;
+  run_or_hold([this, target, body, reply] { on_command(target, body, reply); });
+}
+
+void Worker::on_command(const std::string& target, const std::string& body, const Reply& reply) {
+  if (dead) return;
+  check_lease();
+  if (target == "/status") return reply(200, report());
+  const Json json = parse_json(body);
+  if (!json.contains("baton") || !json.contains("tenure")) return reply(400, Json::object());
+  const auto fencing_token = json["baton"].get<std::uint64_t>();
+  if (fencing_token < fencing_token_ || json["tenure"].get<std::uint64_t>() != worker_incarnation_)
+    return reply(409, report());
+  if (fencing_token > fencing_token_) {
+    fencing_token_ = fencing_token;
+    changed_ = true;
+  }
+  execute(json["orders"]);
+  reply(200, report());
+}
+
+void Worker::execute(const Json& orders) {
+  for (const Json& order : orders) {
+    const std::string verb = order["verb"];
+    const std::string name_of_task = order["piece"];
+    const std::uint64_t attempt = order["try_no"];
+    const auto it = std::find_if(tasks.begin(), tasks.end(), [&](const Task& task) {
+      return task.ref + "/" + std::to_string(task.index) == name_of_task && task.attempt == attempt;
+    });
+    if (verb == "launch") {
+      if (it == tasks.end()) launch(name_of_task, attempt);
+    } else if (it != tasks.end() && verb == "stop") {
+      stop(*it, order);
+    } else if (it != tasks.end() && verb == "reap" && it->phase == "exited") {
+      tasks.erase(it);
+    }
+  }
+}
+
+void Worker::stop(Task& task, const Json& order) {
+  if (task.phase == "exited" || ignores_stops) return;
+  changed_ = true;
+  if (task.job->gang) return world_.gangs.stop(task, order["wind_down_s"].get<double>());
+  task.phase = "exited";
+  task.cause = "halted";
+}
+
+void Worker::launch(const std::string& name_of_task, std::uint64_t attempt) {
+  const auto slash = name_of_task.rfind('/');
+  Task task;
+  task.ref = name_of_task.substr(0, slash);
+  task.index = std::stoi(name_of_task.substr(slash + 1));
+  task.attempt = attempt;
+  changed_ = true;
+  const auto refuse = [&](const char* cause) {
+    task.phase = "exited";
+    task.cause = cause;
+    tasks.push_back(task);
+  };
+  const auto job = world_.jobs.find(task.ref);
+  if (job == world_.jobs.end() || task.index >= job->second.task_count) return refuse("no_such");
+  for (const Task& other : tasks) {
+    if (other.phase == "exited") continue;
+    if (other.ref == task.ref && other.index == task.index) return refuse("in_use");
+  }
+  task.job = &job->second;
+  if (job->second.cores > free_cores()) return refuse("no_room");
+  task.until = world_.now + (images_.count(job->second.body["bundle"]) > 0 ? 0.05 : world_.uniform(0.5, 2));
+  tasks.push_back(task);
+}
+
+}  // namespace mothslip::sim
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -41,9 +41,9 @@
       const bool all = world.rng() % 5 == 0;
       const int which = some_node(world);
       for (int i = 0; i < world.options.nodes; i++) {
-        if (which == i || all) world.crash_node(i, world.uniform(0.1, 9));
+        if (which == i || all) world.nodes.crash(i, world.uniform(0.1, 9));
       }
-      if (world.rng() % 5 == 0) world.crash_node(0, 0.2);
+      if (world.rng() % 5 == 0) world.nodes.crash(0, 0.2);
     });
   }
   world.run_until(500);
@@ -56,7 +56,7 @@
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
-    world.at(t + world.uniform(0, 18), [&world] { world.crash_node(some_node(world), 3); });
+    world.at(t + world.uniform(0, 18), [&world] { world.nodes.crash(some_node(world), 3); });
     world.at(t + 5, [&world] { world.cloud.outage = true; });
     world.at(t + 30, [&world] { world.cloud.outage = false; });
   }
@@ -69,10 +69,10 @@
   add_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 25) {
     world.at(t, [&world] {
-      world.state_refuses.clear();
-      world.state_refuses.insert(node_name(some_node(world)));
+      world.network.state_refuses.clear();
+      world.network.state_refuses.insert(node_name(some_node(world)));
     });
-    world.at(t + world.uniform(3, 20), [&world] { world.state_refuses.clear(); });
+    world.at(t + world.uniform(3, 20), [&world] { world.network.state_refuses.clear(); });
   }
   world.run_until(600);
   expect_kept(world);
@@ -92,15 +92,15 @@
           worker->dead = true;
           break;
         case 1:
-          world.hang(*worker, world.uniform(2, 40));
+          worker->hang(world.uniform(2, 40));
           break;
         case 2:
           worker->faulty = true;
           break;
         default:
-          world.cut_off(name);
+          world.network.cut_off(name);
           world.in(world.uniform(5, 40), [&world, name] {
-            for (int i = 0; i < world.options.nodes; i++) world.cuts.erase({name, node_name(i)});
+            for (int i = 0; i < world.options.nodes; i++) world.network.cuts.erase({name, node_name(i)});
           });
       }
     });
@@ -113,7 +113,7 @@
   Options mix = options();
   mix.loss = 0.01;
   World world(mix);
-  world.hold_share = 0.8;
+  world.network.hold_share = 0.8;
   add_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(4, 10)) {
     world.at(t, [&world] {
@@ -122,24 +122,24 @@
       const std::string name = "roost-" + std::to_string(node);
       switch (world.rng() % 6) {
         case 0:
-          world.crash_node(node, world.uniform(0.1, 9));
+          world.nodes.crash(node, world.uniform(0.1, 9));
           break;
         case 1:
           world.state.set_outage(true);
           world.in(world.uniform(1, 12), [&world] { world.state.set_outage(false); });
           break;
         case 2:
-          world.state_refuses.insert(name);
-          world.in(world.uniform(1, 15), [&world, name] { world.state_refuses.erase(name); });
+          world.network.state_refuses.insert(name);
+          world.in(world.uniform(1, 15), [&world, name] { world.network.state_refuses.erase(name); });
           break;
         case 3: {
           const std::string other = node_name((node + 1) % world.options.nodes);
-          world.cuts.insert({name, other});
-          if (worker != nullptr) world.cuts.insert({worker->name, name});
+          world.network.cuts.insert({name, other});
+          if (worker != nullptr) world.network.cuts.insert({worker->name, name});
           const std::string cut = worker == nullptr ? other : worker->name;
           world.in(world.uniform(3, 30), [&world, name, other, cut] {
-            world.cuts.erase({name, other});
-            world.cuts.erase({cut, name});
+            world.network.cuts.erase({name, other});
+            world.network.cuts.erase({cut, name});
           });
           break;
         }
@@ -148,7 +148,7 @@
           break;
         default:
           if (worker != nullptr) {
-            world.hang(*worker, world.uniform(2, 30));
+            worker->hang(world.uniform(2, 30));
           }
       }
     });
@@ -162,7 +162,7 @@
 // still running.
 TEST_P(Cluster, ASilentMachineMayStillBeRenewedByTheOldOwner) {
   World world(options());
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   // (There is room left on other machines: what would be freed wrongly starts there.)
   for (int i = 0; i < 10; i++) {
     UserJob job = make_job(world, i, 2, 20);
@@ -174,19 +174,19 @@
   }
   world.at(45, [&world] {
     world.cloud.outage = true;
-    world.state_refuses.insert("roost-0");
-    world.isolated["roost-0"] = world.now;
+    world.network.state_refuses.insert("roost-0");
+    world.network.isolated["roost-0"] = world.now;
     for (int i = 1; i < world.options.nodes; i++) {
-      world.cuts.insert({"roost-0", node_name(i)});
+      world.network.cuts.insert({"roost-0", node_name(i)});
       for (auto& [name, worker] : world.workers) {
-        if (shard_of(name, world.options.nodes) == 0) world.cuts.insert({name, node_name(i)});
+        if (shard_of(name, world.options.nodes) == 0) world.network.cuts.insert({name, node_name(i)});
       }
     }
   });
   world.at(100, [&world] {
-    world.cuts.clear();
-    world.state_refuses.clear();
-    world.isolated.clear();
+    world.network.cuts.clear();
+    world.network.state_refuses.clear();
+    world.network.isolated.clear();
   });
   world.at(120, [&world] { world.cloud.outage = false; });
   world.troubles_end = 120;
@@ -201,18 +201,18 @@
   Options quiet = options();
   quiet.loss = 0;
   World world(quiet);
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   add_jobs(world, 2, 60);
   std::vector<Worker*> away;
   world.at(50, [&world, &away] {
     for (auto& [name, worker] : world.workers) {
       if (away.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
       away.push_back(worker.get());
-      world.cut_off(name);
+      world.network.cut_off(name);
     }
   });
   world.at(74, [&world, &away] {
-    world.cuts.clear();
+    world.network.cuts.clear();
     EXPECT_GE(away.size(), 3u);
     for (const Worker* worker : away) EXPECT_FALSE(worker->dead) << worker->name;
   });
@@ -229,23 +229,24 @@
   for (double t = 25; t < 150; t += 12) {
     world.at(t, [&world, &for_good] {
       Worker* worker = some_worker(world);
-      if (worker == nullptr || worker->inbound_unreachable || worker->muffled) return;
+      if (worker == nullptr || worker->inbound_unreachable || worker->answers_lost) return;
       if (world.rng() % 3 == 0) {
-        worker->muffled = true;
+        worker->answers_lost = true;
       } else {
         worker->inbound_unreachable = true;
       }
       if (world.rng() % 3 == 0) {
         for_good.push_back(worker->name);
       } else {
-        world.in(world.uniform(3, 60), [worker] { worker->inbound_unreachable = worker->muffled = false; });
+        world.in(world.uniform(3, 60),
+                 [worker] { worker->inbound_unreachable = worker->answers_lost = false; });
       }
     });
   }
   world.troubles_end = 250;
   world.run_until(600);
   expect_kept(world);
-  for (const auto& [attempt, count] : world.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
+  for (const auto& [attempt, count] : world.rules.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
   for (const std::string& name : for_good)
     EXPECT_TRUE(world.workers.at(name)->dead) << name << " is still kept";
 }
@@ -263,21 +264,21 @@
       Worker* worker = some_worker(world);
       switch (world.rng() % 3) {
         case 0:
-          world.crash_node(some_node(world), world.uniform(0.1, 9));
+          world.nodes.crash(some_node(world), world.uniform(0.1, 9));
           break;
         case 1:
           if (worker != nullptr) worker->dead = true;
           break;
         default:
           if (worker == nullptr) break;
-          world.hang(*worker, world.uniform(2, 30));
+          worker->hang(world.uniform(2, 30));
       }
     });
   }
   world.troubles_end = 200;
   world.run_until(500);
   expect_kept(world);
-  EXPECT_EQ(world.orders_to_copies, 0);
+  EXPECT_EQ(world.rules.orders_to_copies, 0);
 }
 
 // A node reaches neither the state service nor the other nodes, but its workers (and sometimes the others do
@@ -285,26 +286,26 @@
 // role again.
 TEST_P(Cluster, ANodeWithItsWorkersOnly) {
   World world(options());
-  world.hold_share = 0.3;
+  world.network.hold_share = 0.3;
   add_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 45) {
     world.at(t, [&world] {
       const std::string name = node_name(some_node(world));
       const bool unreached = world.rng() % 2 == 0;
-      world.state_refuses.insert(name);
-      world.isolated[name] = world.now;
+      world.network.state_refuses.insert(name);
+      world.network.isolated[name] = world.now;
       for (int i = 0; i < world.options.nodes; i++) {
         if (node_name(i) == name) continue;
-        world.cuts.insert({name, node_name(i)});
+        world.network.cuts.insert({name, node_name(i)});
         for (auto& [machine_name, worker] : world.workers) {
           if (unreached && shard_of(machine_name, world.options.nodes) == name.back() - '0')
-            world.cuts.insert({machine_name, node_name(i)});
+            world.network.cuts.insert({machine_name, node_name(i)});
         }
       }
       world.in(world.uniform(5, 40), [&world] {
-        world.cuts.clear();
-        world.state_refuses.clear();
-        world.isolated.clear();
+        world.network.cuts.clear();
+        world.network.state_refuses.clear();
+        world.network.isolated.clear();
       });
     });
   }
@@ -325,14 +326,14 @@
   for (double t = 10; t < 170; t += world.uniform(3, 9)) {
     world.at(t, [&world] {
       const int node = some_node(world);
-      world.drop_state_answers = static_cast<int>(world.rng() % 3);
-      world.crash_node(node, world.uniform(0.02, 0.4));
+      world.network.drop_state_answers = static_cast<int>(world.rng() % 3);
+      world.nodes.crash(node, world.uniform(0.02, 0.4));
       if (world.rng() % 2 == 0) {
         world.in(world.uniform(0, 1),
-                 [&world, node] { world.crash_node((node + 1) % world.options.nodes, 0.1); });
+                 [&world, node] { world.nodes.crash((node + 1) % world.options.nodes, 0.1); });
       }
       if (world.rng() % 3 == 0)
-        world.in(world.uniform(0.05, 1), [&world, node] { world.crash_node(node, 0.05); });
+        world.in(world.uniform(0.05, 1), [&world, node] { world.nodes.crash(node, 0.05); });
     });
   }
   world.troubles_end = 180;
@@ -353,7 +354,7 @@
       if (worker == nullptr) return;
       worker->reboot(world.rng() % 2 == 0);
       reboots++;
-      if (world.rng() % 4 == 0) world.crash_node(some_node(world), 0.1);
+      if (world.rng() % 4 == 0) world.nodes.crash(some_node(world), 0.1);
     });
   }
   world.troubles_end = 180;
@@ -397,10 +398,10 @@
   world.at(40, [&world] {
     const std::string segment = keys::segment(0, 1);
     if (world.state.values().count(segment) > 0) world.state.spoil(segment);
-    world.crash_node(0, 0.2);
+    world.nodes.crash(0, 0.2);
   });
   world.troubles_end = 45;
-  world.all_runs = false;  // the record stays as it is: this trouble does not end
+  world.rules.all_runs = false;  // the record stays as it is: this trouble does not end
   world.run_until(400);
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   int ended = 0;
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -26,7 +26,7 @@
  public:
   Player() : world_(one_node()) {
     set_up_log();
-    world_.outside = [this](const HttpCall& call) {
+    world_.network.outside = [this](const HttpCall& call) {
       const Json body = parse_json(call.body);
       said_.push_back("~ " + call.destination.substr(0, call.destination.find(':')) + " " + orders(body));
     };
@@ -62,9 +62,9 @@
       in >> what;
       if (what == "out") world_.state.set_outage(true);
       if (what == "back") world_.state.set_outage(false);
-      if (what == "loses-answer") world_.drop_state_answers = 1;
+      if (what == "loses-answer") world_.network.drop_state_answers = 1;
     } else if (verb == "restart") {
-      world_.crash_node(0, 0.2);
+      world_.nodes.crash(0, 0.2);
       world_.run_until(world_.now + 1.5);
     } else {
       ADD_FAILURE() << "no such verb: " << line;
@@ -76,7 +76,7 @@
   HttpReply ask(const std::string& method, const std::string& path, const std::string& body) {
     HttpReply out;
     bool over = false;
-    world_.send("user", {"10.0.0.1:8080", method, path, body, 5}, [&](HttpReply reply) {
+    world_.network.send("user", {"10.0.0.1:8080", method, path, body, 5}, [&](HttpReply reply) {
       out = std::move(reply);
       over = true;
     });
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -76,8 +76,8 @@
     job.cancel_at = 50 + 6 * i;
     world.submit(job);
   }
-  world.at(45, [&world] { world.cut_from_workers(1); });
-  world.at(70, [&world] { world.mend_nodes(); });
+  world.at(45, [&world] { world.network.cut_from_workers(1); });
+  world.at(70, [&world] { world.network.mend_nodes(); });
 }
 
 }  // namespace
@@ -174,17 +174,17 @@
   World world(options());
   add_jobs(world, 2, 100);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, 40 + i, 5 + 12 * i, 40, 25, 1));
-  world.at(40, [&world] { world.upgrade_node(0, 2); });
-  world.at(46, [&world] { world.crash_node(1, 0.3); });  // comes back old
-  world.at(50, [&world] { world.cut_node(0, true); });
-  world.at(62, [&world] { world.mend_nodes(); });
-  world.at(66, [&world] { world.cut_from_workers(2); });
-  world.at(75, [&world] { world.upgrade_node(1, 0.3); });
+  world.at(40, [&world] { world.nodes.upgrade(0, 2); });
+  world.at(46, [&world] { world.nodes.crash(1, 0.3); });  // comes back old
+  world.at(50, [&world] { world.network.cut_node(0, true); });
+  world.at(62, [&world] { world.network.mend_nodes(); });
+  world.at(66, [&world] { world.network.cut_from_workers(2); });
+  world.at(75, [&world] { world.nodes.upgrade(1, 0.3); });
   world.at(80, [&world] {
-    for (int i = 0; i < 3; i++) world.crash_node(i, 0.3 + i);  // two new ones, one old
+    for (int i = 0; i < 3; i++) world.nodes.crash(i, 0.3 + i);  // two new ones, one old
   });
-  world.at(90, [&world] { world.mend_nodes(); });
-  world.at(95, [&world] { world.upgrade_node(2, 8); });
+  world.at(90, [&world] { world.network.mend_nodes(); });
+  world.at(95, [&world] { world.nodes.upgrade(2, 8); });
   world.at(100, [&world] { world.state.lower_limits(2, 4, 20); });
   world.troubles_end = 115;
   world.run_until(360);
@@ -196,9 +196,9 @@
 TEST_P(Upgrade, StoppedHalfWay) {
   World world(options());
   add_jobs(world, 2, 140);
-  world.at(40, [&world] { world.upgrade_node(1, 2); });
-  world.at(70, [&world] { world.crash_node(1, 9); });
-  world.at(110, [&world] { world.crash_node(0, 9); });
+  world.at(40, [&world] { world.nodes.upgrade(1, 2); });
+  world.at(70, [&world] { world.nodes.crash(1, 9); });
+  world.at(110, [&world] { world.nodes.crash(0, 9); });
   world.troubles_end = 125;
   world.run_until(360);
   expect_kept(world);
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -49,23 +49,23 @@
   // No node reaches another.
   static void cut_all_peers(World& world) {
     for (int a = 0; a < world.options.nodes; a++) {
-      for (int b = 0; b < a; b++) world.cuts.insert({node_name(a), node_name(b)});
+      for (int b = 0; b < a; b++) world.network.cuts.insert({node_name(a), node_name(b)});
     }
   }
   // From 20 s to 130 s no node reaches another, and the answers to the chosen transactions arrive so much
   // later, or not at all. `disturbed` counts them.
   static void disturb_answers(World& world, const std::function<bool(const Json&)>& chosen,
                               const std::function<double()>& delay_s, int& disturbed) {
-    world.hold_share = 0;
-    world.commit_answer = [chosen, delay_s, &disturbed](const std::string&, const Json& transaction) {
+    world.network.hold_share = 0;
+    world.network.commit_answer = [chosen, delay_s, &disturbed](const std::string&, const Json& transaction) {
       if (!chosen(transaction)) return 0.0;
       disturbed++;
       return delay_s();
     };
     world.at(20, [&world] { cut_all_peers(world); });
     world.at(130, [&world] {
-      world.mend_nodes();
-      world.commit_answer = nullptr;
+      world.network.mend_nodes();
+      world.network.commit_answer = nullptr;
     });
     world.troubles_end = 130;
   }
@@ -121,19 +121,19 @@
 // node. The next owner cancels jobs at once, while the old one's lease is still good.
 TEST_P(WentBack, TheAnswerToAHandBackIsLost) {
   World world(options());
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   // More than the machines can hold: a job of which nothing has started is cancelled at once.
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, world.uniform(2, 20), 10, 100));
-  world.at(24, [&world] { world.crash_node(0, 10); });
+  world.at(24, [&world] { world.nodes.crash(0, 10); });
   int handed_back = 0;
-  world.commit_answer = [&](const std::string& from, const Json& transaction) {
+  world.network.commit_answer = [&](const std::string& from, const Json& transaction) {
     if (!changes_key(transaction, "delete", keys::shard(0)) || handed_back++ > 0) return 0.0;
-    world.state_unheard.insert(from);
+    world.network.state_unheard.insert(from);
     cut_all_peers(world);
-    world.cut_from_workers(from.back() - '0');
+    world.network.cut_from_workers(from.back() - '0');
     world.in(3, [&world] {
-      world.state_unheard.clear();
-      world.mend_nodes();
+      world.network.state_unheard.clear();
+      world.network.mend_nodes();
     });
     for (const double t : {0.1, 0.3, 0.5, 0.8}) {
       world.in(t, [&world] {
@@ -159,10 +159,10 @@
   Options five = options();
   five.nodes = 5;  // more is delegated among five shards than among three
   World world(five);
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   for (int i = 0; i < 20; i++) world.submit(plain_job(world, i, world.uniform(2, 50), 12, 25));
   std::set<std::string> spoiled;
-  world.lose_commit = [&](const std::string&, const Json& transaction) {
+  world.network.lose_commit = [&](const std::string&, const Json& transaction) {
     if (!is_ending(transaction)) return false;
     for (const Json& change : transaction["then"]) {
       const std::string delegation = change.value("delete", "");
@@ -174,8 +174,8 @@
   };
   world.at(55, [&world] { cut_all_peers(world); });
   world.at(120, [&world] {
-    world.lose_commit = nullptr;
-    world.mend_nodes();
+    world.network.lose_commit = nullptr;
+    world.network.mend_nodes();
   });
   world.troubles_end = 120;
   world.run_until(500);
@@ -192,7 +192,7 @@
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2, 4, 30));
   for (int i = 6; i < 26; i++) world.submit(plain_job(world, i, 40 + i, 1, 0.2, 1));
   int slow = 0;
-  world.commit_answer = [&](const std::string&, const Json& transaction) {
+  world.network.commit_answer = [&](const std::string&, const Json& transaction) {
     if (world.now < 40 || is_ending(transaction) || !changes_key(transaction, "put", keys::kJobRecords))
       return 0.0;
     slow++;
@@ -241,9 +241,9 @@
   five.nodes = 5;
   five.jobs = 60;
   World world(five);
-  world.watch_delay_s = 1.2;
+  world.network.watch_delay_s = 1.2;
   add_jobs(world, 2, 150);
-  world.at(250, [&world] { world.watch_delay_s = 0; });
+  world.at(250, [&world] { world.network.watch_delay_s = 0; });
   world.troubles_end = 250;
   world.run_until(600);
   expect_kept(world);
@@ -265,7 +265,7 @@
   rough.jobs = 40;
   World world(rough);
   add_jobs(world, 2, 120);
-  world.commit_answer = [&world](const std::string&, const Json&) {
+  world.network.commit_answer = [&world](const std::string&, const Json&) {
     return world.uniform(0, 1) < 0.3 ? kLost : world.uniform(0, 1) < 0.2 ? world.uniform(0.1, 1.4) : 0.0;
   };
   for (double t = 20; t < 130; t += 9) {
@@ -275,17 +275,17 @@
         case 0:
           return cut_all_peers(world);
         case 1:
-          return world.cut_node(node, world.rng() % 2 == 0);
+          return world.network.cut_node(node, world.rng() % 2 == 0);
         case 2:
-          return world.freeze_node(node, world.uniform(0.5, 8));
+          return world.nodes.freeze(node, world.uniform(0.5, 8));
         case 3:
-          return world.crash_node(node, world.uniform(0.1, 9));
+          return world.nodes.crash(node, world.uniform(0.1, 9));
         default:
           world.state.slow_s = world.uniform(0, 0.6);
       }
     });
     world.at(t + 7, [&world] {
-      world.mend_nodes();
+      world.network.mend_nodes();
       world.state.slow_s = 0;
     });
     world.at(t + 3, [&world] {
@@ -295,7 +295,7 @@
     });
   }
   world.at(140, [&world] {
-    world.commit_answer = nullptr;
+    world.network.commit_answer = nullptr;
     world.options.late_writes = 0;
   });
   world.troubles_end = 155;
