--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -12,7 +12,9 @@
 namespace {
 
 // By then a rebuilding is over that had to wait until nothing ran.
-constexpr double kOperatorAfter = 80;
+constexpr double kOperatorAfter = 80;  // seconds
+// For all of an operator's decisions.
+constexpr double kDecisionsTake = 30;  // seconds
 
 // Gives, once it has happened, how many revisions were lost. (Nothing may have changed since the copy was
 // made.)
@@ -79,6 +81,15 @@
       EXPECT_EQ(process.node->incarnation(), world.nodes.front().node->incarnation());
     }
   }
+  // An operator decides from `decides_at` on about what is listed as unaccounted; half a minute later the
+  // troubles are over. What is then expected of the day's end.
+  static void end_with_operator(World& world, double decides_at, double ends_at, int least_incarnation) {
+    world.troubles_end = decides_at + kDecisionsTake;
+    world.at(decides_at, [&world] { decide_as_operator(world); });
+    world.run_until(ends_at);
+    expect_kept(world);
+    expect_incarnation(world, least_incarnation);
+  }
 };
 
 }  // namespace
@@ -93,7 +104,9 @@
     world.at(t + 22, [&world] { world.network.state_refuses.insert(node_name(some_node(world))); });
     world.at(t + 30, [&world] { world.network.state_refuses.clear(); });
   }
+
   world.run_until(600);
+
   expect_kept(world);
   expect_incarnation(world, 1);
   EXPECT_TRUE(world.nodes.front().node->incarnation().first());
@@ -104,7 +117,9 @@
   add_jobs(world, 2, 120);
   world.at(world.uniform(30, 90), [&world] { world.state.empty(); });
   world.troubles_end = 130;
+
   world.run_until(500);
+
   expect_kept(world);
   expect_incarnation(world, 2);
   EXPECT_EQ(world.lost_to_leases, 0) << "tasks went on meanwhile";
@@ -118,7 +133,9 @@
   const double loss = world.uniform(40, 90);
   const auto lost = set_back(world, loss - world.uniform(0.2, 30), loss);
   world.troubles_end = loss + 40;
+
   world.run_until(500);
+
   expect_kept(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
@@ -129,7 +146,9 @@
   const double loss = world.uniform(40, 90);
   const auto lost = set_back(world, loss - world.uniform(0.2, 30), loss, false);
   world.troubles_end = loss + 40;
+
   world.run_until(500);
+
   expect_kept(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
@@ -142,7 +161,9 @@
   world.at(loss - world.uniform(1, 10), [&world] { world.state.set_outage(true); });
   world.at(loss + world.uniform(1, 10), [&world] { world.state.set_outage(false); });
   world.troubles_end = loss + 60;
+
   world.run_until(500);
+
   expect_kept(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
@@ -156,11 +177,8 @@
   world.at(loss, [&world] {
     for (int node = 0; node < world.options.nodes; node++) world.nodes.crash(node, world.uniform(0.2, 8));
   });
-  world.troubles_end = loss + kOperatorAfter + 30;
-  world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(600);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+
+  end_with_operator(world, loss + kOperatorAfter, 600, 2);
 }
 
 // A controller ends at the moment of the loss, and some machines are silent: what runs there goes on until
@@ -179,11 +197,8 @@
   });
   world.at(loss + 40, [&world] { world.network.cuts.clear(); });
   world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 3)); });
-  world.troubles_end = loss + kOperatorAfter + 30;
-  world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(600);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+
+  end_with_operator(world, loss + kOperatorAfter, 600, 2);
 }
 
 TEST_P(LostState, AControllerEndsAtTheMomentOfTheLoss) {
@@ -193,11 +208,8 @@
   const double loss = world.uniform(60, 80);
   set_back(world, 55, loss);
   world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 20)); });
-  world.troubles_end = loss + kOperatorAfter + 30;
-  world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(600);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+
+  end_with_operator(world, loss + kOperatorAfter, 600, 2);
 }
 
 // Whoever leads the rebuilding ends, at any step of it, and so does the next.
@@ -216,11 +228,8 @@
       }
     });
   }
-  world.troubles_end = loss + 60 + kOperatorAfter + 30;
-  world.at(loss + 60 + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(700);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+
+  end_with_operator(world, loss + 60 + kOperatorAfter, 700, 2);
 }
 
 TEST_P(LostState, StateIsLostAgainDuringTheRebuilding) {
@@ -231,11 +240,8 @@
   world.at(loss + world.uniform(0.5, 4), [&world] { world.state.empty(); });
   world.at(loss + world.uniform(20, 60), [&world] { world.state.empty(); });
   // (A shard whose new owner had not read its records yet when they were lost again is not known in full.)
-  world.at(loss + 60 + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.troubles_end = loss + 60 + kOperatorAfter + 30;
-  world.run_until(500);
-  expect_kept(world);
-  expect_incarnation(world, 3);
+
+  end_with_operator(world, loss + 60 + kOperatorAfter, 500, 3);
 }
 
 // One controller has its workers and users only: it has not noticed the loss, and is heard too late.
@@ -248,11 +254,8 @@
   set_back(world, 50, loss);
   world.at(loss - world.uniform(0, 4), [&world, cut] { world.network.cut_node(cut, true); });
   world.at(loss + 80, [&world] { world.network.mend_nodes(); });
-  world.troubles_end = loss + 80 + kOperatorAfter + 30;
-  world.at(loss + 80 + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(700);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+
+  end_with_operator(world, loss + 80 + kOperatorAfter, 700, 2);
 }
 
 TEST_P(LostState, MachinesHangAndAreSilentAndMessagesAndWritesComeLate) {
@@ -279,7 +282,9 @@
   const auto lost = set_back(world, loss - world.uniform(1, 20), loss, world.rng() % 2 == 0);
   world.at(loss + kOperatorAfter + 30, [&world] { decide_as_operator(world); });
   world.troubles_end = loss + kOperatorAfter + 60;
+
   world.run_until(600);
+
   expect_kept(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
