--- a/tests/sim/checks.cpp
+++ b/tests/sim/checks.cpp
@@ -6,13 +6,19 @@
 
 namespace mothslip::sim {
 
-void expect_kept(World& world) {
-  EXPECT_TRUE(world.violations.empty()) << world.summary();
-  EXPECT_GT(world.starts, 0);
-  for (int p = 0; p < world.options.nodes; p++) {
-    EXPECT_EQ(world.state.values().count("parts/" + std::to_string(p)), 1u)
-        << "part " << p << " has no owner";
+namespace {
+
+constexpr double kLargestBeginWithinS = 240;
+
+void expect_shards_owned(const World& world) {
+  for (int shard = 0; shard < world.options.nodes; shard++) {
+    EXPECT_EQ(world.state.values().count("parts/" + std::to_string(shard)), 1u)
+        << "shard " << shard << " has no owner";
   }
+}
+
+// At least half of the tasks of every class and of every team.
+void expect_half_served(const World& world) {
   std::map<std::string, std::pair<int, int>> served;  // of tasks: done, all
   for (const auto& [ref, job] : world.jobs) {
     if (!job.accepted || job.cancel_at >= 0 || job.cancel_asked) continue;
@@ -23,8 +29,11 @@
     }
   }
   for (const auto& [group, counts] : served) EXPECT_GE(2 * counts.first, counts.second) << group;
-  // The largest of each class, by the cores of all their tasks: the upper fifth, and at least one. They begin
-  // within four minutes of their submission, or of the troubles' end.
+}
+
+// The largest of each class, by the cores of all their tasks: the upper fifth, and at least one. They begin
+// within four minutes of their submission, or of the troubles' end.
+void expect_largest_begun(const World& world) {
   std::map<std::string, std::vector<const UserJob*>> classes;
   for (const auto& [ref, job] : world.jobs) {
     if (job.accepted && job.cancel_at < 0 && !job.cancel_asked && !job.mistaken)
@@ -37,10 +46,14 @@
     jobs.resize(std::max<std::size_t>(1, jobs.size() / 5));
     for (const UserJob* job : jobs) {
       const bool troubled = world.troubles_end < 1e17 && job->submit_at < world.troubles_end;
+      const double since = troubled ? world.troubles_end : job->submit_at;
       EXPECT_GE(job->first_start, 0) << job->ref;
-      EXPECT_LE(job->first_start - (troubled ? world.troubles_end : job->submit_at), 240) << job->ref;
+      EXPECT_LE(job->first_start - since, kLargestBeginWithinS) << job->ref;
     }
   }
+}
+
+void expect_all_told(const World& world) {
   for (const auto& [ref, job] : world.jobs) {
     if (job.accepted) {
       EXPECT_TRUE(job.told_done || job.told_aborted) << ref << "\n" << world.summary();
@@ -48,4 +61,15 @@
   }
 }
 
+}  // namespace
+
+void expect_kept(World& world) {
+  EXPECT_TRUE(world.violations.empty()) << world.summary();
+  EXPECT_GT(world.starts, 0);
+  expect_shards_owned(world);
+  expect_half_served(world);
+  expect_largest_begun(world);
+  expect_all_told(world);
+}
+
 }  // namespace mothslip::sim
