--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -73,10 +73,10 @@
 
 }  // namespace
 
-// The gap: the state service refuses a delegate alone, the home confirms cancellations, then the service is
-// down for all, longer than cancel_s, while the workers report to the delegate. With a node that is refused
-// for less and for more than its lease.
-TEST_P(Cancelled, WhileABorrowerIsRefusedAndThenTheServiceIsDown) {
+// The gap: the state service refuses a delegate alone, the home shard confirms cancellations, then the
+// service is down for all, longer than cancel_s, while the workers report to the delegate. With a node that
+// is refused for less and for more than its lease.
+TEST_P(Cancelled, WhileADelegateIsRefusedAndThenTheServiceIsDown) {
   World world(options());
   world.network.hold_share = 0;
   add_long_jobs(world, 150);
@@ -96,7 +96,9 @@
     world.network.mend_nodes();
   });
   world.troubles_end = kPick + refused_for + 82;
+
   world.run_until(300);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   // Both know, although one hears nothing from the service: the user need not wait for its end.
   EXPECT_TRUE(told);
@@ -134,13 +136,16 @@
     world.network.mend_nodes();
   });
   world.troubles_end = kPick + 90;
+
   world.run_until(320);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   EXPECT_GT(left, 0) << "nothing ran with the old owner: the meeting did not take place";
 }
 
-// The home's owner is refused, cut off from its peers and alone with its machines; the new owner confirms.
-TEST_P(Cancelled, WhileTheOldOwnerOfTheHomeIsAloneWithItsMachines) {
+// The home shard's owner is refused, cut off from its peers and alone with its machines; the new owner
+// confirms.
+TEST_P(Cancelled, WhileTheOldOwnerOfTheHomeShardIsAloneWithItsMachines) {
   World world(options());
   world.network.hold_share = 0;
   add_long_jobs(world, 200);
@@ -155,13 +160,15 @@
   world.at(kPick + 8, [&world] { cancel_all(world); });
   world.at(kPick + 90, [&world] { world.network.mend_nodes(); });
   world.troubles_end = kPick + 90;
+
   world.run_until(320);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   EXPECT_TRUE(world.jobs.begin()->second.told_aborted);
 }
 
-// The home's owner ends between its write and the acknowledgements, and a new owner goes on; the delegate
-// cannot be asked, nor hear of it from the state service, until later.
+// The home shard's owner ends between its write and the acknowledgements, and a new owner goes on; the
+// delegate cannot be asked, nor hear of it from the state service, until later.
 TEST_P(Cancelled, WhileTheConfirmingOwnerEnds) {
   World world(options());
   world.network.hold_share = 0;
@@ -178,7 +185,7 @@
     for (const Json& change : body["then"]) {
       if (change.value("put", "") != keys::job_record(spread.home_shard, spread.ref)) continue;
       ended = true;
-      const int node = from.back() - '0';
+      const int node = node_index(from);
       world.in(0, [&world, node] { world.nodes.crash(node, 30); });
     }
   };
@@ -187,14 +194,16 @@
   world.at(kPick + 3.5, [&] { told_early = world.jobs.at(spread.ref).told_aborted; });
   world.at(kPick + 70, [&world] { world.network.mend_nodes(); });
   world.troubles_end = kPick + 70;
+
   world.run_until(800);
+
   EXPECT_TRUE(ended);
-  EXPECT_FALSE(told_early) << "the borrower's lease was still good, and it did not know";
+  EXPECT_FALSE(told_early) << "the delegate's lease was still good, and it did not know";
   expect_kept(world);
 }
 
-// The transaction of the cancellation gets no answer and is carried out seconds later; or the home's owner
-// ends before that.
+// The transaction of the cancellation gets no answer and is carried out seconds later; or the home shard's
+// owner ends before that.
 TEST_P(Cancelled, ByATransactionThatIsCarriedOutLate) {
   World world(options());
   add_long_jobs(world, 60);
@@ -205,7 +214,9 @@
   if (GetParam() % 2 == 0) world.at(kPick + 0.4, [&world] { world.nodes.crash(some_node(world), 0.2); });
   world.at(kPick + 1, [&world] { world.network.hold_commits = false; });
   world.troubles_end = kPick + 15;
+
   world.run_until(300);
+
   expect_kept(world);
 }
 
@@ -225,7 +236,9 @@
   world.at(kPick + 0.2, [&world] { cancel_all(world); });
   if (GetParam() % 2 == 0) world.at(kPick + 1, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.troubles_end = kPick + 32;
+
   world.run_until(250);
+
   expect_kept(world);
   EXPECT_GT(hung, 3);
 }
@@ -242,7 +255,9 @@
   });
   world.at(130, [&world] { world.state.set_outage(false); });
   world.troubles_end = 130;
+
   world.run_until(500);
+
   expect_kept(world);
   EXPECT_GT(before, 10);
   for (const auto& [ref, job] : world.jobs) {
@@ -250,9 +265,9 @@
   }
 }
 
-// A node that has restarted during the outage does not know what happened before: it cannot vouch, and the
+// A node that has restarted during the outage does not know what happened before: it has no evidence, and the
 // others let the leases of their machines run out in time.
-TEST_P(Cancelled, ARestartedNodeCannotVouch) {
+TEST_P(Cancelled, ARestartedNodeHasNoEvidence) {
   World world(options());
   add_long_jobs(world, 200);
   world.at(50, [&world] { world.state.set_outage(true); });
@@ -268,10 +283,12 @@
     return on;
   };
   world.at(59, [&] { before = count(); });
-  world.at(60 + 42 + 1, [&] { left = count(); });  // they vouched for each other until 60
+  world.at(60 + 42 + 1, [&] { left = count(); });  // each was evidence of the other's lease until 60
   world.at(125, [&world] { world.state.set_outage(false); });
   world.troubles_end = 130;
+
   world.run_until(800);
+
   expect_kept(world);
   EXPECT_GT(before, 10);
   EXPECT_EQ(left, 0);
@@ -289,7 +306,9 @@
   world.at(39, [&world] {
     for (auto& [name, worker] : world.workers) worker->ignores_stops = true;
   });
+
   world.run_until(120);
+
   ASSERT_FALSE(world.violations.empty());
   EXPECT_NE(world.violations.front().find("ran_cancelled"), std::string::npos) << world.violations.front();
 }
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -29,7 +29,9 @@
   most.team_max = 14000;
   World world(most);
   add_crowd(world, 800, 100);
+
   world.run_until(kDay);
+
   expect_kept(world);
   EXPECT_GT(world.cloud.rented, 2000);
   // What is sent does not grow with the fleet or the queue, but with time, nodes and starts.
@@ -90,7 +92,9 @@
   world.at(100, [&restart_all] { restart_all(6); });
   world.at(115, [&world] { world.state.slow_s = 0; });
   world.troubles_end = 120;
+
   world.run_until(330);
+
   expect_kept(world);
   EXPECT_GT(down, 0);
   EXPECT_LT(down, 8);  // the lease of a process before it, and some ten reads
@@ -138,7 +142,9 @@
     }
   });
   world.troubles_end = 130;
+
   world.run_until(330);
+
   expect_kept(world);
   EXPECT_EQ(world.rules.orders_to_copies, 0);
   EXPECT_LT(world.cloud.rented, 2 * rented_before) << "rented beyond need";
@@ -160,6 +166,8 @@
   world.at(110, [&freeze] { freeze(2, 9); });
   world.at(114, [&world] { world.nodes.crash(3, 0.1); });
   world.troubles_end = 125;
+
   world.run_until(330);
+
   expect_kept(world);
 }
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -81,14 +81,14 @@
   return false;
 }
 
-int node_number(const std::string& name) { return name.back() - '0'; }
-
 }  // namespace
 
 TEST_P(Gang, AllOfThemOnAQuietDay) {
   World world(options());
   add_gangs(world, 3, 20);
+
   world.run_until(240);
+
   expect_all_done(world);
   EXPECT_EQ(world.gangs.failures, 0);
   EXPECT_EQ(world.gangs.alone, 0);
@@ -104,7 +104,9 @@
     world.submit(gang_job(world, 90, 31, 8, 20, 4));
     when_member(world, "waiting", true, [](Worker& worker) { worker.reboot(false); });
   });
+
   world.run_until(260);
+
   expect_all_done(world);
 }
 
@@ -117,7 +119,9 @@
     });
   }
   world.troubles_end = 70;
+
   world.run_until(330);
+
   expect_all_done(world);
   EXPECT_GT(world.gangs.failures, 0);
 }
@@ -130,11 +134,13 @@
   world.at(50, [&world] { when_member(world, "running", true, [](Worker& worker) { worker.hang(8); }); });
   world.at(60, [&world] { when_member(world, "running", false, [](Worker& worker) { worker.hang(40); }); });
   world.troubles_end = 105;
+
   world.run_until(360);
+
   expect_all_done(world);
 }
 
-TEST_P(Gang, MachinesDoNotHearOrReachNobody) {
+TEST_P(Gang, MachinesAreInboundOrOutboundUnreachable) {
   World world(options());
   add_gangs(world, 3, 30);
   world.at(15, [&world] {
@@ -156,7 +162,9 @@
     });
   });
   world.troubles_end = 95;
+
   world.run_until(400);
+
   expect_all_done(world);
 }
 
@@ -187,7 +195,9 @@
       stopped_without_record++;
   };
   world.troubles_end = 95;
+
   world.run_until(300);
+
   expect_all_done(world);
   EXPECT_EQ(world.gangs.saves, 1);
   EXPECT_EQ(world.gangs.failed_saves, 0);
@@ -206,19 +216,21 @@
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
     if (ended || txn.dump().find("\"x\":[") == std::string::npos) return;
     ended = true;
-    world.in(0.02, [&world, from] { world.nodes.crash(node_number(from), GetParam() % 2 == 0 ? 0.3 : 8); });
+    world.in(0.02, [&world, from] { world.nodes.crash(node_index(from), GetParam() % 2 == 0 ? 0.3 : 8); });
   };
   world.at(70, [&world] {
     when_member(world, "running", true, [&world](Worker& worker) { take_away(world, worker, 15); });
   });
   world.troubles_end = 100;
+
   world.run_until(380);
+
   expect_all_done(world);
   EXPECT_TRUE(ended);
 }
 
-// The shard is sent home, and the limits of the state service fall, while the gang is being stopped.
-TEST_P(Gang, ThePartIsSentHomeInTheMiddleOfAStop) {
+// The shard is handed back, and the limits of the state service fall, while the gang is being stopped.
+TEST_P(Gang, TheShardIsHandedBackInTheMiddleOfAStop) {
   Options day = options();
   day.market = 12;
   day.next_value_kb = 2;
@@ -227,7 +239,7 @@
   const UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   world.submit(job);
   add_gangs(world, 3, 60);
-  // Its home is away, and comes back: 15 s later the shard is sent home.
+  // The node that it belongs to is away, and comes back: 15 s later the shard is handed back to it.
   const int home = shard_of(job.ref, world.options.nodes);
   world.at(50, [&world, home] { world.nodes.crash(home, 5); });
   bool met = false;
@@ -243,7 +255,9 @@
     }
   };
   world.troubles_end = 110;
+
   world.run_until(380);
+
   expect_all_done(world);
   EXPECT_TRUE(met);
   EXPECT_EQ(world.state.too_large, 0);
@@ -257,10 +271,12 @@
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
     if (ended >= 2 || !places_a_gang(txn)) return;
     ended++;
-    world.in(0, [&world, from] { world.nodes.crash(node_number(from), 0.3); });
+    world.in(0, [&world, from] { world.nodes.crash(node_index(from), 0.3); });
   };
   world.troubles_end = 80;
+
   world.run_until(360);
+
   expect_all_done(world);
   EXPECT_GT(ended, 0);
 }
@@ -272,7 +288,9 @@
   world.network.commit_answer = [&](const std::string&, const Json& txn) {
     return places_a_gang(txn) && lost++ % 2 == 0 ? -1.0 : 0.0;
   };
+
   world.run_until(300);
+
   expect_all_done(world);
   EXPECT_GT(lost, 0);
 }
@@ -291,7 +309,9 @@
   }
   world.at(62, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.troubles_end = 120;
+
   world.run_until(420);
+
   expect_all_done(world);
 }
 
@@ -316,7 +336,9 @@
   world.at(41, [&world] {
     when_member(world, "running", false, [&world](Worker& worker) { take_away(world, worker, 15); });
   });
+
   world.run_until(300);
+
   expect_kept(world);
   EXPECT_GE(cancelled, 3);
 }
@@ -328,7 +350,9 @@
     for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, 16 + i);
   });
   world.troubles_end = 66;
+
   world.run_until(360);
+
   expect_all_done(world);
 }
 
@@ -342,7 +366,9 @@
   world.at(50, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.at(85, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 150;  // what was held back arrives up to a minute later
+
   world.run_until(420);
+
   expect_all_done(world);
 }
 
@@ -363,7 +389,9 @@
   gang.body["urgency"] = "normal";
   const std::string ref = gang.ref;
   world.submit(gang);
+
   world.run_until(420);
+
   expect_kept(world);
   const UserJob& served = world.jobs.at(ref);
   ASSERT_GE(served.gang_began, 0);
@@ -382,7 +410,9 @@
     gang.body["loaner"] = true;
     world.submit(gang);
   }
+
   world.run_until(300);
+
   expect_all_done(world);
 }
 
@@ -398,7 +428,9 @@
     world.submit(gang);
   }
   for (int i = 0; i < 4; i++) world.submit(plain_job(world, i, 3 + 5 * i, 8, 5, 1));
+
   world.run_until(300);
+
   expect_all_done(world);
 }
 
@@ -410,7 +442,9 @@
   bad.mistaken = true;
   bad.cancel_at = 120;
   world.submit(bad);
+
   world.run_until(300);
+
   expect_kept(world);
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done || job.mistaken) << ref;
 }
@@ -441,7 +475,9 @@
   world.at(80, [&world] { world.state.lower_limits(2, 4, 20); });
   world.at(85, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.troubles_end = 100;
+
   world.run_until(300);
+
   expect_kept(world);
   EXPECT_EQ(told_to_wait, 503);
   EXPECT_GT(accepted_at, 60);
@@ -472,7 +508,9 @@
     for (auto& [name, worker] : world.workers) worker->faulty = false;
   });
   world.troubles_end = 60;
+
   world.run_until(200);
+
   expect_kept(world);
   EXPECT_TRUE(world.jobs.at(ref).told_done);
   int starts = 0;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -81,14 +81,16 @@
   world.at(60, [&world] { world.nodes.crash(1, 8); });
   world.at(62, [&world] { lower(world); });
   world.troubles_end = 75;
+
   world.run_until(330);
+
   expect_kept(world);
   EXPECT_EQ(world.state.too_large, 0);
 }
 
 // What the version before wrote is larger than what may be written later. It stays readable, and nothing in
 // it is lost while it is taken apart.
-TEST_P(Limits, PagesOfTheVersionBeforeAreTakenApart) {
+TEST_P(Limits, SegmentsOfTheVersionBeforeAreTakenApart) {
   Options day = options();
   day.earlier_version = true;
   World world(day);
@@ -99,15 +101,17 @@
   world.at(95, [&world] { lower(world); });
   world.at(100, [&world] { world.nodes.crash(0, 0.3); });
   world.troubles_end = 110;
+
   world.run_until(420);
+
   expect_kept(world);
   EXPECT_GT(before, static_cast<std::size_t>(1024 * kSmallValues));
   EXPECT_EQ(world.state.too_large, 0);
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done) << ref;
 }
 
-// Processes of both versions end and come back while the pages change hands, and back.
-TEST_P(Limits, PagesGoToAndFroBetweenTheVersions) {
+// Processes of both versions end and come back while the journal segments change hands, and back.
+TEST_P(Limits, SegmentsGoToAndFroBetweenTheVersions) {
   Options day = options();
   day.earlier_version = true;
   World world(day);
@@ -119,7 +123,9 @@
   world.at(96, [&world] { world.nodes.crash(2, 5); });  // comes back old
   world.at(110, [&world] { world.nodes.upgrade(2, 1); });
   world.troubles_end = 125;
+
   world.run_until(420);
+
   expect_kept(world);
   EXPECT_EQ(world.state.too_large, 0);
 }
@@ -136,7 +142,9 @@
   add_many_tasks(world, 2, 60);
   world.at(50, [&world] { world.state.lower_limits(kSmallValues, kSmallTransactions, 20); });
   world.troubles_end = 60;
+
   world.run_until(420);
+
   expect_kept(world);
   EXPECT_GT(world.state.too_large, 0);
   EXPECT_LT(world.state.too_large, 40);
@@ -171,7 +179,9 @@
     world.submit(job);
     world.nodes.crash(0, 0.3);
   });
+
   world.run_until(150);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   const auto& starts = world.jobs.at(ref).starts;
   EXPECT_GT(starts.size(), 20u);
@@ -209,7 +219,9 @@
         largest = std::max(largest, change["data"].dump().size());
     }
   };
+
   world.run_until(240);
+
   expect_kept(world);
   EXPECT_GT(largest, 600u);
   EXPECT_LE(largest, 1024u);
@@ -233,7 +245,9 @@
     for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, 0.3);
   });
   world.submit(plain_job(world, 2, 50, 4, 5, 1));
+
   world.run_until(140);
+
   expect_kept(world);
   EXPECT_EQ(world.state.values().count(keys::kTypes), 0u);
   EXPECT_EQ(world.state.too_large, 0);
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -63,7 +63,9 @@
     world.at(t + 8, [&world] { world.network.cuts.clear(); });
   }
   world.troubles_end = 220;
+
   world.run_until(600);
+
   expect_kept(world);
   EXPECT_GT(handovers, 1);
   EXPECT_EQ(world.rules.orders_to_copies, 0);
@@ -81,13 +83,15 @@
   }
   world.at(120, [&world] { world.options.late_writes = 0; });
   world.troubles_end = 135;
+
   world.run_until(600);
+
   expect_kept(world);
 }
 
 // Machines reach no node, while direct commands still reach them; their shard's owner changes meanwhile, and
 // shows them its token.
-TEST_P(Meeting, MuteMachinesAndANewOwner) {
+TEST_P(Meeting, OutboundUnreachableMachinesAndANewOwner) {
   World world(options());
   add_jobs(world, 2, 100);
   int outbound_unreachable = 0;
@@ -104,7 +108,9 @@
     });
   }
   world.troubles_end = 165;
+
   world.run_until(600);
+
   expect_kept(world);
   EXPECT_GT(outbound_unreachable, 1);
 }
@@ -123,7 +129,9 @@
     });
   }
   world.troubles_end = 115;
+
   world.run_until(600);
+
   expect_kept(world);
   EXPECT_GT(ran, 0);
 }
@@ -145,13 +153,15 @@
     world.at(t + 11, [&world] { world.state.set_outage(false); });
   }
   world.troubles_end = 145;
+
   world.run_until(600);
+
   expect_kept(world);
   EXPECT_GE(fencing_tokens.size(), 8u);
 }
 
 // Arrays bound to one zone lose machines of that zone, again and again.
-TEST_P(Meeting, JobsBoundToOneHallLoseMachines) {
+TEST_P(Meeting, JobsBoundToOneZoneLoseMachines) {
   World world(options());
   for (int i = 0; i < 12; i++) {
     UserJob job = plain_job(world, i, world.uniform(2, 80), 6, 15, 4);
@@ -172,7 +182,9 @@
     });
   }
   world.troubles_end = 115;
+
   world.run_until(700);
+
   expect_kept(world);
   EXPECT_GT(lost, 3);
 }
@@ -198,7 +210,9 @@
     for (const auto& [ref, job] : world.jobs) waiting += job.task_count - static_cast<int>(job.starts.size());
   });
   world.troubles_end = 95;
+
   world.run_until(700);
+
   expect_kept(world);
   EXPECT_GT(waiting, 20) << "tasks that have not begun";
 }
@@ -221,7 +235,9 @@
   });
   world.at(100, [&world] { world.nodes.crash(0, 9); });
   world.troubles_end = 115;
+
   world.run_until(400);
+
   expect_kept(world);
   EXPECT_GT(half, 3);
   for (const auto& [ref, job] : world.jobs) {
@@ -243,7 +259,9 @@
     world.in(when, [&world, ref] { world.cancel_job(ref); });
     world.in(world.uniform(0, 2), [&world, ref] { world.submit_again(ref); });
   };
+
   world.run_until(300);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   EXPECT_GE(met, 30);
   int done = 0;
@@ -271,7 +289,7 @@
   for (int i = 0; i < 20; i++) {
     UserJob job = plain_job(world, i, i < 14 ? 2 : 50, 8, i < 8 ? 160 : i < 14 ? 34 : 60, 2);
     job.body["owner"] = i >= 8 && i < 14 ? "blue" : "red";
-    // The red jobs have one home: their tasks are delegated to the other shards.
+    // The red jobs have one home shard: their tasks are delegated to the other shards.
     for (int n = 5000 + 100 * i; i < 8 && shard_of(job.ref, 3) != 0; n++)
       job.ref = "job-00" + std::to_string(n);
     job.body["ref"] = job.ref;
@@ -298,7 +316,9 @@
   world.at(61.5, [&world] { crash_all(world, 0.2); });
   world.at(74, [&world] { world.network.cuts.clear(); });
   world.troubles_end = 76;
+
   world.run_until(1500);
+
   expect_kept(world);
   EXPECT_GE(used, 36);
   EXPECT_GE(delegated_here, 1);
@@ -334,7 +354,9 @@
     });
   }
   world.troubles_end = 200;
+
   world.run_until(700);
+
   expect_kept(world);
   EXPECT_GT(held, 5);
 }
@@ -358,7 +380,9 @@
     });
   }
   world.troubles_end = 225;
+
   world.run_until(700);
+
   expect_kept(world);
 }
 
@@ -398,7 +422,9 @@
   world.at(60, [&] {
     for (const std::string& name : good) lost += world.workers.at(name)->dead ? 1 : 0;
   });
+
   world.run_until(400);
+
   expect_kept(world);
   EXPECT_TRUE(world.workers.at(faulty)->dead) << "the faulty machine is still kept";
   EXPECT_GT(good.size(), 6u);
@@ -435,7 +461,9 @@
     }
   });
   world.troubles_end = 95;
+
   world.run_until(300);
+
   expect_kept(world);
   EXPECT_EQ(lost, 0);
 }
@@ -498,7 +526,9 @@
     world.state.set_outage(false);
   });
   world.troubles_end = 250;
+
   world.run_until(800);
+
   expect_kept(world);
 }
 
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -78,7 +78,9 @@
   for (int i = 10; i < 14; i++) world.submit(urgent_work(world, i, 62 + 6 * (i - 10)));
   world.at(110, [&world] { world.cloud.outage = false; });
   world.troubles_end = 115;
+
   world.run_until(1500);
+
   expect_kept(world);
   EXPECT_GE(used, 32) << "cores in use, of 40 on spot machines";
   for (const auto& [ref, job] : world.jobs) {
@@ -115,7 +117,9 @@
       with_pings += worker->tasks.empty() ? 0 : 1;
     }
   });
+
   world.run_until(500);
+
   expect_kept(world);
   EXPECT_GT(up, 5);
   EXPECT_GT(with_pings, 0);
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -91,7 +91,7 @@
   EXPECT_EQ(relay.route(visit(kToken), 23), Route::kNextNode);
 }
 
-TEST(ReportRelay, ANewOwnerIsRedirectedToAndHostsAreForgotten) {
+TEST(ReportRelay, ANewOwnerIsRedirectedToAndMachinesAreForgotten) {
   ReportRelay relay;
   relay.heard_from("roost-1", {kToken}, 0);
   relay.heard_from("roost-1", {kToken}, 20);
@@ -120,7 +120,9 @@
   });
   world.at(95, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 100;
+
   world.run_until(400);
+
   expect_kept(world);
   EXPECT_GT(on_its_machines, 0);
   EXPECT_EQ(world.lost_to_leases, lost_before) << "of " << on_its_machines << " tasks on its machines";
@@ -145,7 +147,9 @@
   });
   world.at(95, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 100;
+
   world.run_until(400);
+
   expect_kept(world);
   EXPECT_GT(cut, 0);
   EXPECT_EQ(world.lost_to_leases, lost_before);
--- a/tests/sim/days.cpp
+++ b/tests/sim/days.cpp
@@ -38,13 +38,13 @@
 }
 
 Options large_fleet(std::uint64_t seed, int market) {
-  constexpr int kHalls = 4;
+  constexpr int kZones = 4;
   Options out;
   out.seed = seed;
   out.nodes = 5;
   out.market = market;
   out.zones.clear();
-  for (int i = 0; i < kHalls; i++) out.zones.push_back("hall-" + std::to_string(i));
+  for (int i = 0; i < kZones; i++) out.zones.push_back("hall-" + std::to_string(i));
   out.report_s = 4;
   out.lease_s = 20;
   out.team_cpus = 4000;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -28,7 +28,9 @@
 TEST_P(Cluster, QuietDay) {
   World world(options());
   add_jobs(world, 2, 60);
+
   world.run_until(400);
+
   expect_kept(world);
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.accepted) << ref;
 }
@@ -46,7 +48,9 @@
       if (world.rng() % 5 == 0) world.nodes.crash(0, 0.2);
     });
   }
+
   world.run_until(500);
+
   expect_kept(world);
 }
 
@@ -60,7 +64,9 @@
     world.at(t + 5, [&world] { world.cloud.outage = true; });
     world.at(t + 30, [&world] { world.cloud.outage = false; });
   }
+
   world.run_until(600);
+
   expect_kept(world);
 }
 
@@ -74,7 +80,9 @@
     });
     world.at(t + world.uniform(3, 20), [&world] { world.network.state_refuses.clear(); });
   }
+
   world.run_until(600);
+
   expect_kept(world);
 }
 
@@ -105,7 +113,9 @@
       }
     });
   }
+
   world.run_until(700);
+
   expect_kept(world);
 }
 
@@ -119,7 +129,7 @@
     world.at(t, [&world] {
       Worker* worker = some_worker(world);
       const int node = some_node(world);
-      const std::string name = "roost-" + std::to_string(node);
+      const std::string name = node_name(node);
       switch (world.rng() % 6) {
         case 0:
           world.nodes.crash(node, world.uniform(0.1, 9));
@@ -153,7 +163,9 @@
       }
     });
   }
+
   world.run_until(700);
+
   expect_kept(world);
 }
 
@@ -190,7 +202,9 @@
   });
   world.at(120, [&world] { world.cloud.outage = false; });
   world.troubles_end = 120;
+
   world.run_until(1500);
+
   expect_kept(world);
 }
 
@@ -216,13 +230,16 @@
     EXPECT_GE(away.size(), 3u);
     for (const Worker* worker : away) EXPECT_FALSE(worker->dead) << worker->name;
   });
+
   world.run_until(500);
+
   expect_kept(world);
 }
 
-// Their reports come, nothing we send reaches them; or only the answers are lost. Their leases run out, their
-// tasks run elsewhere, nobody goes on launching to them for ever, and those that stay deaf are returned.
-TEST_P(Cluster, DeafMachinesAreLeftAloneAndTheirTasksRunElsewhere) {
+// Their reports come, nothing that is sent reaches them; or only the answers are lost. Their leases run out,
+// their tasks run elsewhere, nobody goes on launching to them for ever, and those that stay unreachable are
+// returned.
+TEST_P(Cluster, InboundUnreachableMachinesAreLeftAloneAndTheirTasksRunElsewhere) {
   World world(options());
   add_jobs(world, 2, 120);
   std::vector<std::string> for_good;
@@ -244,7 +261,9 @@
     });
   }
   world.troubles_end = 250;
+
   world.run_until(600);
+
   expect_kept(world);
   for (const auto& [attempt, count] : world.rules.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
   for (const std::string& name : for_good)
@@ -276,14 +295,16 @@
     });
   }
   world.troubles_end = 200;
+
   world.run_until(500);
+
   expect_kept(world);
   EXPECT_EQ(world.rules.orders_to_copies, 0);
 }
 
 // A node reaches neither the state service nor the other nodes, but its workers (and sometimes the others do
-// not reach these). It renews their leases, starts nothing, vouches for nothing; afterwards it takes up its
-// role again.
+// not reach these). It renews their leases, starts nothing, is no evidence of any lease; afterwards it takes
+// up its role again.
 TEST_P(Cluster, ANodeWithItsWorkersOnly) {
   World world(options());
   world.network.hold_share = 0.3;
@@ -298,7 +319,7 @@
         if (node_name(i) == name) continue;
         world.network.cuts.insert({name, node_name(i)});
         for (auto& [machine_name, worker] : world.workers) {
-          if (unreached && shard_of(machine_name, world.options.nodes) == name.back() - '0')
+          if (unreached && shard_of(machine_name, world.options.nodes) == node_index(name))
             world.network.cuts.insert({machine_name, node_name(i)});
         }
       }
@@ -310,12 +331,14 @@
     });
   }
   world.troubles_end = 200;
+
   world.run_until(700);
+
   expect_kept(world);
 }
 
-// Processes are back within a fraction of a second: alone, in pairs, while shards go home, while an election
-// is under way, and while what they sent before is still being carried out.
+// Processes are back within a fraction of a second: alone, in pairs, while shards are handed back, while an
+// election is under way, and while what they sent before is still being carried out.
 TEST_P(Cluster, ProcessesAreBackWithinAFractionOfASecond) {
   Options late = options();
   late.loss = 0.02;
@@ -337,7 +360,9 @@
     });
   }
   world.troubles_end = 180;
+
   world.run_until(500);
+
   expect_kept(world);
 }
 
@@ -358,7 +383,9 @@
     });
   }
   world.troubles_end = 180;
+
   world.run_until(600);
+
   expect_kept(world);
   EXPECT_GT(reboots, 15);
 }
@@ -379,7 +406,9 @@
     if (large) largest.push_back(job.ref);
     world.submit(job);
   }
+
   world.run_until(900);
+
   expect_kept(world);
   for (const std::string& ref : largest) {
     const UserJob& job = world.jobs.at(ref);
@@ -402,7 +431,9 @@
   });
   world.troubles_end = 45;
   world.rules.all_runs = false;  // the record stays as it is: this trouble does not end
+
   world.run_until(400);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   int ended = 0;
   for (const auto& [ref, job] : world.jobs) ended += job.told_done || job.told_aborted ? 1 : 0;
@@ -424,7 +455,9 @@
   job.body["loaner"] = true;
   job.body["hall"] = nullptr;
   world.submit(job);
+
   world.run_until(160);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   const UserJob& after = world.jobs.begin()->second;
   EXPECT_TRUE(after.told_aborted);
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -110,7 +110,7 @@
       std::getline(fields, task, ':');
       std::getline(fields, attempt, ':');
       std::getline(fields, phase, ':');
-      Json item = {{"piece", task}, {"try_no", tries_.at(attempt)}, {"phase", phase}};
+      Json item = {{"piece", task}, {"try_no", attempts_.at(attempt)}, {"phase", phase}};
       if (std::getline(fields, cause, ':')) item["exit_cause"] = cause;
       report["pieces"].push_back(item);
     }
@@ -157,7 +157,7 @@
     std::string out = alias(fencing_tokens_, "B", body["baton"].get<std::uint64_t>());
     for (const Json& order : body["orders"]) {
       out += " " + order["verb"].get<std::string>() + " " + order["piece"].get<std::string>() + ":" +
-             alias(tries_, "T", order["try_no"].get<std::uint64_t>());
+             alias(attempts_, "T", order["try_no"].get<std::uint64_t>());
     }
     return out;
   }
@@ -175,7 +175,7 @@
 
   World world_;
   std::map<std::string, std::uint64_t> fencing_tokens_;
-  std::map<std::string, std::uint64_t> tries_;
+  std::map<std::string, std::uint64_t> attempts_;
   std::vector<std::string> said_;
 };
 
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -130,7 +130,9 @@
   World world(options);
   Collector collector(world);
   add_day(world);
+
   world.run_until(330);
+
   expect_kept(world);
   const Json old = samples();
   const auto expect_same = [](const std::string& what, const Json& before, const Json& now) {
@@ -187,7 +189,9 @@
   world.at(95, [&world] { world.nodes.upgrade(2, 8); });
   world.at(100, [&world] { world.state.lower_limits(2, 4, 20); });
   world.troubles_end = 115;
+
   world.run_until(360);
+
   expect_kept(world);
   EXPECT_EQ(world.state.too_large, 0);
 }
@@ -200,7 +204,9 @@
   world.at(70, [&world] { world.nodes.crash(1, 9); });
   world.at(110, [&world] { world.nodes.crash(0, 9); });
   world.troubles_end = 125;
+
   world.run_until(360);
+
   expect_kept(world);
 }
 
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -81,7 +81,9 @@
   int lost = 0;
   disturb_answers(
       world, is_ending, [] { return kLost; }, lost);
+
   world.run_until(500);
+
   expect_kept(world);
   EXPECT_GT(lost, 5);
 }
@@ -93,7 +95,9 @@
   int slow = 0;
   disturb_answers(
       world, is_ending, [&world] { return world.uniform(0.2, 1.4); }, slow);
+
   world.run_until(500);
+
   expect_kept(world);
   EXPECT_GT(slow, 5);
 }
@@ -112,12 +116,14 @@
       }
     });
   }
+
   world.run_until(500);
+
   expect_kept(world);
   EXPECT_GT(lost, 3);
 }
 
-// A node sends a shard home; the deletion is carried out, and no answer of the state service reaches the
+// A node hands a shard back; the deletion is carried out, and no answer of the state service reaches the
 // node. The next owner cancels jobs at once, while the old one's lease is still good.
 TEST_P(WentBack, TheAnswerToAHandBackIsLost) {
   World world(options());
@@ -130,7 +136,7 @@
     if (!changes_key(transaction, "delete", keys::shard(0)) || handed_back++ > 0) return 0.0;
     world.network.state_unheard.insert(from);
     cut_all_peers(world);
-    world.network.cut_from_workers(from.back() - '0');
+    world.network.cut_from_workers(node_index(from));
     world.in(3, [&world] {
       world.network.state_unheard.clear();
       world.network.mend_nodes();
@@ -145,7 +151,9 @@
     return kLost;
   };
   world.troubles_end = 70;
+
   world.run_until(75);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   EXPECT_GT(handed_back, 0);
   int cancelled = 0;
@@ -178,7 +186,9 @@
     world.network.mend_nodes();
   });
   world.troubles_end = 120;
+
   world.run_until(500);
+
   EXPECT_FALSE(spoiled.empty());
   expect_kept(world);
 }
@@ -200,7 +210,9 @@
   };
   std::uint64_t token = 0;
   world.at(39, [&] { token = world.state.revision(keys::shard(0)); });
+
   world.run_until(200);
+
   expect_kept(world);
   EXPECT_GT(slow, 10);
   EXPECT_EQ(world.state.revision(keys::shard(0)), token) << "a job that had ended made the shard start over";
@@ -228,7 +240,9 @@
   world.at(58, [&] {
     for (const auto& [key, value] : world.state.values()) ended += key.rfind("e/", 0) == 0 ? 1 : 0;
   });
+
   world.run_until(200);
+
   expect_kept(world);
   EXPECT_GT(ended, 300u) << "too few ended behind the watch";
   EXPECT_EQ(world.state.revision(keys::shard(0)), token) << "a job that had ended made the shard start over";
@@ -245,7 +259,9 @@
   add_jobs(world, 2, 150);
   world.at(250, [&world] { world.network.watch_delay_s = 0; });
   world.troubles_end = 250;
+
   world.run_until(600);
+
   expect_kept(world);
   int tasks_returned = 0;
   for (int i = 0; i < five.nodes; i++) {
@@ -299,7 +315,9 @@
     world.options.late_writes = 0;
   });
   world.troubles_end = 155;
+
   world.run_until(600);
+
   expect_kept(world);
 }
 
