--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -91,7 +91,7 @@
   EXPECT_EQ(relay.route(visit(kToken), 23), Route::kNextNode);
 }
 
-TEST(ReportRelay, ANewOwnerIsRedirectedToAndHostsAreForgotten) {
+TEST(ReportRelay, ANewOwnerIsRedirectedToAndMachinesAreForgotten) {
   ReportRelay relay;
   relay.heard_from("roost-1", {kToken}, 0);
   relay.heard_from("roost-1", {kToken}, 20);
@@ -113,14 +113,16 @@
   world.at(45, [&] {
     lost_before = world.lost_to_leases;
     for (auto& [name, worker] : world.workers) {
-      if (world.owner_of(shard_of(name, world.options.nodes)) == 0)
+      if (world.nodes.owner_of(shard_of(name, world.options.nodes)) == 0)
         on_its_machines += static_cast<int>(worker->tasks.size());
     }
-    world.cut_from_workers(0);
+    world.network.cut_from_workers(0);
   });
-  world.at(95, [&world] { world.mend_nodes(); });
+  world.at(95, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 100;
+
   world.run_until(400);
+
   expect_kept(world);
   EXPECT_GT(on_its_machines, 0);
   EXPECT_EQ(world.lost_to_leases, lost_before) << "of " << on_its_machines << " tasks on its machines";
@@ -138,14 +140,16 @@
     lost_before = world.lost_to_leases;
     for (auto& [name, worker] : world.workers) {
       if (!worker->up() || worker->zone != "a") continue;
-      world.cuts.insert({name, node_name(1)});
-      cut += worker->tasks.empty() || world.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
+      world.network.cuts.insert({name, node_name(1)});
+      cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
     }
-    world.cuts.insert({node_name(1), node_name(2)});  // the next node that they try
+    world.network.cuts.insert({node_name(1), node_name(2)});  // the next node that they try
   });
-  world.at(95, [&world] { world.mend_nodes(); });
+  world.at(95, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 100;
+
   world.run_until(400);
+
   expect_kept(world);
   EXPECT_GT(cut, 0);
   EXPECT_EQ(world.lost_to_leases, lost_before);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -12,7 +12,9 @@
 namespace {
 
 // By then a rebuilding is over that had to wait until nothing ran.
-constexpr double kOperatorAfter = 80;
+constexpr double kOperatorAfter = 80;  // seconds
+// For all of an operator's decisions.
+constexpr double kDecisionsTake = 30;  // seconds
 
 // Gives, once it has happened, how many revisions were lost. (Nothing may have changed since the copy was
 // made.)
@@ -41,7 +43,7 @@
 // done, the others run again. Repeats itself until the list is empty.
 void decide_as_operator(World& world) {
   const int node = some_node(world);
-  world.send(
+  world.network.send(
       "operator", {peer_address_of(node), "GET", "/ops/recovery/unaccounted", "", 2.0},
       [&world, node](const HttpReply& reply) {
         if (reply.status != 200) return;
@@ -52,9 +54,9 @@
           const bool done = static_cast<int>(job.completed.size()) == job.task_count;
           const bool cancelled = job.told_aborted || (job.cancel_asked && !done);
           const Json decision = {{"job", ref}, {"as", cancelled ? "cancelled" : done ? "done" : "rerun"}};
-          world.send("operator",
-                     {peer_address_of(node), "POST", "/ops/recovery/resolve", dump_json(decision), 2.0},
-                     [](const HttpReply&) {});
+          world.network.send(
+              "operator", {peer_address_of(node), "POST", "/ops/recovery/resolve", dump_json(decision), 2.0},
+              [](const HttpReply&) {});
         }
       });
   world.in(5, [&world] { decide_as_operator(world); });
@@ -79,6 +81,15 @@
       EXPECT_EQ(process.node->incarnation(), world.nodes.front().node->incarnation());
     }
   }
+  // An operator decides from `decides_at` on about what is listed as unaccounted; half a minute later the
+  // troubles are over. What is then expected of the day's end.
+  static void end_with_operator(World& world, double decides_at, double ends_at, int least_incarnation) {
+    world.troubles_end = decides_at + kDecisionsTake;
+    world.at(decides_at, [&world] { decide_as_operator(world); });
+    world.run_until(ends_at);
+    expect_kept(world);
+    expect_incarnation(world, least_incarnation);
+  }
 };
 
 }  // namespace
@@ -89,11 +100,13 @@
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
-    world.at(t + world.uniform(0, 18), [&world] { world.crash_node(some_node(world), 3); });
-    world.at(t + 22, [&world] { world.state_refuses.insert(node_name(some_node(world))); });
-    world.at(t + 30, [&world] { world.state_refuses.clear(); });
+    world.at(t + world.uniform(0, 18), [&world] { world.nodes.crash(some_node(world), 3); });
+    world.at(t + 22, [&world] { world.network.state_refuses.insert(node_name(some_node(world))); });
+    world.at(t + 30, [&world] { world.network.state_refuses.clear(); });
   }
+
   world.run_until(600);
+
   expect_kept(world);
   expect_incarnation(world, 1);
   EXPECT_TRUE(world.nodes.front().node->incarnation().first());
@@ -104,7 +117,9 @@
   add_jobs(world, 2, 120);
   world.at(world.uniform(30, 90), [&world] { world.state.empty(); });
   world.troubles_end = 130;
+
   world.run_until(500);
+
   expect_kept(world);
   expect_incarnation(world, 2);
   EXPECT_EQ(world.lost_to_leases, 0) << "tasks went on meanwhile";
@@ -118,7 +133,9 @@
   const double loss = world.uniform(40, 90);
   const auto lost = set_back(world, loss - world.uniform(0.2, 30), loss);
   world.troubles_end = loss + 40;
+
   world.run_until(500);
+
   expect_kept(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
@@ -129,7 +146,9 @@
   const double loss = world.uniform(40, 90);
   const auto lost = set_back(world, loss - world.uniform(0.2, 30), loss, false);
   world.troubles_end = loss + 40;
+
   world.run_until(500);
+
   expect_kept(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
@@ -142,7 +161,9 @@
   world.at(loss - world.uniform(1, 10), [&world] { world.state.set_outage(true); });
   world.at(loss + world.uniform(1, 10), [&world] { world.state.set_outage(false); });
   world.troubles_end = loss + 60;
+
   world.run_until(500);
+
   expect_kept(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
@@ -154,13 +175,10 @@
   const double loss = world.uniform(60, 80);
   set_back(world, 55, loss);
   world.at(loss, [&world] {
-    for (int node = 0; node < world.options.nodes; node++) world.crash_node(node, world.uniform(0.2, 8));
+    for (int node = 0; node < world.options.nodes; node++) world.nodes.crash(node, world.uniform(0.2, 8));
   });
-  world.troubles_end = loss + kOperatorAfter + 30;
-  world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(600);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+
+  end_with_operator(world, loss + kOperatorAfter, 600, 2);
 }
 
 // A controller ends at the moment of the loss, and some machines are silent: what runs there goes on until
@@ -174,16 +192,13 @@
   set_back(world, 55, loss);
   world.at(loss - 0.5, [&world] {
     for (const auto& [name, worker] : world.workers) {
-      if (!worker->tasks.empty()) world.cut_off(name);
+      if (!worker->tasks.empty()) world.network.cut_off(name);
     }
   });
-  world.at(loss + 40, [&world] { world.cuts.clear(); });
-  world.at(loss, [&world] { world.crash_node(some_node(world), world.uniform(0.2, 3)); });
-  world.troubles_end = loss + kOperatorAfter + 30;
-  world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(600);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+  world.at(loss + 40, [&world] { world.network.cuts.clear(); });
+  world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 3)); });
+
+  end_with_operator(world, loss + kOperatorAfter, 600, 2);
 }
 
 TEST_P(LostState, AControllerEndsAtTheMomentOfTheLoss) {
@@ -192,12 +207,9 @@
   add_witnesses(world);
   const double loss = world.uniform(60, 80);
   set_back(world, 55, loss);
-  world.at(loss, [&world] { world.crash_node(some_node(world), world.uniform(0.2, 20)); });
-  world.troubles_end = loss + kOperatorAfter + 30;
-  world.at(loss + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(600);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+  world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 20)); });
+
+  end_with_operator(world, loss + kOperatorAfter, 600, 2);
 }
 
 // Whoever leads the rebuilding ends, at any step of it, and so does the next.
@@ -212,15 +224,12 @@
       const Json leader = stored(world, recovery::kLeaderKey);
       for (int node = 0; node < world.options.nodes; node++) {
         if (leader.is_object() && leader["node"] == node_name(node))
-          world.crash_node(node, world.uniform(0.3, 8));
+          world.nodes.crash(node, world.uniform(0.3, 8));
       }
     });
   }
-  world.troubles_end = loss + 60 + kOperatorAfter + 30;
-  world.at(loss + 60 + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(700);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+
+  end_with_operator(world, loss + 60 + kOperatorAfter, 700, 2);
 }
 
 TEST_P(LostState, StateIsLostAgainDuringTheRebuilding) {
@@ -231,11 +240,8 @@
   world.at(loss + world.uniform(0.5, 4), [&world] { world.state.empty(); });
   world.at(loss + world.uniform(20, 60), [&world] { world.state.empty(); });
   // (A shard whose new owner had not read its records yet when they were lost again is not known in full.)
-  world.at(loss + 60 + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.troubles_end = loss + 60 + kOperatorAfter + 30;
-  world.run_until(500);
-  expect_kept(world);
-  expect_incarnation(world, 3);
+
+  end_with_operator(world, loss + 60 + kOperatorAfter, 500, 3);
 }
 
 // One controller has its workers and users only: it has not noticed the loss, and is heard too late.
@@ -246,13 +252,10 @@
   const double loss = world.uniform(60, 80);
   const int cut = some_node(world);
   set_back(world, 50, loss);
-  world.at(loss - world.uniform(0, 4), [&world, cut] { world.cut_node(cut, true); });
-  world.at(loss + 80, [&world] { world.mend_nodes(); });
-  world.troubles_end = loss + 80 + kOperatorAfter + 30;
-  world.at(loss + 80 + kOperatorAfter, [&world] { decide_as_operator(world); });
-  world.run_until(700);
-  expect_kept(world);
-  expect_incarnation(world, 2);
+  world.at(loss - world.uniform(0, 4), [&world, cut] { world.network.cut_node(cut, true); });
+  world.at(loss + 80, [&world] { world.network.mend_nodes(); });
+
+  end_with_operator(world, loss + 80 + kOperatorAfter, 700, 2);
 }
 
 TEST_P(LostState, MachinesHangAndAreSilentAndMessagesAndWritesComeLate) {
@@ -267,11 +270,11 @@
     world.at(t, [&world] {
       if (Worker* worker = some_worker(world); worker != nullptr) {
         if (world.rng() % 2 == 0) {
-          world.hang(*worker, world.uniform(3, 40));
+          worker->hang(world.uniform(3, 40));
         } else {
           const std::string name = worker->name;
-          world.cut_off(name);
-          world.in(world.uniform(5, 60), [&world] { world.cuts.clear(); });
+          world.network.cut_off(name);
+          world.in(world.uniform(5, 60), [&world] { world.network.cuts.clear(); });
         }
       }
     });
@@ -279,7 +282,9 @@
   const auto lost = set_back(world, loss - world.uniform(1, 20), loss, world.rng() % 2 == 0);
   world.at(loss + kOperatorAfter + 30, [&world] { decide_as_operator(world); });
   world.troubles_end = loss + kOperatorAfter + 60;
+
   world.run_until(600);
+
   expect_kept(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -28,7 +28,9 @@
 TEST_P(Cluster, QuietDay) {
   World world(options());
   add_jobs(world, 2, 60);
+
   world.run_until(400);
+
   expect_kept(world);
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.accepted) << ref;
 }
@@ -41,12 +43,14 @@
       const bool all = world.rng() % 5 == 0;
       const int which = some_node(world);
       for (int i = 0; i < world.options.nodes; i++) {
-        if (which == i || all) world.crash_node(i, world.uniform(0.1, 9));
+        if (which == i || all) world.nodes.crash(i, world.uniform(0.1, 9));
       }
-      if (world.rng() % 5 == 0) world.crash_node(0, 0.2);
+      if (world.rng() % 5 == 0) world.nodes.crash(0, 0.2);
     });
   }
+
   world.run_until(500);
+
   expect_kept(world);
 }
 
@@ -56,11 +60,13 @@
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
-    world.at(t + world.uniform(0, 18), [&world] { world.crash_node(some_node(world), 3); });
+    world.at(t + world.uniform(0, 18), [&world] { world.nodes.crash(some_node(world), 3); });
     world.at(t + 5, [&world] { world.cloud.outage = true; });
     world.at(t + 30, [&world] { world.cloud.outage = false; });
   }
+
   world.run_until(600);
+
   expect_kept(world);
 }
 
@@ -69,12 +75,14 @@
   add_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 25) {
     world.at(t, [&world] {
-      world.state_refuses.clear();
-      world.state_refuses.insert(node_name(some_node(world)));
+      world.network.state_refuses.clear();
+      world.network.state_refuses.insert(node_name(some_node(world)));
     });
-    world.at(t + world.uniform(3, 20), [&world] { world.state_refuses.clear(); });
+    world.at(t + world.uniform(3, 20), [&world] { world.network.state_refuses.clear(); });
   }
+
   world.run_until(600);
+
   expect_kept(world);
 }
 
@@ -92,20 +100,22 @@
           worker->dead = true;
           break;
         case 1:
-          world.hang(*worker, world.uniform(2, 40));
+          worker->hang(world.uniform(2, 40));
           break;
         case 2:
           worker->faulty = true;
           break;
         default:
-          world.cut_off(name);
+          world.network.cut_off(name);
           world.in(world.uniform(5, 40), [&world, name] {
-            for (int i = 0; i < world.options.nodes; i++) world.cuts.erase({name, node_name(i)});
+            for (int i = 0; i < world.options.nodes; i++) world.network.cuts.erase({name, node_name(i)});
           });
       }
     });
   }
+
   world.run_until(700);
+
   expect_kept(world);
 }
 
@@ -113,33 +123,33 @@
   Options mix = options();
   mix.loss = 0.01;
   World world(mix);
-  world.hold_share = 0.8;
+  world.network.hold_share = 0.8;
   add_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(4, 10)) {
     world.at(t, [&world] {
       Worker* worker = some_worker(world);
       const int node = some_node(world);
-      const std::string name = "roost-" + std::to_string(node);
+      const std::string name = node_name(node);
       switch (world.rng() % 6) {
         case 0:
-          world.crash_node(node, world.uniform(0.1, 9));
+          world.nodes.crash(node, world.uniform(0.1, 9));
           break;
         case 1:
           world.state.set_outage(true);
           world.in(world.uniform(1, 12), [&world] { world.state.set_outage(false); });
           break;
         case 2:
-          world.state_refuses.insert(name);
-          world.in(world.uniform(1, 15), [&world, name] { world.state_refuses.erase(name); });
+          world.network.state_refuses.insert(name);
+          world.in(world.uniform(1, 15), [&world, name] { world.network.state_refuses.erase(name); });
           break;
         case 3: {
           const std::string other = node_name((node + 1) % world.options.nodes);
-          world.cuts.insert({name, other});
-          if (worker != nullptr) world.cuts.insert({worker->name, name});
+          world.network.cuts.insert({name, other});
+          if (worker != nullptr) world.network.cuts.insert({worker->name, name});
           const std::string cut = worker == nullptr ? other : worker->name;
           world.in(world.uniform(3, 30), [&world, name, other, cut] {
-            world.cuts.erase({name, other});
-            world.cuts.erase({cut, name});
+            world.network.cuts.erase({name, other});
+            world.network.cuts.erase({cut, name});
           });
           break;
         }
@@ -148,12 +158,14 @@
           break;
         default:
           if (worker != nullptr) {
-            world.hang(*worker, world.uniform(2, 30));
+            worker->hang(world.uniform(2, 30));
           }
       }
     });
   }
+
   world.run_until(700);
+
   expect_kept(world);
 }
 
@@ -162,7 +174,7 @@
 // still running.
 TEST_P(Cluster, ASilentMachineMayStillBeRenewedByTheOldOwner) {
   World world(options());
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   // (There is room left on other machines: what would be freed wrongly starts there.)
   for (int i = 0; i < 10; i++) {
     UserJob job = make_job(world, i, 2, 20);
@@ -174,23 +186,25 @@
   }
   world.at(45, [&world] {
     world.cloud.outage = true;
-    world.state_refuses.insert("roost-0");
-    world.isolated["roost-0"] = world.now;
+    world.network.state_refuses.insert("roost-0");
+    world.network.isolated["roost-0"] = world.now;
     for (int i = 1; i < world.options.nodes; i++) {
-      world.cuts.insert({"roost-0", node_name(i)});
+      world.network.cuts.insert({"roost-0", node_name(i)});
       for (auto& [name, worker] : world.workers) {
-        if (shard_of(name, world.options.nodes) == 0) world.cuts.insert({name, node_name(i)});
+        if (shard_of(name, world.options.nodes) == 0) world.network.cuts.insert({name, node_name(i)});
       }
     }
   });
   world.at(100, [&world] {
-    world.cuts.clear();
-    world.state_refuses.clear();
-    world.isolated.clear();
+    world.network.cuts.clear();
+    world.network.state_refuses.clear();
+    world.network.isolated.clear();
   });
   world.at(120, [&world] { world.cloud.outage = false; });
   world.troubles_end = 120;
+
   world.run_until(1500);
+
   expect_kept(world);
 }
 
@@ -201,51 +215,57 @@
   Options quiet = options();
   quiet.loss = 0;
   World world(quiet);
-  world.hold_share = 0;
+  world.network.hold_share = 0;
   add_jobs(world, 2, 60);
   std::vector<Worker*> away;
   world.at(50, [&world, &away] {
     for (auto& [name, worker] : world.workers) {
       if (away.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
       away.push_back(worker.get());
-      world.cut_off(name);
+      world.network.cut_off(name);
     }
   });
   world.at(74, [&world, &away] {
-    world.cuts.clear();
+    world.network.cuts.clear();
     EXPECT_GE(away.size(), 3u);
     for (const Worker* worker : away) EXPECT_FALSE(worker->dead) << worker->name;
   });
+
   world.run_until(500);
+
   expect_kept(world);
 }
 
-// Their reports come, nothing we send reaches them; or only the answers are lost. Their leases run out, their
-// tasks run elsewhere, nobody goes on launching to them for ever, and those that stay deaf are returned.
-TEST_P(Cluster, DeafMachinesAreLeftAloneAndTheirTasksRunElsewhere) {
+// Their reports come, nothing that is sent reaches them; or only the answers are lost. Their leases run out,
+// their tasks run elsewhere, nobody goes on launching to them for ever, and those that stay unreachable are
+// returned.
+TEST_P(Cluster, InboundUnreachableMachinesAreLeftAloneAndTheirTasksRunElsewhere) {
   World world(options());
   add_jobs(world, 2, 120);
   std::vector<std::string> for_good;
   for (double t = 25; t < 150; t += 12) {
     world.at(t, [&world, &for_good] {
       Worker* worker = some_worker(world);
-      if (worker == nullptr || worker->inbound_unreachable || worker->muffled) return;
+      if (worker == nullptr || worker->inbound_unreachable || worker->answers_lost) return;
       if (world.rng() % 3 == 0) {
-        worker->muffled = true;
+        worker->answers_lost = true;
       } else {
         worker->inbound_unreachable = true;
       }
       if (world.rng() % 3 == 0) {
         for_good.push_back(worker->name);
       } else {
-        world.in(world.uniform(3, 60), [worker] { worker->inbound_unreachable = worker->muffled = false; });
+        world.in(world.uniform(3, 60),
+                 [worker] { worker->inbound_unreachable = worker->answers_lost = false; });
       }
     });
   }
   world.troubles_end = 250;
+
   world.run_until(600);
+
   expect_kept(world);
-  for (const auto& [attempt, count] : world.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
+  for (const auto& [attempt, count] : world.rules.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
   for (const std::string& name : for_good)
     EXPECT_TRUE(world.workers.at(name)->dead) << name << " is still kept";
 }
@@ -263,58 +283,62 @@
       Worker* worker = some_worker(world);
       switch (world.rng() % 3) {
         case 0:
-          world.crash_node(some_node(world), world.uniform(0.1, 9));
+          world.nodes.crash(some_node(world), world.uniform(0.1, 9));
           break;
         case 1:
           if (worker != nullptr) worker->dead = true;
           break;
         default:
           if (worker == nullptr) break;
-          world.hang(*worker, world.uniform(2, 30));
+          worker->hang(world.uniform(2, 30));
       }
     });
   }
   world.troubles_end = 200;
+
   world.run_until(500);
+
   expect_kept(world);
-  EXPECT_EQ(world.orders_to_copies, 0);
+  EXPECT_EQ(world.rules.orders_to_copies, 0);
 }
 
 // A node reaches neither the state service nor the other nodes, but its workers (and sometimes the others do
-// not reach these). It renews their leases, starts nothing, vouches for nothing; afterwards it takes up its
-// role again.
+// not reach these). It renews their leases, starts nothing, is no evidence of any lease; afterwards it takes
+// up its role again.
 TEST_P(Cluster, ANodeWithItsWorkersOnly) {
   World world(options());
-  world.hold_share = 0.3;
+  world.network.hold_share = 0.3;
   add_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 45) {
     world.at(t, [&world] {
       const std::string name = node_name(some_node(world));
       const bool unreached = world.rng() % 2 == 0;
-      world.state_refuses.insert(name);
-      world.isolated[name] = world.now;
+      world.network.state_refuses.insert(name);
+      world.network.isolated[name] = world.now;
       for (int i = 0; i < world.options.nodes; i++) {
         if (node_name(i) == name) continue;
-        world.cuts.insert({name, node_name(i)});
+        world.network.cuts.insert({name, node_name(i)});
         for (auto& [machine_name, worker] : world.workers) {
-          if (unreached && shard_of(machine_name, world.options.nodes) == name.back() - '0')
-            world.cuts.insert({machine_name, node_name(i)});
+          if (unreached && shard_of(machine_name, world.options.nodes) == node_index(name))
+            world.network.cuts.insert({machine_name, node_name(i)});
         }
       }
       world.in(world.uniform(5, 40), [&world] {
-        world.cuts.clear();
-        world.state_refuses.clear();
-        world.isolated.clear();
+        world.network.cuts.clear();
+        world.network.state_refuses.clear();
+        world.network.isolated.clear();
       });
     });
   }
   world.troubles_end = 200;
+
   world.run_until(700);
+
   expect_kept(world);
 }
 
-// Processes are back within a fraction of a second: alone, in pairs, while shards go home, while an election
-// is under way, and while what they sent before is still being carried out.
+// Processes are back within a fraction of a second: alone, in pairs, while shards are handed back, while an
+// election is under way, and while what they sent before is still being carried out.
 TEST_P(Cluster, ProcessesAreBackWithinAFractionOfASecond) {
   Options late = options();
   late.loss = 0.02;
@@ -325,18 +349,20 @@
   for (double t = 10; t < 170; t += world.uniform(3, 9)) {
     world.at(t, [&world] {
       const int node = some_node(world);
-      world.drop_state_answers = static_cast<int>(world.rng() % 3);
-      world.crash_node(node, world.uniform(0.02, 0.4));
+      world.network.drop_state_answers = static_cast<int>(world.rng() % 3);
+      world.nodes.crash(node, world.uniform(0.02, 0.4));
       if (world.rng() % 2 == 0) {
         world.in(world.uniform(0, 1),
-                 [&world, node] { world.crash_node((node + 1) % world.options.nodes, 0.1); });
+                 [&world, node] { world.nodes.crash((node + 1) % world.options.nodes, 0.1); });
       }
       if (world.rng() % 3 == 0)
-        world.in(world.uniform(0.05, 1), [&world, node] { world.crash_node(node, 0.05); });
+        world.in(world.uniform(0.05, 1), [&world, node] { world.nodes.crash(node, 0.05); });
     });
   }
   world.troubles_end = 180;
+
   world.run_until(500);
+
   expect_kept(world);
 }
 
@@ -353,11 +379,13 @@
       if (worker == nullptr) return;
       worker->reboot(world.rng() % 2 == 0);
       reboots++;
-      if (world.rng() % 4 == 0) world.crash_node(some_node(world), 0.1);
+      if (world.rng() % 4 == 0) world.nodes.crash(some_node(world), 0.1);
     });
   }
   world.troubles_end = 180;
+
   world.run_until(600);
+
   expect_kept(world);
   EXPECT_GT(reboots, 15);
 }
@@ -378,7 +406,9 @@
     if (large) largest.push_back(job.ref);
     world.submit(job);
   }
+
   world.run_until(900);
+
   expect_kept(world);
   for (const std::string& ref : largest) {
     const UserJob& job = world.jobs.at(ref);
@@ -397,11 +427,13 @@
   world.at(40, [&world] {
     const std::string segment = keys::segment(0, 1);
     if (world.state.values().count(segment) > 0) world.state.spoil(segment);
-    world.crash_node(0, 0.2);
+    world.nodes.crash(0, 0.2);
   });
   world.troubles_end = 45;
-  world.all_runs = false;  // the record stays as it is: this trouble does not end
+  world.rules.all_runs = false;  // the record stays as it is: this trouble does not end
+
   world.run_until(400);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   int ended = 0;
   for (const auto& [ref, job] : world.jobs) ended += job.told_done || job.told_aborted ? 1 : 0;
@@ -423,7 +455,9 @@
   job.body["loaner"] = true;
   job.body["hall"] = nullptr;
   world.submit(job);
+
   world.run_until(160);
+
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   const UserJob& after = world.jobs.begin()->second;
   EXPECT_TRUE(after.told_aborted);
