--- a/src/transport/event_env.cpp
+++ b/src/transport/event_env.cpp
@@ -14,9 +14,14 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMaxConnectionsPerPeer = 24;
-constexpr std::size_t kMaxQueuedPerPeer = 256;
-constexpr std::size_t kMaxIdlePerPeer = 4;
+// For each destination:
+constexpr std::size_t kMaxConnections = 24;
+constexpr std::size_t kMaxQueued = 256;  // calls that wait for a connection; more fail at once
+constexpr std::size_t kMaxIdle = 4;      // connections that are kept for later calls
+
+constexpr std::int64_t kMaxHeaderBytes = std::int64_t{16} * 1024;
+constexpr std::int64_t kMaxBodyBytes = std::int64_t{4} * 1024 * 1024;
+constexpr int kIdleSeconds = 90;  // after which libevent gives a connection up
 
 timeval to_timeval(double seconds) {
   if (seconds < 0) seconds = 0;
@@ -25,41 +30,92 @@
   tv.tv_usec = static_cast<suseconds_t>((seconds - static_cast<double>(tv.tv_sec)) * 1e6);
   return tv;
 }
+
+// Of "HOST:PORT"; 0 where there is none.
+std::uint16_t port_of(const std::string& destination) {
+  const auto colon = destination.rfind(':');
+  if (colon == std::string::npos) return 0;
+  return static_cast<std::uint16_t>(std::strtoul(destination.c_str() + colon + 1, nullptr, 10));
+}
+
+// Null when it cannot be created. It connects with its first request.
+evhttp_connection* open_connection(event_base* base, const std::string& host, std::uint16_t port) {
+  evhttp_connection* connection = evhttp_connection_base_new(base, nullptr, host.c_str(), port);
+  if (connection == nullptr) return nullptr;
+  evhttp_connection_set_family(connection, AF_INET);
+  evhttp_connection_set_max_headers_size(connection, kMaxHeaderBytes);
+  evhttp_connection_set_max_body_size(connection, kMaxBodyBytes);
+  evhttp_connection_set_timeout(connection, kIdleSeconds);
+  return connection;
+}
+
+evhttp_cmd_type command_of(const HttpCall& call) {
+  if (call.method == "POST") return EVHTTP_REQ_POST;
+  if (call.method == "DELETE") return EVHTTP_REQ_DELETE;
+  return EVHTTP_REQ_GET;
+}
+
+// Headers and body.
+void write_request(const HttpCall& call, evhttp_request* request) {
+  evkeyvalq* headers = evhttp_request_get_output_headers(request);
+  evhttp_add_header(headers, "Host", call.destination.c_str());
+  if (call.body.empty()) return;
+  evhttp_add_header(headers, "Content-Type", "application/json");
+  evbuffer_add(evhttp_request_get_output_buffer(request), call.body.data(), call.body.size());
+}
+
+// `request` is null where the connection failed: then there is no response.
+HttpReply read_reply(evhttp_request* request) {
+  HttpReply reply;
+  if (request == nullptr) return reply;
+  reply.status = evhttp_request_get_response_code(request);
+  if (reply.status == 0) return reply;
+  evbuffer* input = evhttp_request_get_input_buffer(request);
+  reply.body.resize(evbuffer_get_length(input));
+  if (!reply.body.empty()) evbuffer_copyout(input, reply.body.data(), reply.body.size());
+  return reply;
+}
+
+// The other side keeps the connection after the reply.
+bool keeps_connection(evhttp_request* request) {
+  const char* how = evhttp_find_header(evhttp_request_get_input_headers(request), "Connection");
+  return how == nullptr || evutil_ascii_strcasecmp(how, "close") != 0;
+}
 }  // namespace
 
 struct EventEnv::Timer {
   EventEnv* env;
   TimerId id;
   std::function<void()> action;
-  event* ev = nullptr;
+  event* handle = nullptr;
   ~Timer() {
-    if (ev != nullptr) event_free(ev);
+    if (handle != nullptr) event_free(handle);
   }
 };
 
-struct EventEnv::Wire {
-  evhttp_connection* connection = nullptr;
-  ~Wire() {
-    if (connection != nullptr) evhttp_connection_free(connection);
+struct EventEnv::Connection {
+  evhttp_connection* handle = nullptr;  // null: could not be created
+  ~Connection() {
+    if (handle != nullptr) evhttp_connection_free(handle);
   }
 };
 
 struct EventEnv::Exchange {
   EventEnv* env = nullptr;
-  Pool* pool = nullptr;
+  Pool* pool = nullptr;  // null: the call never entered its queue
   HttpCall call;
   ReplyHandler handler;
-  std::unique_ptr<Wire> wire;
-  TimerId deadline = 0;
-  bool over = false;
-  std::shared_ptr<Exchange> self;  // held while libevent may call back
+  std::unique_ptr<Connection> connection;  // while the call is under way
+  TimerId deadline = 0;                    // the timer; 0: it has run
+  bool over = false;                       // a reply was delivered, or is about to be
+  std::shared_ptr<Exchange> self;          // held while libevent may call back
 };
 
 struct EventEnv::Pool {
   std::string host;
   std::uint16_t port = 0;
-  std::size_t busy = 0;
-  std::vector<std::unique_ptr<Wire>> idle;
+  std::size_t busy = 0;  // connections with a call under way
+  std::vector<std::unique_ptr<Connection>> idle;
   std::deque<std::shared_ptr<Exchange>> waiting;
 };
 
@@ -98,12 +154,12 @@
   timer->env = this;
   timer->id = id;
   timer->action = std::move(action);
-  timer->ev = evtimer_new(base_, &EventEnv::on_timer, timer.get());
+  timer->handle = evtimer_new(base_, &EventEnv::on_timer, timer.get());
   if (delay_s <= 0) {
-    event_active(timer->ev, EV_TIMEOUT, 1);  // runs in this turn of the loop
+    event_active(timer->handle, EV_TIMEOUT, 1);  // runs in this turn of the loop
   } else {
     const timeval tv = to_timeval(delay_s);
-    evtimer_add(timer->ev, &tv);
+    evtimer_add(timer->handle, &tv);
   }
   timers_.emplace(id, std::move(timer));
   return id;
@@ -122,22 +178,18 @@
 }
 
 void EventEnv::call(HttpCall request, ReplyHandler handler) {
-  auto& slot = pools_[request.destination];
-  if (!slot) {
-    slot = std::make_unique<Pool>();
-    const auto colon = request.destination.rfind(':');
-    slot->host = request.destination.substr(0, colon);
-    slot->port =
-        colon == std::string::npos
-            ? 0
-            : static_cast<std::uint16_t>(std::strtoul(request.destination.c_str() + colon + 1, nullptr, 10));
+  auto& pool = pools_[request.destination];
+  if (!pool) {
+    pool = std::make_unique<Pool>();
+    pool->host = request.destination.substr(0, request.destination.rfind(':'));
+    pool->port = port_of(request.destination);
   }
   auto exchange = std::make_shared<Exchange>();
   exchange->env = this;
-  exchange->pool = slot.get();
+  exchange->pool = pool.get();
   exchange->call = std::move(request);
   exchange->handler = std::move(handler);
-  if (slot->waiting.size() >= kMaxQueuedPerPeer) {
+  if (pool->waiting.size() >= kMaxQueued) {
     exchange->pool = nullptr;
     after(0, [this, exchange] { finish(exchange, {}, false); });
     return;
@@ -147,12 +199,12 @@
     exchange->deadline = 0;
     finish(exchange, {}, false);
   });
-  slot->waiting.push_back(std::move(exchange));
-  send_queued(*slot);
+  pool->waiting.push_back(std::move(exchange));
+  send_queued(*pool);
 }
 
 void EventEnv::send_queued(Pool& pool) {
-  while (!pool.waiting.empty() && pool.busy < kMaxConnectionsPerPeer) {
+  while (!pool.waiting.empty() && pool.busy < kMaxConnections) {
     auto exchange = pool.waiting.front();
     pool.waiting.pop_front();
     if (!exchange->over) start(pool, exchange);
@@ -161,20 +213,14 @@
 
 void EventEnv::start(Pool& pool, const std::shared_ptr<Exchange>& exchange) {
   if (!pool.idle.empty()) {
-    exchange->wire = std::move(pool.idle.back());
+    exchange->connection = std::move(pool.idle.back());
     pool.idle.pop_back();
   } else {
-    exchange->wire = std::make_unique<Wire>();
-    exchange->wire->connection = evhttp_connection_base_new(base_, nullptr, pool.host.c_str(), pool.port);
-    if (exchange->wire->connection != nullptr) {
-      evhttp_connection_set_family(exchange->wire->connection, AF_INET);
-      evhttp_connection_set_max_headers_size(exchange->wire->connection, std::int64_t{16} * 1024);
-      evhttp_connection_set_max_body_size(exchange->wire->connection, std::int64_t{4} * 1024 * 1024);
-      evhttp_connection_set_timeout(exchange->wire->connection, 90);
-    }
+    exchange->connection = std::make_unique<Connection>();
+    exchange->connection->handle = open_connection(base_, pool.host, pool.port);
   }
   pool.busy++;
-  evhttp_connection* connection = exchange->wire->connection;
+  evhttp_connection* connection = exchange->connection->handle;
   evhttp_request* request =
       connection == nullptr ? nullptr : evhttp_request_new(&EventEnv::on_reply, exchange.get());
   if (request == nullptr) {
@@ -182,17 +228,9 @@
     return;
   }
   exchange->self = exchange;
-  evkeyvalq* headers = evhttp_request_get_output_headers(request);
-  evhttp_add_header(headers, "Host", exchange->call.destination.c_str());
-  evhttp_cmd_type command = EVHTTP_REQ_GET;
-  if (exchange->call.method == "POST") command = EVHTTP_REQ_POST;
-  if (exchange->call.method == "DELETE") command = EVHTTP_REQ_DELETE;
-  if (!exchange->call.body.empty()) {
-    evhttp_add_header(headers, "Content-Type", "application/json");
-    evbuffer_add(evhttp_request_get_output_buffer(request), exchange->call.body.data(),
-                 exchange->call.body.size());
-  }
-  if (evhttp_make_request(connection, request, command, exchange->call.path.c_str()) != 0) {
+  const HttpCall& call = exchange->call;
+  write_request(call, request);
+  if (evhttp_make_request(connection, request, command_of(call), call.path.c_str()) != 0) {
     // The request is freed by evhttp; no callback is promised.
     after(0, [this, exchange] { finish(exchange, {}, false); });
   }
@@ -202,17 +240,8 @@
   auto* raw = static_cast<Exchange*>(arg);
   if (raw->over) return;
   auto exchange = raw->self;
-  HttpReply reply;
-  bool reusable = false;
-  if (request != nullptr && evhttp_request_get_response_code(request) != 0) {
-    reply.status = evhttp_request_get_response_code(request);
-    evbuffer* input = evhttp_request_get_input_buffer(request);
-    const std::size_t size = evbuffer_get_length(input);
-    reply.body.resize(size);
-    if (size > 0) evbuffer_copyout(input, reply.body.data(), size);
-    const char* how = evhttp_find_header(evhttp_request_get_input_headers(request), "Connection");
-    reusable = how == nullptr || evutil_ascii_strcasecmp(how, "close") != 0;
-  }
+  HttpReply reply = read_reply(request);
+  const bool reusable = !reply.unanswered() && keeps_connection(request);
   // The connection must not be freed or reused from inside its own callback.
   EventEnv* env = raw->env;
   env->after(0, [env, exchange, reply = std::move(reply), reusable]() mutable {
@@ -227,11 +256,11 @@
   exchange->self.reset();
   auto handler = std::move(exchange->handler);
   if (Pool* pool = exchange->pool; pool != nullptr) {
-    if (exchange->wire) {
+    if (exchange->connection) {
       pool->busy--;
-      reusable = reusable && exchange->call.keep_alive && pool->idle.size() < kMaxIdlePerPeer;
-      if (reusable) pool->idle.push_back(std::move(exchange->wire));
-      exchange->wire.reset();
+      reusable = reusable && exchange->call.keep_alive && pool->idle.size() < kMaxIdle;
+      if (reusable) pool->idle.push_back(std::move(exchange->connection));
+      exchange->connection.reset();
     }
     send_queued(*pool);
     // Machines come and go by the thousand: nothing is kept of one that was called once.
--- a/src/transport/event_env.hpp
+++ b/src/transport/event_env.hpp
@@ -1,4 +1,4 @@
-// Env on libevent: one thread, epoll, evhttp clients with numeric IPv4 addresses.
+// Env on libevent: one thread, epoll, and evhttp clients with a pool of connections for each destination.
 #pragma once
 
 #include <event2/event.h>
@@ -20,14 +20,17 @@
 
 class EventEnv final : public Env {
  public:
+  // Throws std::runtime_error when the event loop cannot be created.
   EventEnv();
   ~EventEnv() override;
   EventEnv(const EventEnv&) = delete;
   EventEnv& operator=(const EventEnv&) = delete;
 
+  // For listeners that share the loop (HttpServer).
   [[nodiscard]] event_base* base() const { return base_; }
+  // Runs the loop until `stop`.
   void run();
-  // Ends run() once what is being handled has been.
+  // Ends `run` once the event that is being handled has been.
   void stop();
 
   [[nodiscard]] double now() const override;
@@ -39,20 +42,21 @@
 
  private:
   struct Timer;
-  struct Pool;
-  struct Exchange;
-  struct Wire;
+  struct Pool;        // the connections to one destination, and the calls that wait for one
+  struct Exchange;    // one call until its reply is delivered
+  struct Connection;  // owns an evhttp connection
   static void on_timer(evutil_socket_t, short, void* arg);
   static void on_reply(evhttp_request* request, void* arg);
   void start(Pool& pool, const std::shared_ptr<Exchange>& exchange);
   void send_queued(Pool& pool);
+  // Delivers the reply, unless one was delivered. `reusable`: the connection may serve another call.
   void finish(const std::shared_ptr<Exchange>& exchange, HttpReply reply, bool reusable);
 
   event_base* base_ = nullptr;
   std::mt19937_64 rng_;
   TimerId next_timer_ = 1;
   std::unordered_map<TimerId, std::unique_ptr<Timer>> timers_;
-  std::map<std::string, std::unique_ptr<Pool>> pools_;
+  std::map<std::string, std::unique_ptr<Pool>> pools_;  // by destination
 };
 
 }  // namespace mothslip
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -1,4 +1,4 @@
-// A request as the service's handlers see it, and the one-shot way to answer it.
+// An incoming request as handlers see it, and the means to answer it, once.
 #pragma once
 
 #include <functional>
@@ -8,25 +8,28 @@
 
 namespace mothslip {
 
+// An incoming request.
 struct HttpRequest {
   std::string method;
   std::string path;  // without the query
   std::string body;
-  std::string query = {};  // what follows the question mark
+  std::string query = {};  // what follows the question mark, not decoded
 };
 
+// What a request is answered with.
 struct HttpAnswer {
   int status = 200;
-  std::string body = "{}";
-  int retry_after_s = 0;  // 0: no such header
+  std::string body = "{}";  // JSON
+  int retry_after_s = 0;    // the header Retry-After, in seconds; 0: no such header
 };
 
-// Answers once; a second answer is ignored. A responder that is dropped unanswered says 503, so that no
-// caller is ever left waiting by a forgotten code path.
+// Answers one request, once; a second answer is ignored. Copies share the request. When the last copy is
+// destroyed unanswered it answers 503, so that no caller is left waiting by a code path that forgot to.
 class Responder {
  public:
+  // Sends the answer. Called exactly once.
   using Sink = std::function<void(const HttpAnswer&)>;
-  Responder() = default;
+  Responder() = default;  // of no request: answers are ignored
   explicit Responder(Sink sink) : state_(std::make_shared<State>(std::move(sink))) {}
 
   void send(const HttpAnswer& answer) const {
@@ -35,6 +38,7 @@
   void send(int status, std::string body, int retry_after_s = 0) const {
     send(HttpAnswer{status, std::move(body), retry_after_s});
   }
+  // True also where there is no request.
   [[nodiscard]] bool answered() const { return !state_ || !state_->sink; }
 
  private:
@@ -54,6 +58,7 @@
   std::shared_ptr<State> state_;
 };
 
+// Handles an incoming request, and answers it at once or later.
 using HttpHandler = std::function<void(HttpRequest, Responder)>;
 
 }  // namespace mothslip
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -6,12 +6,15 @@
 
 #include <memory>
 #include <stdexcept>
+#include <utility>
 
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMaxHeaders = std::size_t{8} * 1024;
-constexpr int kIdleSeconds = 45;
+constexpr std::size_t kMaxHeaderBytes = std::size_t{8} * 1024;
+constexpr int kIdleSeconds = 45;  // after which a connection is closed
+constexpr const char* kHealthCheckPath = "/ready";
+constexpr const char* kRetryWhenFullSeconds = "2";
 
 const char* method_name(evhttp_cmd_type type) {
   switch (type) {
@@ -29,6 +32,34 @@
       return "OTHER";
   }
 }
+
+std::string text_or_empty(const char* text) { return text == nullptr ? "" : text; }
+
+HttpRequest read_request(evhttp_request* request) {
+  HttpRequest out;
+  out.method = method_name(evhttp_request_get_command(request));
+  if (const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request); uri != nullptr) {
+    out.path = text_or_empty(evhttp_uri_get_path(uri));
+    out.query = text_or_empty(evhttp_uri_get_query(uri));
+  }
+  evbuffer* body = evhttp_request_get_input_buffer(request);
+  out.body.resize(evbuffer_get_length(body));
+  if (!out.body.empty()) evbuffer_copyout(body, out.body.data(), out.body.size());
+  return out;
+}
+
+void add_header(evhttp_request* request, const char* name, const char* value) {
+  evhttp_add_header(evhttp_request_get_output_headers(request), name, value);
+}
+
+void send_answer(evhttp_request* request, const HttpAnswer& answer) {
+  if (answer.retry_after_s > 0) {
+    add_header(request, "Retry-After", std::to_string(answer.retry_after_s).c_str());
+  }
+  const std::unique_ptr<evbuffer, decltype(&evbuffer_free)> out(evbuffer_new(), &evbuffer_free);
+  evbuffer_add(out.get(), answer.body.data(), answer.body.size());
+  evhttp_send_reply(request, answer.status, nullptr, out.get());
+}
 }  // namespace
 
 HttpServer::HttpServer(event_base* base, const std::string& address, std::size_t max_body,
@@ -40,7 +71,7 @@
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_DELETE | EVHTTP_REQ_PUT |
                                         EVHTTP_REQ_HEAD | EVHTTP_REQ_PATCH | EVHTTP_REQ_OPTIONS);
   evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(max_body));
-  evhttp_set_max_headers_size(http_, kMaxHeaders);
+  evhttp_set_max_headers_size(http_, kMaxHeaderBytes);
   evhttp_set_timeout(http_, kIdleSeconds);
   evhttp_set_default_content_type(http_, "application/json");
   evhttp_set_gencb(http_, &HttpServer::on_request, this);
@@ -58,43 +89,31 @@
   static_cast<HttpServer*>(arg)->open_.erase(connection);
 }
 
+void HttpServer::note_connection(evhttp_request* request) {
+  evhttp_connection* connection = evhttp_request_get_connection(request);
+  if (connection == nullptr) return;
+  open_.insert(connection);
+  evhttp_connection_set_closecb(connection, &HttpServer::on_close, this);
+}
+
+bool HttpServer::over_bound() const { return most_connections_ > 0 && open_.size() > most_connections_; }
+
 void HttpServer::on_request(evhttp_request* request, void* arg) {
   auto* server = static_cast<HttpServer*>(arg);
-  evhttp_connection* connection = evhttp_request_get_connection(request);
-  if (connection != nullptr) {
-    server->open_.insert(connection);
-    evhttp_connection_set_closecb(connection, &HttpServer::on_close, server);
-  }
-  HttpRequest in;
-  in.method = method_name(evhttp_request_get_command(request));
-  const evhttp_uri* uri = evhttp_request_get_evhttp_uri(request);
-  const char* path = uri == nullptr ? nullptr : evhttp_uri_get_path(uri);
-  in.path = path == nullptr ? "" : path;
-  const char* query = uri == nullptr ? nullptr : evhttp_uri_get_query(uri);
-  in.query = query == nullptr ? "" : query;
+  server->note_connection(request);
+  HttpRequest in = read_request(request);
   // The sockets that are left are for the state service, the other nodes and health checks.
-  if (server->most_connections_ > 0 && server->open_.size() > server->most_connections_) {
-    evhttp_add_header(evhttp_request_get_output_headers(request), "Connection", "close");
-    if (in.path != "/ready") {
-      evhttp_add_header(evhttp_request_get_output_headers(request), "Retry-After", "2");
+  if (server->over_bound()) {
+    add_header(request, "Connection", "close");
+    if (in.path != kHealthCheckPath) {
+      add_header(request, "Retry-After", kRetryWhenFullSeconds);
       evhttp_send_reply(request, 503, nullptr, nullptr);
       return;
     }
   }
-  evbuffer* body = evhttp_request_get_input_buffer(request);
-  in.body.resize(evbuffer_get_length(body));
-  if (!in.body.empty()) evbuffer_copyout(body, in.body.data(), in.body.size());
   // When the peer goes away first, libevent detaches the request and frees it on reply: a late answer is
   // safe.
-  Responder responder([request](const HttpAnswer& answer) {
-    if (answer.retry_after_s > 0) {
-      evhttp_add_header(evhttp_request_get_output_headers(request), "Retry-After",
-                        std::to_string(answer.retry_after_s).c_str());
-    }
-    const std::unique_ptr<evbuffer, decltype(&evbuffer_free)> out(evbuffer_new(), &evbuffer_free);
-    evbuffer_add(out.get(), answer.body.data(), answer.body.size());
-    evhttp_send_reply(request, answer.status, nullptr, out.get());
-  });
+  Responder responder([request](const HttpAnswer& answer) { send_answer(request, answer); });
   server->handler_(std::move(in), std::move(responder));
 }
 
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -1,4 +1,4 @@
-// An evhttp listener with capped bodies and headers.
+// An HTTP listener on libevent (evhttp), with bounds on bodies, headers and connections.
 #pragma once
 
 #include <cstddef>
@@ -16,21 +16,26 @@
 
 class HttpServer {
  public:
-  // Binds at once; throws std::runtime_error when the address cannot be had.
-  // Requests on connections beyond `most_connections` are turned away (0: no bound), health checks apart.
+  // Listens from now on at `address`, a numeric IPv4 address with a port; throws std::runtime_error when it
+  // cannot. Bodies have at most `max_body` bytes. Requests on connections beyond `most_connections` are
+  // turned away (0: no bound), health checks apart. `base` must outlive the server.
   HttpServer(event_base* base, const std::string& address, std::size_t max_body, std::size_t most_connections,
              HttpHandler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
+  // Open connections on which something was asked.
   [[nodiscard]] std::size_t connections() const { return open_.size(); }
 
  private:
   static void on_close(evhttp_connection* connection, void* arg);
   static void on_request(evhttp_request* request, void* arg);
+  void note_connection(evhttp_request* request);
+  [[nodiscard]] bool over_bound() const;
+
   evhttp* http_;
-  std::size_t most_connections_;
+  std::size_t most_connections_;                 // 0: no bound
   std::unordered_set<evhttp_connection*> open_;  // those on which something was asked
   HttpHandler handler_;
 };
--- a/src/transport/token_bucket.hpp
+++ b/src/transport/token_bucket.hpp
@@ -1,4 +1,4 @@
-// A token bucket: `rate` tokens a second, at most `burst` saved up.
+// A token bucket: `rate` tokens a second, at most `burst` saved up. Times are in seconds, by any one clock.
 #pragma once
 
 #include <algorithm>
@@ -15,11 +15,13 @@
     burst_ = burst;
     tokens_ = std::min(tokens_, burst_);
   }
+  // Whether `cost` tokens are there, and `reserve` more that must be left.
   // A cost above the burst passes when the bucket is full and leaves a debt: it must not starve forever.
   [[nodiscard]] bool can_take(double cost, double reserve, double now) {
     refill(now);
     return tokens_ >= std::min(cost + reserve, burst_);
   }
+  // Takes them whether or not they are there.
   void take(double cost, double now) {
     refill(now);
     tokens_ -= cost;
@@ -30,11 +32,13 @@
     const double missing = std::min(cost + reserve, burst_) - tokens_;
     return missing <= 0 ? 0 : missing / std::max(rate_, 1e-9);
   }
+  // How full the bucket is, 0..1.
   [[nodiscard]] double level(double now) {
     refill(now);
     return std::max(0.0, tokens_) / std::max(burst_, 1e-9);
   }
-  void drain(double now) {  // the far side said 429: start from nothing
+  // The service called said 429: it has counted more calls than this bucket, which starts from nothing.
+  void drain(double now) {
     refill(now);
     tokens_ = std::min(tokens_, 0.0);
   }
