--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -1,4 +1,4 @@
-// Names become dense indices at the door; inside, only indices travel.
+// Names: their dense indices within a process, and the shards that they hash to.
 #pragma once
 
 #include <cstdint>
@@ -9,9 +9,12 @@
 
 namespace mothslip {
 
+// Gives each name a dense index, 0 upwards, as long as the process runs: where names arrive they are replaced
+// by indices, and inside only indices are passed on.
 class NameTable {
  public:
-  static constexpr int kNone = -1;
+  static constexpr int kNone = -1;  // the index of a name that is not in the table
+  // The name's index; a new name is added.
   int intern(const std::string& name) {
     const auto [it, fresh] = index_.try_emplace(name, static_cast<int>(names_.size()));
     if (fresh) names_.push_back(name);
@@ -29,7 +32,7 @@
   std::vector<std::string> names_;
 };
 
-// FNV-1a: the same on every node and in every build, unlike std::hash.
+// FNV-1a, 64 bits: the same on every node and in every build, unlike std::hash.
 inline std::uint64_t stable_hash(std::string_view text) {
   std::uint64_t hash = 1469598103934665603ULL;
   for (const char c : text) {
@@ -39,6 +42,7 @@
   return hash;
 }
 
+// The shard of a job or a machine, 0 up to `shard_count` - 1. The same for good: stored keys contain it.
 inline int shard_of(std::string_view name, int shard_count) {
   std::uint64_t hash = stable_hash(name);
   hash ^= hash >> 33;  // the low bits of FNV of numbered names are poor
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -4,8 +4,8 @@
 
 #include <algorithm>
 #include <cmath>
+#include <cstdlib>
 #include <fstream>
-#include <map>
 #include <sstream>
 
 #define TOML_EXCEPTIONS 1
@@ -15,6 +15,8 @@
 
 namespace {
 
+// Reads the fields of one table of the settings file. What is missing or wrong throws SettingsError with the
+// file and the field's path. `otherwise` is what a field that is missing counts as.
 class Reader {
  public:
   Reader(const toml::table& table, std::string file, std::string at)
@@ -87,7 +89,7 @@
  private:
   const toml::table& table_;
   std::string file_;
-  std::string at_;
+  std::string at_;  // the table's path; empty: the whole file
 };
 
 // (A guest team has neither guarantee nor limit, both 0. Taken for a limit of nothing, all its jobs were
@@ -102,6 +104,39 @@
   return out.str();
 }
 
+// A guarantee or limit that is missing counts as 0, but each team states its limit of cores.
+void read_teams(const Reader& settings, Settings& out) {
+  for (const Reader& item : settings.tables("teams")) {
+    Team team;
+    team.name = item.text("name");
+    team.cpus = item.number_or("cpus", 0, 0);
+    team.cpus_max = limit_or_unlimited(item.number("cpus_max", 0));
+    team.gpus = item.number_or("gpus", 0, 0);
+    team.gpus_max = limit_or_unlimited(item.number_or("gpus_max", 0, 0));
+    out.teams.push_back(team);
+  }
+}
+
+void read_objectives(const Reader& settings, Settings& out) {
+  for (const Reader& item : settings.tables("objectives")) {
+    Objective objective;
+    objective.kind = item.text("kind");
+    objective.job_class = item.has("class") ? item.text("class") : "";
+    objective.share = item.number_or("share", 0, 0);
+    objective.within_s = item.number_or("within_s", 0, 0);
+    out.objectives.push_back(objective);
+  }
+}
+
+void read_workers(const Reader& workers, Settings& out) {
+  out.report_s = workers.number("report_s", 0.01);
+  out.lease_s = workers.number("lease_s", 0.1);
+  out.cancel_s = workers.number("cancel_s", 0.1);
+  out.gang_wait_s = workers.number_or("gang_wait_s", 0.1, out.gang_wait_s);
+  out.gang_peer_s = workers.number_or("gang_peer_s", 0.1, out.gang_peer_s);
+}
+
+// `next` announces what the limits may become.
 void read_state_limits(const Reader& state, Settings& out) {
   out.state_rps = out.next_state_rps = state.number("rps", 1);
   out.state_write_rps = out.next_write_rps = state.number("write_rps", 1);
@@ -115,6 +150,45 @@
   out.txn_ops = std::min(out.txn_ops, static_cast<int>(next.number_or("txn_ops", 4, out.txn_ops)));
 }
 
+void read_cloud_limits(const Reader& cloud, Settings& out) {
+  out.cloud_rps = cloud.number("rps", 0.1);
+  out.list_lag_s = cloud.number("list_lag_s", 0);
+}
+
+void read_machine_limits(const Reader& limits, Settings& out) {
+  out.cpu_share = limits.number_or("cpu_share", 0, 1);
+  out.mem_mb = limits.number_or("mem_mb", 0, 0);
+  out.max_sockets = static_cast<int>(limits.number_or("max_sockets", 0, 0));
+}
+
+toml::table parse_toml(const std::string& text, const std::string& name) {
+  try {
+    return toml::parse(text);
+  } catch (const toml::parse_error& error) {
+    throw SettingsError(name + ": line " + std::to_string(error.source().begin.line) + ": " +
+                        std::string(error.description()));
+  }
+}
+
+// A number in the operators' file.
+struct TuningField {
+  const char* section;
+  const char* name;
+  double Tuning::*value;
+};
+// In the order in which they are checked.
+constexpr TuningField kTuningFields[] = {
+    {"fleet", "headroom", &Tuning::headroom},
+    {"fleet", "headroom_spread", &Tuning::headroom_spread},
+    {"fleet", "idle_ordinary_s", &Tuning::idle_ordinary_s},
+    {"fleet", "idle_return_s", &Tuning::idle_return_s},
+    {"preference", "alignment", &Tuning::weight_alignment},
+    {"preference", "fitness", &Tuning::weight_fitness},
+    {"preference", "locality", &Tuning::weight_locality},
+    {"preference", "slack", &Tuning::weight_slack},
+    {"preference", "urgency", &Tuning::weight_urgency},
+};
+
 }  // namespace
 
 int Settings::team_index(const std::string& name) const {
@@ -124,62 +198,35 @@
   return -1;
 }
 
-Settings parse_settings(const std::string& text, const std::string& name) {
-  toml::table table;
-  try {
-    table = toml::parse(text);
-  } catch (const toml::parse_error& error) {
-    throw SettingsError(name + ": line " + std::to_string(error.source().begin.line) + ": " +
-                        std::string(error.description()));
+std::string Settings::member_address(const std::string& member) const {
+  for (const Member& other : members) {
+    if (other.node == member) return other.address;
   }
+  return "";
+}
+
+Settings parse_settings(const std::string& text, const std::string& name) {
+  const toml::table table = parse_toml(text, name);
   const Reader root(table, name, "");
   Settings out;
   out.node = root.text("node");
   out.area = root.text("area");
   out.client_address = root.address("front");
   out.peer_address = root.address("back");
-  for (const Reader& item : root.tables("members")) {
+  for (const Reader& item : root.tables("members"))
     out.members.push_back({item.text("node"), item.text("area"), item.address("address")});
-  }
   const Reader outside = root.sub("outside");
   out.cloud = outside.address("cloud");
   out.state = outside.address("state");
   const Reader settings = root.sub("settings");
   out.zones = settings.texts("zones");
   out.skew_s = settings.number_or("skew_ms", 0, 0) / 1000;
-  for (const Reader& item : settings.tables("teams")) {
-    Team team;
-    team.name = item.text("name");
-    team.cpus = item.number_or("cpus", 0, 0);
-    team.cpus_max = limit_or_unlimited(item.number("cpus_max", 0));
-    team.gpus = item.number_or("gpus", 0, 0);
-    team.gpus_max = limit_or_unlimited(item.number_or("gpus_max", 0, 0));
-    out.teams.push_back(team);
-  }
-  for (const Reader& item : settings.tables("objectives")) {
-    Objective goal;
-    goal.kind = item.text("kind");
-    goal.job_class = item.has("class") ? item.text("class") : "";
-    goal.share = item.number_or("share", 0, 0);
-    goal.within_s = item.number_or("within_s", 0, 0);
-    out.objectives.push_back(goal);
-  }
-  const Reader workers = settings.sub("workers");
-  out.report_s = workers.number("report_s", 0.01);
-  out.lease_s = workers.number("lease_s", 0.1);
-  out.cancel_s = workers.number("cancel_s", 0.1);
-  out.gang_wait_s = workers.number_or("gang_wait_s", 0.1, out.gang_wait_s);
-  out.gang_peer_s = workers.number_or("gang_peer_s", 0.1, out.gang_peer_s);
+  read_teams(settings, out);
+  read_objectives(settings, out);
+  read_workers(settings.sub("workers"), out);
   read_state_limits(settings.sub("state"), out);
-  const Reader cloud = settings.sub("cloud");
-  out.cloud_rps = cloud.number("rps", 0.1);
-  out.list_lag_s = cloud.number("list_lag_s", 0);
-  if (settings.has("machine_limits")) {
-    const Reader limits = settings.sub("machine_limits");
-    out.cpu_share = limits.number_or("cpu_share", 0, 1);
-    out.mem_mb = limits.number_or("mem_mb", 0, 0);
-    out.max_sockets = static_cast<int>(limits.number_or("max_sockets", 0, 0));
-  }
+  read_cloud_limits(settings.sub("cloud"), out);
+  if (settings.has("machine_limits")) read_machine_limits(settings.sub("machine_limits"), out);
   return out;
 }
 
@@ -187,29 +234,17 @@
   const INIReader ini(text.c_str(), text.size());
   if (ini.ParseError() != 0)
     throw SettingsError(name + ": line " + std::to_string(ini.ParseError()) + ": not INI");
-  const std::map<std::string, double*> fields = {
-      {"fleet.idle_ordinary_s", &tuning.idle_ordinary_s},
-      {"fleet.idle_return_s", &tuning.idle_return_s},
-      {"fleet.headroom", &tuning.headroom},
-      {"fleet.headroom_spread", &tuning.headroom_spread},
-      {"preference.fitness", &tuning.weight_fitness},
-      {"preference.urgency", &tuning.weight_urgency},
-      {"preference.alignment", &tuning.weight_alignment},
-      {"preference.slack", &tuning.weight_slack},
-      {"preference.locality", &tuning.weight_locality},
-  };
-  for (const auto& [key, field] : fields) {
-    const auto dot = key.find('.');
-    const std::string given = ini.Get(key.substr(0, dot), key.substr(dot + 1), "");
+  for (const TuningField& field : kTuningFields) {
+    const std::string given = ini.Get(field.section, field.name, "");
     if (given.empty()) continue;
     char* end = nullptr;
     const double value = std::strtod(given.c_str(), &end);
     if (*end != '\0' || !std::isfinite(value) || value < 0) {
       std::string what = name;
-      what.append(": ").append(key).append(": must be a number of at least 0");
-      throw SettingsError(what);
+      what.append(": ").append(field.section).append(".").append(field.name);
+      throw SettingsError(what.append(": must be a number of at least 0"));
     }
-    *field = value;
+    tuning.*field.value = value;
   }
   const std::string recovery = ini.Get("recovery", "enabled", "no");
   if (recovery != "yes" && recovery != "no")
