--- a/src/coordination/node/job_status.cpp
+++ b/src/coordination/node/job_status.cpp
@@ -9,10 +9,29 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMostTerminal = 5000;  // remembered
+constexpr std::size_t kMostTerminal = 5000;  // terminal states that are remembered
 constexpr std::size_t kMostWaiting = 64;     // for one read; others are asked to come back
 
 JobFinding finding(JobFinding::Kind kind) { return {kind, {}}; }
+
+JobFinding status_finding(const JobStatus& status) { return {JobFinding::Kind::kStatus, status}; }
+
+// What a job record in the state service tells of the job's status. (Its description is not needed here.)
+JobFinding finding_of_job_record(const Json& record) {
+  const bool cancelled = record.value("phase", "") == wire_name(JobPhase::kCancelled);
+  if (!cancelled) return status_finding({});
+  // Where tasks were delegated, only the owner knows whether all delegates have heard of the cancellation.
+  const bool delegated = record.value("spread", false);
+  if (delegated) return finding(JobFinding::Kind::kUndecided);
+  return status_finding({JobPhase::kCancelled, 0, 0});
+}
+
+// What a job's ending in the state service tells (ending_json).
+JobFinding finding_of_ending(const Json& ending) {
+  if (!ending.is_object()) return finding(JobFinding::Kind::kUndecided);
+  const auto status = terminal_status(ending.value("phase", ""), ending.value("pieces", 0));
+  return status ? status_finding(*status) : finding(JobFinding::Kind::kUndecided);
+}
 }  // namespace
 
 const char* wire_name(JobPhase phase) {
@@ -29,6 +48,10 @@
   return "";
 }
 
+std::string acceptance_body(const std::string& ref) {
+  return dump_json({{"ref", ref}, {"phase", wire_name(JobPhase::kQueued)}});
+}
+
 std::string cancellation_body(const std::string& ref, JobPhase phase) {
   return dump_json({{"ref", ref}, {"phase", wire_name(phase)}});
 }
@@ -39,6 +62,11 @@
   return std::nullopt;
 }
 
+std::optional<JobStatus> terminal_status_of_answer(const Json& answer) {
+  if (!answer.is_object()) return std::nullopt;
+  return terminal_status(answer.value("phase", ""), answer.value("done", 0));
+}
+
 std::string JobStatus::to_body(const std::string& ref) const {
   return dump_json({{"ref", ref}, {"phase", wire_name(phase)}, {"done", done}, {"running", running}});
 }
@@ -61,8 +89,7 @@
 }
 
 std::optional<JobFinding> JobStatusService::from_memory(const std::string& ref) const {
-  if (const JobStatus* status = terminal(ref); status != nullptr)
-    return JobFinding{JobFinding::Kind::kStatus, *status};
+  if (const JobStatus* status = terminal(ref); status != nullptr) return status_finding(*status);
   return ctx_.ask_owned_shard(ref);
 }
 
@@ -96,43 +123,42 @@
 // found gone with the ending of a job whose job record had just been read, which was then told to be queued.)
 void JobStatusService::read_unaccounted(const std::string& ref) {
   const std::string key = keys::unaccounted(shard_of(ref, ctx_.shard_count()), ref);
-  ctx_.state->get(RequestPriority::kAccept, key, [this, ref](const StateReply& reply) {
-    if (reply.outcome == Outcome::kMissing) return read_job_record(ref);
-    const auto record =
-        reply.ok() ? UnaccountedRecord::from_json(reply.body.value("data", Json())) : std::nullopt;
-    if (!record || record->silent()) {
-      finish_read(ref, finding(JobFinding::Kind::kUndecided));
-    } else if (record->all) {
-      finish_read(ref, finding(JobFinding::Kind::kStatus));  // (it waits for its description)
-    } else {
-      read_job_record(ref);
-    }
-  });
+  ctx_.state->get(RequestPriority::kAccept, key,
+                  [this, ref](const StateReply& reply) { on_unaccounted(ref, reply); });
+}
+
+void JobStatusService::on_unaccounted(const std::string& ref, const StateReply& reply) {
+  if (reply.outcome == Outcome::kMissing) {
+    read_job_record(ref);
+    return;
+  }
+  const auto record =
+      reply.ok() ? UnaccountedRecord::from_json(reply.body.value("data", Json())) : std::nullopt;
+  if (!record || record->silent()) {
+    finish_read(ref, finding(JobFinding::Kind::kUndecided));
+  } else if (record->all) {
+    finish_read(ref, status_finding({}));  // (it waits for its description)
+  } else {
+    read_job_record(ref);
+  }
 }
 
 // First the job record, then the ending: a job moves only in that order.
 void JobStatusService::read_job_record(const std::string& ref) {
   const int shard = shard_of(ref, ctx_.shard_count());
   ctx_.state->get(RequestPriority::kAccept, keys::job_record(shard, ref),
-                  [this, shard, ref](const StateReply& reply) {
-                    if (reply.outcome == Outcome::kMissing) {
-                      read_ending(ref, ctx_.state->key_space().ending_keys(shard, ref), 0);
-                      return;
-                    }
-                    if (!reply.ok() || !reply.body.contains("data")) {
-                      finish_read(ref, finding(JobFinding::Kind::kUndecided));
-                      return;
-                    }
-                    const Json& job_record = reply.body["data"];
-                    if (job_record.value("phase", "") != "aborted") {
-                      finish_read(ref, {JobFinding::Kind::kStatus, {}});
-                    } else if (job_record.value("spread", false)) {
-                      // Only the owner knows whether all who borrowed tasks of it have taken note.
-                      finish_read(ref, finding(JobFinding::Kind::kUndecided));
-                    } else {
-                      finish_read(ref, {JobFinding::Kind::kStatus, {JobPhase::kCancelled, 0, 0}});
-                    }
-                  });
+                  [this, ref](const StateReply& reply) { on_job_record(ref, reply); });
+}
+
+void JobStatusService::on_job_record(const std::string& ref, const StateReply& reply) {
+  if (reply.outcome == Outcome::kMissing) {
+    const int shard = shard_of(ref, ctx_.shard_count());
+    read_ending(ref, ctx_.state->key_space().ending_keys(shard, ref), 0);
+  } else if (!reply.ok() || !reply.body.contains("data")) {
+    finish_read(ref, finding(JobFinding::Kind::kUndecided));
+  } else {
+    finish_read(ref, finding_of_job_record(reply.body["data"]));
+  }
 }
 
 void JobStatusService::read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t at) {
@@ -144,14 +170,10 @@
   const auto handler = [this, ref, keys = std::move(keys), at](const StateReply& reply) {
     if (reply.outcome == Outcome::kMissing) {
       read_ending(ref, keys, at + 1);
-      return;
+    } else {
+      const Json ending = reply.ok() ? reply.body.value("data", Json()) : Json();
+      finish_read(ref, finding_of_ending(ending));
     }
-    const Json ending = reply.ok() ? reply.body.value("data", Json()) : Json();
-    const auto status = ending.is_object()
-                            ? terminal_status(ending.value("phase", ""), ending.value("pieces", 0))
-                            : std::nullopt;
-    finish_read(
-        ref, status ? JobFinding{JobFinding::Kind::kStatus, *status} : finding(JobFinding::Kind::kUndecided));
   };
   ctx_.state->get(RequestPriority::kAccept, key, handler);
 }
--- a/src/coordination/node/job_status.hpp
+++ b/src/coordination/node/job_status.hpp
@@ -4,8 +4,7 @@
 // Invariant: no answer is older than one that any node gave before the question was asked.
 //  * A terminal state is told only once it is durable, and is then final.
 //  * Any other answer (open, or unknown) is told only if it was true at some moment after the question came
-//  in.
-//    The owner of the job's shard may vouch for that from memory while nobody else can own the shard and no
+//    in. The owner of the job's shard may answer from memory while nobody else can own the shard and no
 //    terminal write of its own has an open outcome. Everybody else, and the owner otherwise, needs a read of
 //    the state service that began after the question.
 //  * Where neither is to be had, nothing is told: the user is asked to come back.
@@ -30,13 +29,17 @@
 // The phase's name on the wire.
 [[nodiscard]] const char* wire_name(JobPhase phase);
 
+// The body of the answer to a submission that was accepted just now.
+[[nodiscard]] std::string acceptance_body(const std::string& ref);
+
 // The body of the answer to a cancellation of a job that has ended.
 [[nodiscard]] std::string cancellation_body(const std::string& ref, JobPhase phase);
 
+// What a user may hear about a job.
 struct JobStatus {
   JobPhase phase = JobPhase::kQueued;
-  int done = 0;  // tasks, for display
-  int running = 0;
+  int done = 0;     // tasks that have completed; for display
+  int running = 0;  // tasks that are running; for display
   [[nodiscard]] bool terminal() const { return phase == JobPhase::kDone || phase == JobPhase::kCancelled; }
   // The body of an answer to a poll.
   [[nodiscard]] std::string to_body(const std::string& ref) const;
@@ -45,6 +48,9 @@
 // The terminal state of this name on the wire; nothing where the name is not one's.
 [[nodiscard]] std::optional<JobStatus> terminal_status(const std::string& wire_name, int done);
 
+// The terminal state in another node's answer to a poll or a cancellation; nothing where it tells none.
+[[nodiscard]] std::optional<JobStatus> terminal_status_of_answer(const Json& answer);
+
 // What is known about a job, by the owner of its shard or by a read of the state service.
 struct JobFinding {
   enum class Kind {
@@ -61,6 +67,7 @@
 
 struct NodeMemory;
 
+// Answers from this node's memory, or from reads of the state service.
 class JobStatusService {
  public:
   struct Context {
@@ -72,7 +79,7 @@
   };
   explicit JobStatusService(Context context) : ctx_(std::move(context)) {}
 
-  // Takes down a terminal state that is durable.
+  // Remembers a terminal state that is durable.
   void note_terminal(const std::string& ref, const JobStatus& status);
   // The terminal state, if it is remembered. (The memory is bounded; the state service keeps all.)
   [[nodiscard]] const JobStatus* terminal(const std::string& ref) const;
@@ -85,10 +92,12 @@
 
   // What the state service says, by a read that begins after this call. Those who ask about one job while a
   // read of it is under way share the next one: there are at most two reads of a job, however many ask.
+  // `handler` is called exactly once, from within this call where no read can be begun (kUndecided).
   using Handler = std::function<void(const JobFinding&)>;
   void read(const std::string& ref, Handler handler);
 
  private:
+  // The reads of one job.
   struct Reading {
     std::vector<Handler> served;   // by the read that is under way
     std::vector<Handler> waiting;  // for the next one
@@ -97,13 +106,15 @@
   // `keys`: where the ending may be; those from `at` on have not been read yet.
   void read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t at);
   void read_unaccounted(const std::string& ref);
+  void on_unaccounted(const std::string& ref, const StateReply& reply);
   void read_job_record(const std::string& ref);
+  void on_job_record(const std::string& ref, const StateReply& reply);
   void finish_read(const std::string& ref, const JobFinding& finding);
 
   Context ctx_;
-  std::unordered_map<std::string, JobStatus> terminal_;
-  std::deque<std::string> terminal_age_;  // the same, oldest first
-  std::unordered_map<std::string, Reading> readings_;
+  std::unordered_map<std::string, JobStatus> terminal_;  // by job; bounded
+  std::deque<std::string> terminal_age_;                 // the same, oldest first
+  std::unordered_map<std::string, Reading> readings_;    // by job; only while a read is under way
 };
 
 }  // namespace mothslip
--- /dev/null
+++ b/src/coordination/node/machine_type_catalog.cpp
@@ -0,0 +1,145 @@
+#include "coordination/node/machine_type_catalog.hpp"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <string>
+#include <utility>
+
+#include "bookkeeping/records.hpp"
+
+namespace mothslip {
+
+namespace {
+constexpr double kRetrySeconds = 0.7;  // after the state service failed to answer
+// After neither the cloud nor the split records gave any types; drawn, so that nodes do not ask in step.
+constexpr double kLeastRestartSeconds = 1.0;
+constexpr double kMostRestartSeconds = 2.5;
+constexpr std::size_t kSplitRecordFrameBytes = 40;  // of a split record, besides its list
+
+// The types of all split records together, unless one of the records is missing or malformed.
+std::optional<MachineTypes> join_split_records(const std::vector<StateItem>& items) {
+  Json all = {{"flavours", Json::array()}};
+  for (const StateItem& item : items) {
+    if (!item.data.is_object() || item.data.value("records", 0) != static_cast<int>(items.size()) ||
+        !item.data.contains("flavours"))
+      return std::nullopt;
+    for (const Json& type : item.data["flavours"]) all["flavours"].push_back(type);
+  }
+  return MachineTypes::parse(all);
+}
+
+// The lists of the split records, each record of at most `most_bytes`. Nothing where a single type is too
+// large for that.
+std::optional<std::vector<Json>> split_types(const Json& types, std::size_t most_bytes) {
+  std::vector<Json> lists = {Json::array()};
+  std::size_t bytes = kSplitRecordFrameBytes;
+  for (const Json& type : types) {
+    const std::size_t type_bytes = dump_json(type).size() + 1;
+    if (bytes + type_bytes > most_bytes && !lists.back().empty()) {
+      lists.push_back(Json::array());
+      bytes = kSplitRecordFrameBytes;
+    }
+    bytes += type_bytes;
+    lists.back().push_back(type);
+  }
+  const bool too_large = std::any_of(lists.begin(), lists.end(), [most_bytes](const Json& list) {
+    return dump_json(list).size() + kSplitRecordFrameBytes > most_bytes;
+  });
+  if (too_large) return std::nullopt;
+  return lists;
+}
+
+// The writes that record the types. Nothing where they do not fit into one transaction.
+std::optional<Transaction> record_types(const MachineTypes& types, const Settings& settings) {
+  Transaction txn;
+  const auto most_bytes = static_cast<std::size_t>(settings.value_kb * 1024);
+  const Json whole = types.to_json();
+  if (dump_json(whole).size() <= most_bytes) {
+    txn.put(keys::kTypes, whole);
+    return txn;
+  }
+  auto lists = split_types(whole["flavours"], most_bytes);
+  if (!lists || lists->size() > static_cast<std::size_t>(settings.txn_ops)) return std::nullopt;
+  for (std::size_t i = 0; i < lists->size(); i++) {
+    txn.put(keys::kSplitTypes + std::to_string(i),
+            {{"flavours", std::move((*lists)[i])}, {"records", lists->size()}});
+  }
+  return txn;
+}
+
+bool same_names(const MachineTypes& left, const MachineTypes& right) {
+  return std::equal(left.all().begin(), left.all().end(), right.all().begin(), right.all().end(),
+                    [](const MachineType& a, const MachineType& b) { return a.name == b.name; });
+}
+}  // namespace
+
+MachineTypeCatalog::MachineTypeCatalog(Env& env, StateClient& state, CloudClient& cloud,
+                                       const Settings& settings, Listener listener)
+    : env_(env), state_(state), cloud_(cloud), settings_(settings), listener_(std::move(listener)) {}
+
+void MachineTypeCatalog::load() {
+  state_.get(RequestPriority::kLease, keys::kTypes, [this](const StateReply& reply) {
+    if (known()) return;
+    if (reply.ok() && reply.body.contains("data")) {
+      if (auto types = MachineTypes::parse(reply.body["data"])) {
+        take(std::move(*types), false);
+        return;
+      }
+    }
+    if (reply.ok() || reply.outcome == Outcome::kMissing) {
+      fetch();
+    } else {
+      env_.after(kRetrySeconds, [this] { load(); });
+    }
+  });
+}
+
+void MachineTypeCatalog::fetch() {
+  cloud_.machine_types([this](const CloudReply& reply) {
+    if (known()) return;
+    if (reply.status == 200) {
+      if (auto types = MachineTypes::parse(reply.body)) {
+        take(std::move(*types), true);
+        return;
+      }
+    }
+    load_split_records();
+  });
+}
+
+// Only looked for where the cloud does not answer.
+void MachineTypeCatalog::load_split_records() {
+  state_.list(RequestPriority::kLease, keys::kSplitTypes,
+              [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
+                if (known()) return;
+                auto types = outcome == Outcome::kOk ? join_split_records(items) : std::nullopt;
+                if (types) return take(std::move(*types), false);
+                env_.after(env_.uniform(kLeastRestartSeconds, kMostRestartSeconds), [this] { load(); });
+              });
+}
+
+void MachineTypeCatalog::save() {
+  const auto txn = record_types(types_, settings_);
+  if (!txn) {
+    spdlog::warn("too many machine types to be recorded: nodes that start ask the cloud");
+    return;
+  }
+  state_.commit(RequestPriority::kRest, *txn, [](const StateReply&) {});
+}
+
+void MachineTypeCatalog::update(MachineTypes types) { take(std::move(types), false); }
+
+void MachineTypeCatalog::take(MachineTypes types, bool record) {
+  const bool first = !known();
+  const bool changed = !first && !same_names(types, types_);
+  types_ = std::move(types);
+  if (changed) {
+    spdlog::warn("the cloud's machine types have changed: loading anew");
+    listener_.changed();
+  }
+  if (record) save();
+  if (first) listener_.first_known();
+}
+
+}  // namespace mothslip
--- a/src/coordination/node/node_memory.hpp
+++ b/src/coordination/node/node_memory.hpp
@@ -15,11 +15,11 @@
 struct JobMemory {
   JobRecord record;
   RangeSet done;
-  bool delegated_here = false;
+  bool delegated_here = false;  // the tasks of a delegation, not the job at its home shard
   RangeSet held;                // since records were lost before (UnaccountedRecord)
   bool may_have_ended = false;  // likewise
-  std::map<int, RangeSet>
-      delegated;  // home: by the shard to which they were delegated, tasks not known to be done
+  // At the home shard: tasks that are not known to be done, by the shard to which they were delegated.
+  std::map<int, RangeSet> delegated;
 };
 
 // All that the owner of a shard knows of it.
@@ -34,6 +34,7 @@
   std::map<std::string, MachineRecord> machines;  // by name, with what is placed there
 };
 
+// All that one controller knows.
 struct NodeMemory {
   int shards = 0;  // in the cluster; 0: not known
   std::vector<ShardMemory> owned;
--- /dev/null
+++ b/src/coordination/node/peer_heartbeats.cpp
@@ -0,0 +1,69 @@
+#include "coordination/node/peer_heartbeats.hpp"
+
+#include <string>
+#include <utility>
+
+namespace mothslip {
+
+namespace {
+constexpr double kIntervalSeconds = 2.0;
+constexpr double kTimeoutSeconds = 1.0;
+constexpr double kClockDrift =
+    0.001;  // between two steady clocks, as a share: twice what the protocol allows
+}  // namespace
+
+void PeerHeartbeats::start() {
+  ctx_.env->after(kIntervalSeconds, [this] { send_at_intervals(); });
+}
+
+void PeerHeartbeats::send_at_intervals() {
+  send();
+  ctx_.env->after(kIntervalSeconds, [this] { send_at_intervals(); });
+}
+
+void PeerHeartbeats::send() {
+  const auto round = std::make_shared<Round>(Round{ctx_.env->now(), 0});
+  // Without other nodes there is nobody who could replace this one.
+  if (ctx_.settings->members.empty()) ctx_.ownership->note_unreplaced(round->sent_at);
+  PeerHeartbeat heartbeat;
+  heartbeat.node = ctx_.settings->node;
+  heartbeat.owned = ctx_.owned_shards();
+  if (heartbeat.owned.empty()) return;
+  if (ctx_.monitor != nullptr) heartbeat.revision = ctx_.monitor->newest();
+  const std::string body = dump_json(heartbeat.to_json());
+  for (const Member& member : ctx_.settings->members) {
+    ctx_.env->call({member.address, "POST", peer_paths::kHeartbeat, body, kTimeoutSeconds},
+                   [this, round](const HttpReply& reply) { on_reply(*round, reply); });
+  }
+}
+
+// Had a node heard something from the state service after the end of this node's lease, it could know of a
+// new owner, or be one. Only all nodes together are evidence that nobody has replaced this node, in one round
+// of heartbeats and for the moment at which that round was sent.
+void PeerHeartbeats::on_reply(Round& round, const HttpReply& reply) {
+  if (reply.status != 200) return;
+  const auto answer = PeerHeartbeatReply::from_json(parse_json(reply.body));
+  if (!answer) return;
+  const double heard_at = ctx_.env->now() - answer->silent_s * (1 - kClockDrift);
+  if (heard_at >= ctx_.ownership->lease_end()) return;
+  round.silent_nodes++;
+  if (round.silent_nodes == ctx_.settings->members.size()) ctx_.ownership->note_unreplaced(round.sent_at);
+}
+
+void PeerHeartbeats::on_heartbeat(const HttpRequest& request, const Responder& responder) {
+  const auto heartbeat = PeerHeartbeat::from_json(parse_json(request.body));
+  if (!heartbeat) {
+    responder.send(400, R"({"error":"malformed"})");
+    return;
+  }
+  if (ctx_.monitor != nullptr) ctx_.monitor->on_peer_revision(heartbeat->revision.value_or(0));
+  std::vector<std::uint64_t> tokens;
+  for (const OwnedShard& item : heartbeat->owned) {
+    tokens.push_back(item.fencing_token);
+    ctx_.ownership->heard(item.shard, heartbeat->node, item.fencing_token);
+  }
+  ctx_.relay->heard_from(heartbeat->node, tokens, ctx_.env->now());
+  responder.send(200, dump_json(PeerHeartbeatReply{ctx_.state->silent_s()}.to_json()));
+}
+
+}  // namespace mothslip
--- a/src/coordination/node/report_relay.cpp
+++ b/src/coordination/node/report_relay.cpp
@@ -3,8 +3,10 @@
 namespace mothslip {
 
 namespace {
-// Relaying costs the owner and us work: after this long the worker is sent to the owner again, to find out
-// whether it can be reached by now. A worker that fails there is back within a time-out and a second.
+// All in seconds.
+
+// Relaying costs two nodes work: after this long the worker is sent to the owner again, to find out whether
+// it can be reached by now. A worker that fails there is back within a time-out and a second.
 constexpr double kRelayPeriod = 25.0;
 // Redirected workers go to the owner within half a second; one that is back here later failed there.
 constexpr double kEarliestReturn = 0.7;
@@ -12,34 +14,34 @@
 // A worker knows a new owner's token before it has reached that owner, by a direct command. After this long
 // a worker that knows the token has been served by the owner.
 constexpr double kTokenSettles = 10.0;
-// Owners send a heartbeat every 2 s. A worker is here 5 s after it lost the owner: if we lost the owner at
-// the same time, we know it by then.
+// Owners send a heartbeat every 2 s. A worker is here 5 s after it lost the owner: if this node lost the
+// owner at the same time, it knows by then.
 constexpr double kHeartbeatTimeout = 4.5;
-// A worker that stays with us reports at least this often.
-constexpr double kStays = 8.0;
-constexpr double kForgetAfter = 120.0;
-constexpr double kCleaningPeriod = 30.0;
+// A worker that stays with this node reports at least this often.
+constexpr double kLongestBetweenVisits = 8.0;
+constexpr double kForgetAfter = 120.0;    // without a visit, a worker's machine
+constexpr double kCleaningPeriod = 30.0;  // between two looks for machines to forget
 }  // namespace
 
 ReportRelay::Route ReportRelay::route(const Visit& visit, double now) {
   forget_old(now);
   const bool owner_settled = settled(visit.owner_token, now);
-  RelayedMachine& machine_name = machines_[visit.machine_name];
-  if (machine_name.owner_token != visit.owner_token) machine_name = RelayedMachine{};
-  const bool stayed = now - machine_name.last_visit < kStays;
-  machine_name.owner_token = visit.owner_token;
-  machine_name.last_visit = now;
+  RelayedMachine& machine = machines_[visit.machine_name];
+  if (machine.owner_token != visit.owner_token) machine = RelayedMachine{};
+  const bool stayed = now - machine.last_visit < kLongestBetweenVisits;
+  machine.owner_token = visit.owner_token;
+  machine.last_visit = now;
 
   // Relayed until now: it is redirected once, to see whether it reaches the owner again.
-  const bool relayed_until_now = stayed && machine_name.redirected_at < machine_name.relay_until;
-  if (now >= machine_name.relay_until && !relayed_until_now) {
-    const double since_redirect = now - machine_name.redirected_at;
+  const bool relayed_until_now = stayed && machine.redirected_at < machine.relay_until;
+  if (now >= machine.relay_until && !relayed_until_now) {
+    const double since_redirect = now - machine.redirected_at;
     const bool came_back = since_redirect >= kEarliestReturn && since_redirect <= kLatestReturn;
     const bool was_served = owner_settled && visit.token == visit.owner_token;
-    if (came_back || was_served) machine_name.relay_until = now + kRelayPeriod;
+    if (came_back || was_served) machine.relay_until = now + kRelayPeriod;
   }
-  if (now >= machine_name.relay_until) {
-    machine_name.redirected_at = now;
+  if (now >= machine.relay_until) {
+    machine.redirected_at = now;
     return Route::kRedirect;
   }
   return reachable(visit.owner, now) ? Route::kRelay : Route::kNextNode;
--- a/src/coordination/node/report_relay.hpp
+++ b/src/coordination/node/report_relay.hpp
@@ -13,6 +13,7 @@
 
 namespace mothslip {
 
+// Times are in seconds, by any one clock.
 class ReportRelay {
  public:
   enum class Route {
@@ -34,26 +35,30 @@
   // A relayed report got no answer from `owner`.
   void relay_failed(const std::string& owner) { heard_.erase(owner); }
 
+  // To be asked once for each report: the decision goes by the earlier ones.
   Route route(const Visit& visit, double now);
-  // Hosts that are remembered; for tests.
+  // Machines that are remembered; for tests.
   [[nodiscard]] std::size_t size() const { return machines_.size(); }
 
  private:
   static constexpr double kNever = -1e9;
+  // What is remembered of a machine whose worker came here.
   struct RelayedMachine {
-    std::uint64_t owner_token = 0;
-    double redirected_at = kNever;
-    double relay_until = kNever;
+    std::uint64_t owner_token = 0;  // of the shard's owner then; with another the rest counts for nothing
+    double redirected_at = kNever;  // last
+    double relay_until = kNever;    // its reports are relayed until then
     double last_visit = kNever;
   };
 
+  // The owner with this token has been there for long enough to have served its workers.
   [[nodiscard]] bool settled(std::uint64_t token, double now) const;
+  // The owner was heard from a short while ago.
   [[nodiscard]] bool reachable(const std::string& owner, double now) const;
   void forget_old(double now);
 
-  std::map<std::string, RelayedMachine> machines_;
-  std::map<std::uint64_t, double> token_seen_;  // owners' tokens, and when each was first seen here
-  std::map<std::string, double> heard_;         // by node: when it was heard last
+  std::map<std::string, RelayedMachine> machines_;  // by name
+  std::map<std::uint64_t, double> token_seen_;      // owners' tokens, and when each was first seen here
+  std::map<std::string, double> heard_;             // by node: when it was heard last
   double next_cleaning_ = 0;
 };
 
--- /dev/null
+++ b/src/coordination/node/request_router.cpp
@@ -0,0 +1,91 @@
+#include "coordination/node/request_router.hpp"
+
+#include <string_view>
+
+#include "protocol/paths.hpp"
+
+namespace mothslip {
+
+namespace {
+bool starts_with(const std::string& text, std::string_view prefix) {
+  return text.compare(0, prefix.size(), prefix) == 0;
+}
+
+bool ends_with(const std::string& text, std::string_view suffix) {
+  return text.size() >= suffix.size() &&
+         text.compare(text.size() - suffix.size(), suffix.size(), suffix) == 0;
+}
+
+// Whether the request has the method that its path demands; if not, it is answered.
+bool check_method(const HttpRequest& request, std::string_view method, const Responder& responder) {
+  if (request.method == method) return true;
+  responder.send(405, R"({"error":"method"})");
+  return false;
+}
+}  // namespace
+
+std::optional<RunsPath> parse_runs_path(const std::string& path) {
+  constexpr std::string_view kRuns = paths::kRuns;
+  constexpr std::string_view kCancel = paths::kCancelSuffix;
+  if (path == kRuns) return RunsPath{RunsPath::Kind::kAll, ""};
+  if (!starts_with(path, kRuns) || path.size() <= kRuns.size() + 1 || path[kRuns.size()] != '/')
+    return std::nullopt;
+  std::string ref = path.substr(kRuns.size() + 1);
+  if (ref.size() > kCancel.size() && ends_with(ref, kCancel)) {
+    ref.resize(ref.size() - kCancel.size());
+    return RunsPath{RunsPath::Kind::kCancel, ref};
+  }
+  if (ref.find('/') != std::string::npos) return std::nullopt;
+  return RunsPath{RunsPath::Kind::kJob, ref};
+}
+
+void RequestRouter::on_client_request(const HttpRequest& request, const Responder& responder) {
+  if (request.path == paths::kReport) {
+    if (check_method(request, "POST", responder)) ctx_.reports->on_report(request, false, responder);
+  } else if (request.path == paths::kReady) {
+    if (!check_method(request, "GET", responder)) return;
+    if (ctx_.ready()) {
+      responder.send(200, R"({"ready":true})");
+    } else {
+      responder.send(503, R"({"ready":false})", 1);
+    }
+  } else {
+    on_user_request(request, false, responder);
+  }
+}
+
+void RequestRouter::on_peer_request(const HttpRequest& request, const Responder& responder) {
+  if (!starts_with(request.path, peer_paths::kPrefix)) {
+    on_user_request(request, true, responder);
+    return;
+  }
+  if (!check_method(request, "POST", responder)) return;
+  if (request.path == peer_paths::kHeartbeat) {
+    ctx_.heartbeats->on_heartbeat(request, responder);
+  } else if (request.path == peer_paths::kRelayedReport) {
+    ctx_.reports->on_report(request, true, responder);
+  } else {
+    ctx_.shards->on_request(request, responder);
+  }
+}
+
+void RequestRouter::on_user_request(const HttpRequest& request, bool forwarded, const Responder& responder) {
+  const auto path = parse_runs_path(request.path);
+  if (!path) {
+    responder.send(404, R"({"error":"no such path"})");
+    return;
+  }
+  switch (path->kind) {
+    case RunsPath::Kind::kAll:
+      if (check_method(request, "POST", responder)) ctx_.users->submit(request.body, responder);
+      return;
+    case RunsPath::Kind::kCancel:
+      if (check_method(request, "POST", responder)) ctx_.users->cancel(path->ref, forwarded, responder);
+      return;
+    case RunsPath::Kind::kJob:
+      if (check_method(request, "GET", responder)) ctx_.users->poll(path->ref, forwarded, responder);
+      return;
+  }
+}
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/node/request_router.hpp
@@ -0,0 +1,51 @@
+// Which module answers a request, by path and method: of users and workers at the client address, and of
+// other controllers at the peer address.
+#pragma once
+
+#include <functional>
+#include <optional>
+#include <string>
+
+#include "coordination/node/peer_heartbeats.hpp"
+#include "coordination/node/shard_router.hpp"
+#include "coordination/node/user_api.hpp"
+#include "coordination/node/worker_reports.hpp"
+#include "transport/http.hpp"
+
+namespace mothslip {
+
+// What a path under /v2/runs names.
+struct RunsPath {
+  enum class Kind {
+    kAll,     // /v2/runs: where jobs are submitted
+    kJob,     // /v2/runs/REF
+    kCancel,  // /v2/runs/REF/cancel
+  };
+  Kind kind = Kind::kAll;
+  std::string ref;  // not checked (valid_ref); empty for kAll
+};
+// Nothing where it is no such path.
+[[nodiscard]] std::optional<RunsPath> parse_runs_path(const std::string& path);
+
+class RequestRouter {
+ public:
+  struct Context {
+    UserApi* users = nullptr;
+    WorkerReports* reports = nullptr;
+    PeerHeartbeats* heartbeats = nullptr;
+    ShardRouter* shards = nullptr;
+    std::function<bool()> ready;  // the node can work; asked at GET /ready
+  };
+  explicit RequestRouter(Context context) : ctx_(std::move(context)) {}
+
+  void on_client_request(const HttpRequest& request, const Responder& responder);
+  void on_peer_request(const HttpRequest& request, const Responder& responder);
+
+ private:
+  // `forwarded`: by another node, so it is not forwarded again.
+  void on_user_request(const HttpRequest& request, bool forwarded, const Responder& responder);
+
+  Context ctx_;
+};
+
+}  // namespace mothslip
--- a/src/coordination/node/user_api.cpp
+++ b/src/coordination/node/user_api.cpp
@@ -5,23 +5,29 @@
 #include <utility>
 
 #include "bookkeeping/records.hpp"
+#include "protocol/paths.hpp"
 
 namespace mothslip {
 
 namespace {
-constexpr double kForwardSeconds = 0.8;
-constexpr double kCancelForwardSeconds = 2.5;
-constexpr int kUpgradeSeconds = 5;
-constexpr double kJobRecordFill = 0.9;  // of the value size: a cancellation adds to the record
-constexpr double kAcceptPatience = 0.8;
+constexpr double kForwardSeconds = 0.8;        // for the owner's answer to a poll; then the state is read
+constexpr double kCancelForwardSeconds = 2.5;  // for the owner's answer to a cancellation
+constexpr double kJobRecordFill = 0.9;         // of the value size: a cancellation adds to the record
+constexpr double kAcceptPatienceSeconds = 0.8;
 // Users wait this long for the state of a job. What is learned later is of no use to them.
 constexpr double kPollSeconds = 2.0;
 // A job's owner hears of it within a few seconds, or is replaced by one that reads the record.
 constexpr double kAcceptedSeconds = 60.0;
 
+// What Retry-After says, in seconds.
+constexpr int kRetrySoon = 1;
+constexpr int kRetryWhenLessBusy = 2;
+constexpr int kRetryUnrecordable = 5;
+constexpr int kRetryAfterUpgrade = 5;
+
 void send_unknown(const Responder& responder) { responder.send(404, R"({"error":"unknown"})"); }
 
-void send_starting(const Responder& responder) { responder.send(503, R"({"error":"starting"})", 1); }
+void send_starting(const Responder& responder) { responder.send(503, R"({"error":"starting"})", kRetrySoon); }
 
 void send_finding(const std::string& ref, const JobFinding& finding, const Responder& responder) {
   switch (finding.kind) {
@@ -32,14 +38,20 @@
       send_unknown(responder);
       return;
     case JobFinding::Kind::kBeingCancelled:
-      responder.send(503, R"({"error":"being cancelled"})", 1);
+      responder.send(503, R"({"error":"being cancelled"})", kRetrySoon);
       return;
     case JobFinding::Kind::kUndecided:
-      responder.send(503, R"({"error":"state service away"})", 1);
+      responder.send(503, R"({"error":"state service away"})", kRetrySoon);
       return;
   }
 }
 
+// The `ref` of a submission that is no valid job; empty where it names none.
+std::string job_ref_of(const Json& submission) {
+  const auto ref = submission.find("ref");
+  return ref != submission.end() && ref->is_string() ? ref->get<std::string>() : "";
+}
+
 // The submission was refused for nothing but that the job is unaccounted.
 bool only_unaccounted(const StateReply& reply, int shard, const std::string& ref) {
   return reply.body.is_object() &&
@@ -51,24 +63,22 @@
 UserApi::UserApi(Context context)
     : ctx_(std::move(context)),
       statuses_({ctx_.state, [this] { return ctx_.ownership->shard_count(); },
-                 [this](const std::string& ref) -> std::optional<JobFinding> {
-                   if (ctx_.ownership->shard_count() == 0) return std::nullopt;
-                   const int index = shard_of(ref, ctx_.ownership->shard_count());
-                   const ShardLeader* shard = ctx_.ownership->exclusive(index) ? ctx_.shard(index) : nullptr;
-                   if (shard == nullptr) return std::nullopt;
-                   return shard->find(ref);
-                 }}) {}
+                 [this](const std::string& ref) { return ask_owned_shard(ref); }}) {}
+
+std::optional<JobFinding> UserApi::ask_owned_shard(const std::string& ref) const {
+  if (!shards_known()) return std::nullopt;
+  const int shard = home_shard(ref);
+  const ShardLeader* leader = ctx_.ownership->exclusive(shard) ? ctx_.shard(shard) : nullptr;
+  if (leader == nullptr) return std::nullopt;
+  return leader->find(ref);
+}
 
 std::string UserApi::owner_address(const std::string& ref) const {
-  return ctx_.peer_address(ctx_.ownership->owner(shard_of(ref, ctx_.ownership->shard_count())).node);
+  return ctx_.settings->member_address(ctx_.ownership->owner(home_shard(ref)).node);
 }
 
 void UserApi::pass_on(const std::string& ref, const std::string& body, const Responder& responder) {
-  const Json answer = parse_json(body);
-  if (answer.is_object()) {
-    const auto status = terminal_status(answer.value("phase", ""), answer.value("done", 0));
-    if (status) statuses_.note_terminal(ref, *status);
-  }
+  if (const auto status = terminal_status_of_answer(parse_json(body))) statuses_.note_terminal(ref, *status);
   responder.send(200, body);
 }
 
@@ -102,44 +112,46 @@
     responder.send(400, R"({"error":"not a JSON object"})");
     return;
   }
-  std::string why;
-  auto spec = parse_job(json, why);
+  std::string bad_field;
+  auto spec = parse_job(json, bad_field);
   if (spec && spec->gang && !ctx_.gangs) {
     spec.reset();
-    why = "shape";
+    bad_field = "shape";
   }
-  if (!spec) {
-    const auto ref = json.find("ref");
-    const bool named = ref != json.end() && ref->is_string();
-    refuse(named ? ref->get<std::string>() : "", 400, "bad field: " + why, responder);
-    return;
+  if (spec) {
+    submit_parsed(*spec, responder);
+  } else {
+    refuse(job_ref_of(json), 400, "bad field: " + bad_field, responder);
   }
-  if (!ctx_.decides() && statuses_.terminal(spec->ref) == nullptr) {
+}
+
+void UserApi::submit_parsed(const JobSpec& spec, const Responder& responder) {
+  if (!ctx_.decides() && statuses_.terminal(spec.ref) == nullptr) {
     send_starting(responder);
     return;
   }
   // A repeat of one that is known here needs no write.
-  const auto found = statuses_.from_memory(spec->ref);
+  const auto found = statuses_.from_memory(spec.ref);
   if (found && found->kind != JobFinding::Kind::kUnknownJob) {
-    poll(spec->ref, true, responder);
+    poll(spec.ref, true, responder);
     return;
   }
-  if (ctx_.types->empty() || ctx_.ownership->shard_count() == 0) {
+  if (ctx_.types->empty() || !shards_known()) {
     send_starting(responder);
     return;
   }
-  if (const std::string never = never_runs(*spec, *ctx_.settings, *ctx_.types); !never.empty()) {
-    refuse(spec->ref, 422, never, responder);
+  if (const std::string never = never_runs(spec, *ctx_.settings, *ctx_.types); !never.empty()) {
+    refuse(spec.ref, 422, never, responder);
     return;
   }
-  if (ctx_.state->busy(RequestPriority::kAccept, kAcceptPatience)) {
-    responder.send(429, R"({"error":"too many submissions"})", 2);
+  if (ctx_.state->busy(RequestPriority::kAccept, kAcceptPatienceSeconds)) {
+    responder.send(429, R"({"error":"too many submissions"})", kRetryWhenLessBusy);
     return;
   }
-  if (spec->gang) {
-    accept_gang(*spec, responder);
+  if (spec.gang) {
+    accept_gang(spec, responder);
   } else {
-    accept(*spec, responder);
+    accept(spec, responder);
   }
 }
 
@@ -153,66 +165,87 @@
       accept(spec, responder);
       return;
     }
-    responder.send(503, R"({"error":"not all controllers can run gangs yet"})", kUpgradeSeconds);
+    responder.send(503, R"({"error":"not all controllers can run gangs yet"})", kRetryAfterUpgrade);
   });
 }
 
-// `unaccounted`: the job may have run before records were lost. Its description is kept, and nothing told.
 void UserApi::accept(const JobSpec& spec, const Responder& responder, bool unaccounted) {
-  const std::string& ref = spec.ref;
-  const int shard = shard_of(ref, ctx_.ownership->shard_count());
-  JobRecord job_record;
-  job_record.spec = spec;
-  job_record.submitted = ctx_.env->wall();
+  const Acceptance acceptance{job_record(spec), home_shard(spec.ref), unaccounted, responder};
+  ctx_.state->commit(RequestPriority::kAccept, acceptance_writes(acceptance),
+                     [this, acceptance](const StateReply& reply) { on_acceptance_reply(acceptance, reply); });
+}
+
+JobRecord UserApi::job_record(const JobSpec& spec) const {
+  JobRecord record;
+  record.spec = spec;
+  record.submitted = ctx_.env->wall();
   // A long list of machine types, most of them unknown here, must not keep the job from being recorded.
-  const auto bytes = static_cast<double>(dump_json(job_record.to_json()).size());
-  if (bytes > kJobRecordFill * ctx_.settings->value_kb * 1024)
-    keep_known_machine_types(job_record.spec, *ctx_.types);
+  const auto bytes = static_cast<double>(dump_json(record.to_json()).size());
+  const double most_bytes = kJobRecordFill * ctx_.settings->value_kb * 1024;
+  if (bytes > most_bytes) keep_known_machine_types(record.spec, *ctx_.types);
+  return record;
+}
+
+// The job's record, on the condition that the job is new.
+Transaction UserApi::acceptance_writes(const Acceptance& acceptance) const {
+  const JobSpec& spec = acceptance.record.spec;
+  const int shard = acceptance.shard;
+  const KeySpace& key_space = ctx_.state->key_space();
   Transaction txn;
-  txn.guard(keys::job_record(shard, ref), 0);
-  for (const std::string& key : ctx_.state->key_space().ending_keys(shard, ref)) txn.guard(key, 0);
-  const bool rebuilt = !ctx_.state->key_space().incarnation().first();
-  if (rebuilt && !unaccounted) txn.guard(keys::unaccounted(shard, ref), 0);
+  txn.guard(keys::job_record(shard, spec.ref), 0);
+  for (const std::string& key : key_space.ending_keys(shard, spec.ref)) txn.guard(key, 0);
+  const bool records_were_lost = !key_space.incarnation().first();
+  if (records_were_lost && !acceptance.unaccounted) txn.guard(keys::unaccounted(shard, spec.ref), 0);
   if (ctx_.settings->tuning.recovery) txn.guard(keys::kMeta, ctx_.ownership->meta_revision());
-  txn.put(keys::job_record(shard, ref), job_record.to_json());
+  txn.put(keys::job_record(shard, spec.ref), acceptance.record.to_json());
   const bool first_gang = spec.gang && !gangs_accepted_;
   if (first_gang) txn.put(keys::kGangs, {{"accepted", true}});
-  ctx_.state->commit(RequestPriority::kAccept, txn,
-                     [this, ref, shard, job_record, responder, unaccounted](const StateReply& reply) {
-                       if (reply.ok()) {
-                         spdlog::info("{} accepted", ref);
-                         gangs_accepted_ |= job_record.spec.gang;
-                         note_accepted(job_record);
-                         if (ShardLeader* ours = ctx_.shard(shard); ours != nullptr)
-                           ours->admit(job_record, reply.revision());
-                         if (unaccounted) return poll(ref, false, responder);
-                         responder.send(201, dump_json({{"ref", ref}, {"phase", "queued"}}));
-                       } else if (reply.outcome == Outcome::kConflict && !unaccounted &&
-                                  only_unaccounted(reply, shard, ref)) {
-                         accept(job_record.spec, responder, true);
-                       } else if (reply.outcome == Outcome::kConflict) {
-                         poll(ref, false, responder);
-                       } else if (reply.outcome == Outcome::kInvalid) {
-                         spdlog::error("{}: the state service calls the record invalid: {}", ref,
-                                       dump_json(reply.body));
-                         responder.send(503, R"({"error":"not recorded"})", 5);
-                       } else {
-                         // Not recorded, or not known to be: a repeat finds out.
-                         send_finding(ref, {}, responder);
-                       }
-                     });
+  return txn;
+}
+
+void UserApi::on_acceptance_reply(const Acceptance& acceptance, const StateReply& reply) {
+  const std::string& ref = acceptance.record.spec.ref;
+  const Responder& responder = acceptance.responder;
+  if (reply.ok()) {
+    on_accepted(acceptance, reply.revision());
+  } else if (reply.outcome == Outcome::kConflict && !acceptance.unaccounted &&
+             only_unaccounted(reply, acceptance.shard, ref)) {
+    accept(acceptance.record.spec, responder, true);
+  } else if (reply.outcome == Outcome::kConflict) {
+    poll(ref, false, responder);
+  } else if (reply.outcome == Outcome::kInvalid) {
+    spdlog::error("{}: the state service calls the record invalid: {}", ref, dump_json(reply.body));
+    responder.send(503, R"({"error":"not recorded"})", kRetryUnrecordable);
+  } else {
+    // Not recorded, or not known to be: a repeat finds out.
+    send_finding(ref, {}, responder);
+  }
+}
+
+void UserApi::on_accepted(const Acceptance& acceptance, std::uint64_t revision) {
+  const JobRecord& record = acceptance.record;
+  const std::string& ref = record.spec.ref;
+  spdlog::info("{} accepted", ref);
+  gangs_accepted_ |= record.spec.gang;
+  note_accepted(record);
+  if (ShardLeader* leader = ctx_.shard(acceptance.shard); leader != nullptr) leader->admit(record, revision);
+  if (acceptance.unaccounted) {
+    poll(ref, false, acceptance.responder);
+  } else {
+    acceptance.responder.send(201, acceptance_body(ref));
+  }
 }
 
-void UserApi::note_accepted(const JobRecord& job_record) {
+void UserApi::note_accepted(const JobRecord& record) {
   if (!ctx_.settings->tuning.recovery) return;
   const double now = ctx_.env->now();
-  accepted_.push_back({now, job_record});
+  accepted_.push_back({now, record});
   while (accepted_.front().at < now - kAcceptedSeconds) accepted_.pop_front();
 }
 
 void UserApi::remember(NodeMemory& memory) const {
   statuses_.remember(memory);
-  for (const Acceptance& acceptance : accepted_) memory.accepted.push_back(acceptance.record);
+  for (const Accepted& accepted : accepted_) memory.accepted.push_back(accepted.record);
 }
 
 // ---------------------------------------------------------------- polls
@@ -231,7 +264,7 @@
     send_finding(ref, *found, responder);
     return;
   }
-  if (ctx_.ownership->shard_count() == 0) {
+  if (!shards_known()) {
     send_starting(responder);
     return;
   }
@@ -245,7 +278,7 @@
 
 void UserApi::poll_owner(const std::string& address, const std::string& ref, const Responder& responder) {
   const double asked = ctx_.env->now();
-  ctx_.env->call({address, "GET", "/v2/runs/" + ref, "", kForwardSeconds},
+  ctx_.env->call({address, "GET", paths::job(ref), "", kForwardSeconds},
                  [this, ref, asked, responder](const HttpReply& reply) {
                    const bool late = ctx_.env->now() - asked > kForwardSeconds;
                    if (reply.status == 200 && !late) {
@@ -281,13 +314,13 @@
     responder.send(200, cancellation_body(ref, status->phase));
     return;
   }
-  if (ctx_.ownership->shard_count() == 0 || !ctx_.decides()) {
+  if (!shards_known() || !ctx_.decides()) {
     send_starting(responder);
     return;
   }
-  if (ShardLeader* shard = ctx_.shard(shard_of(ref, ctx_.ownership->shard_count())); shard != nullptr) {
-    if (shard->knows(ref)) {
-      shard->cancel(ref, responder);
+  if (ShardLeader* leader = ctx_.shard(home_shard(ref)); leader != nullptr) {
+    if (leader->knows(ref)) {
+      leader->cancel(ref, responder);
     } else {
       cancel_unknown_here(ref, responder);
     }
@@ -295,7 +328,7 @@
   }
   const std::string address = owner_address(ref);
   if (forwarded || address.empty()) {
-    responder.send(503, R"({"error":"no owner"})", 1);
+    responder.send(503, R"({"error":"no owner"})", kRetrySoon);
   } else {
     cancel_at_owner(address, ref, responder);
   }
@@ -308,21 +341,21 @@
     } else if (found.kind == JobFinding::Kind::kUnknownJob) {
       send_unknown(responder);
     } else {
-      responder.send(503, R"({"error":"not yet"})", 1);  // accepted elsewhere a moment ago
+      responder.send(503, R"({"error":"not yet"})", kRetrySoon);  // accepted elsewhere a moment ago
     }
   });
 }
 
 void UserApi::cancel_at_owner(const std::string& address, const std::string& ref,
                               const Responder& responder) {
-  ctx_.env->call({address, "POST", "/v2/runs/" + ref + "/cancel", "{}", kCancelForwardSeconds},
+  ctx_.env->call({address, "POST", paths::cancel(ref), "{}", kCancelForwardSeconds},
                  [this, ref, responder](const HttpReply& reply) {
                    if (reply.status == 200) {
                      pass_on(ref, reply.body, responder);
                    } else if (reply.status == 404) {
                      send_unknown(responder);
                    } else {
-                     responder.send(503, R"({"error":"owner not reached"})", 1);
+                     responder.send(503, R"({"error":"owner not reached"})", kRetrySoon);
                    }
                  });
 }
