--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,3 +1,4 @@
+// The program of one controller: reads its settings, and runs it (recovery::Controller).
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -15,8 +16,20 @@
 
 namespace {
 
-constexpr int kBadSettings = 2;
+// What the process ends with.
+constexpr int kGood = 0;
+constexpr int kFailed = 1;
+constexpr int kBadSettings = 2;  // also: a command line that is not understood
 
+constexpr const char* kTuningFile = "mothslip.ini";
+
+struct CommandLine {
+  std::string config;  // path of the settings file
+  std::string tuning;  // path of the operators' file; empty: the one beside the settings file, if there
+  bool check = false;  // only check the settings
+};
+
+// Logs go to standard error; the environment variable LOG_LEVEL sets the least level (default: info).
 void set_up_log() {
   auto logger = spdlog::stderr_logger_st("mothslip");
   logger->set_pattern("%H:%M:%S.%e %l %v");
@@ -25,61 +38,73 @@
   spdlog::set_default_logger(std::move(logger));
 }
 
+void add_options(CLI::App& app, CommandLine& command_line) {
+  app.add_option("--config", command_line.config, "settings file handed over by the platform (TOML)")
+      ->required();
+  app.add_option("--tuning", command_line.tuning,
+                 "operators' own settings (INI); by default mothslip.ini beside the settings file");
+  app.add_flag("--check", command_line.check, "read the settings, say whether they are good, and end");
+  app.set_version_flag("--version", "mothslip " MOTHSLIP_VERSION);
+}
+
+// The path of the operators' file; empty where there is none.
+std::string tuning_path(const CommandLine& command_line) {
+  if (!command_line.tuning.empty()) return command_line.tuning;
+  const auto beside = std::filesystem::path(command_line.config).parent_path() / kTuningFile;
+  std::error_code ignored;
+  return std::filesystem::exists(beside, ignored) ? beside.string() : "";
+}
+
+// Runs the controller until the process is ended. Throws std::exception where it cannot start.
+void run(const mothslip::Settings& settings) {
+  mothslip::EventEnv env;
+  mothslip::recovery::Controller controller(env, settings);
+  const mothslip::HttpServer client_listener(env.base(), settings.client_address,
+                                             mothslip::Node::kMaxClientBody,
+                                             mothslip::Node::max_client_connections(settings),
+                                             [&controller](const auto& request, const auto& responder) {
+                                               controller.on_client_request(request, responder);
+                                             });
+  const mothslip::HttpServer peer_listener(env.base(), settings.peer_address, mothslip::Node::kMaxPeerBody, 0,
+                                           [&controller](const auto& request, const auto& responder) {
+                                             controller.on_peer_request(request, responder);
+                                           });
+  spdlog::info("{} starts: client address {}, peer address {}", settings.node, settings.client_address,
+               settings.peer_address);
+  controller.start();
+  env.run();
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app{"mothslip, a cluster scheduler"};
-  std::string config;
-  std::string ini;
-  bool check = false;
-  app.add_option("--config", config, "settings file handed over by the platform (TOML)")->required();
-  app.add_option("--tuning", ini,
-                 "operators' own settings (INI); by default mothslip.ini beside the settings file");
-  app.add_flag("--check", check, "read the settings, say whether they are good, and end");
-  app.set_version_flag("--version", "mothslip " MOTHSLIP_VERSION);
+  CommandLine command_line;
+  add_options(app, command_line);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kBadSettings;
+    return app.exit(error) == 0 ? kGood : kBadSettings;
   }
   mothslip::Settings settings;
   try {
-    if (ini.empty()) {
-      const auto beside = std::filesystem::path(config).parent_path() / "mothslip.ini";
-      std::error_code ignored;
-      if (std::filesystem::exists(beside, ignored)) ini = beside.string();
-    }
-    settings = mothslip::load_settings(config, ini);
+    settings = mothslip::load_settings(command_line.config, tuning_path(command_line));
   } catch (const mothslip::SettingsError& error) {
     std::cerr << error.what() << '\n';
     return kBadSettings;
   }
-  if (check) {
-    std::cout << config << ": good\n";
-    return 0;
+  if (command_line.check) {
+    std::cout << command_line.config << ": good\n";
+    return kGood;
   }
   // A peer that closed its end must not end this process.
   std::signal(SIGPIPE, SIG_IGN);
   set_up_log();
   try {
-    mothslip::EventEnv env;
-    mothslip::recovery::Controller controller(env, settings);
-    const mothslip::HttpServer front(env.base(), settings.client_address, mothslip::Node::kMaxClientBody,
-                                     mothslip::Node::max_client_connections(settings),
-                                     [&controller](const auto& request, const auto& responder) {
-                                       controller.on_client_request(request, responder);
-                                     });
-    const mothslip::HttpServer back(env.base(), settings.peer_address, mothslip::Node::kMaxPeerBody, 0,
-                                    [&controller](const auto& request, const auto& responder) {
-                                      controller.on_peer_request(request, responder);
-                                    });
-    spdlog::info("{} starts: client address {}, peer address {}", settings.node, settings.client_address,
-                 settings.peer_address);
-    controller.start();
-    env.run();
+    run(settings);
   } catch (const std::exception& error) {
     spdlog::critical("{}", error.what());
-    return 1;
+    return kFailed;
   }
-  return 0;
+  return kGood;
 }
