--- a/src/bookkeeping/ranges.cpp
+++ b/src/bookkeeping/ranges.cpp
@@ -64,39 +64,41 @@
 
 std::string RangeSet::to_text() const {
   std::string out;
-  int at = 0;
+  int position = 0;  // the index after the range before
   for (const auto& [first, last] : ranges_) {
     if (!out.empty()) out += ',';
-    out += std::to_string(first - at);
+    out += std::to_string(first - position);
     if (last - first > 1) out += '+' + std::to_string(last - first);
-    at = last;
+    position = last;
   }
   return out;
 }
 
 std::optional<RangeSet> RangeSet::from_text(const std::string& text, int limit) {
   RangeSet out;
-  const char* at = text.data();
+  const char* next = text.data();
   const char* const end = text.data() + text.size();
-  int position = 0;
-  while (at < end) {
+  int position = 0;  // the index after the last range read
+  while (next < end) {
     int gap = 0;
     int length = 1;
-    auto parsed = std::from_chars(at, end, gap);
+    auto parsed = std::from_chars(next, end, gap);
     if (parsed.ec != std::errc()) return std::nullopt;
-    at = parsed.ptr;
-    if (at < end && *at == '+') {
-      parsed = std::from_chars(at + 1, end, length);
+    next = parsed.ptr;
+    if (next < end && *next == '+') {
+      parsed = std::from_chars(next + 1, end, length);
       if (parsed.ec != std::errc()) return std::nullopt;
-      at = parsed.ptr;
+      next = parsed.ptr;
     }
-    if (gap < 0 || length < 1 || gap > limit - position || length > limit - position - gap)
-      return std::nullopt;
+    const bool in_limits =
+        gap >= 0 && length >= 1 && gap <= limit - position && length <= limit - position - gap;
+    if (!in_limits) return std::nullopt;
     out.insert(position + gap, position + gap + length);
     position += gap + length;
-    if (at == end) break;
-    if (*at != ',' || at + 1 == end) return std::nullopt;
-    at++;
+    if (next == end) break;
+    const bool another_follows = *next == ',' && next + 1 != end;
+    if (!another_follows) return std::nullopt;
+    next++;
   }
   return out;
 }
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -1,33 +1,141 @@
 #include "bookkeeping/records.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace mothslip {
 
 namespace {
-constexpr int kMaxTasks = 100'000;  // tasks of a job, as the protocol says
+
+// Stored names of the fields, as on-disk format; each stands here once.
+namespace job_fields {
+constexpr const char* kSpec = "job";
+constexpr const char* kSubmitted = "at";
+constexpr const char* kPhase = "phase";
+constexpr const char* kCancelled = "aborted";  // the one value of the phase in a job record
+constexpr const char* kSpread = "spread";
+}  // namespace job_fields
+
+// (One letter each: there may be thousands of machines in a segment.)
+namespace machine_fields {
+constexpr const char* kAddress = "a";
+constexpr const char* kType = "f";
+constexpr const char* kZone = "z";
+constexpr const char* kSpot = "s";
+constexpr const char* kIncarnation = "t";
+constexpr const char* kPlacements = "p";  // by job: index, attempt, index, attempt, …
+constexpr const char* kStopping = "x";
+}  // namespace machine_fields
+
+namespace segment_fields {
+constexpr const char* kMachines = "m";
+constexpr const char* kDone = "d";
+}  // namespace segment_fields
+
+namespace delegation_fields {
+constexpr const char* kHome = "home";
+constexpr const char* kJobRevision = "stamp";
+constexpr const char* kWorks = "works";
+constexpr const char* kFails = "fails";
+constexpr const char* kJob = "head";
+constexpr const char* kRange = "range";
+}  // namespace delegation_fields
+
+namespace unaccounted_fields {
+constexpr const char* kHeld = "held";
+constexpr const char* kReason = "reason";
+constexpr const char* kTeam = "team";
+constexpr const char* kClass = "class";
+constexpr const char* kAll = "all";
+constexpr const char* kRerun = "rerun";
+constexpr const char* kMayHaveEnded = "may_have_ended";
+}  // namespace unaccounted_fields
+
+// Of delegations and of progress: ranges of completed tasks as text.
+constexpr const char* kDone = "done";
+
+constexpr const char* kNotAnObject = "not an object";
+constexpr const char* kMissing = "missing";
+constexpr const char* kNotRanges = "not ranges of task indices";
+
+// Notes what was wrong for the caller, and is the empty result to return.
+std::nullopt_t unreadable(RecordError* error, std::string field, std::string problem) {
+  if (error != nullptr) *error = {std::move(field), std::move(problem)};
+  return std::nullopt;
+}
+
+// The same, of a record inside this one: the fault is at `field`, then at the inner record's field.
+std::nullopt_t unreadable_inside(RecordError* error, const std::string& field, const RecordError& inner) {
+  return unreadable(error, inner.field.empty() ? field : field + "." + inner.field, inner.problem);
+}
+
+// Reads fields that must be there, and remembers which one was asked for last: after an exception of the
+// JSON library that is the one at fault.
+class RequiredFields {
+ public:
+  explicit RequiredFields(const Json& value) : value_(value) {}
+
+  [[nodiscard]] const char* last() const { return last_; }
+  const Json& at(const char* field) {
+    last_ = field;
+    return value_.at(field);
+  }
+  template <class T>
+  T get(const char* field) {
+    return at(field).template get<T>();
+  }
+
+ private:
+  const Json& value_;
+  const char* last_ = "";
+};
+
+// Placements of one job on a machine: index and attempt of each task, one after the other.
+void read_placements(const std::string& ref, const Json& list, std::vector<PlacementRecord>& out) {
+  for (std::size_t i = 0; i + 1 < list.size(); i += 2)
+    out.push_back({ref, list[i].get<int>(), list[i + 1].get<std::uint64_t>()});
+}
+
 }  // namespace
 
+std::string RecordError::to_text() const { return field.empty() ? problem : field + ": " + problem; }
+
+// ---------------------------------------------------------------- jobs
+
 Json JobRecord::to_json() const {
-  Json out = {{"job", job_to_json(spec)}, {"at", submitted}};
-  if (aborted) out["phase"] = "aborted";
-  if (spread) out["spread"] = true;
+  Json out = {{job_fields::kSpec, job_to_json(spec)}, {job_fields::kSubmitted, submitted}};
+  if (aborted) out[job_fields::kPhase] = job_fields::kCancelled;
+  if (spread) out[job_fields::kSpread] = true;
   return out;
 }
 
-std::optional<JobRecord> JobRecord::from_json(const Json& value) {
-  if (!value.is_object() || !value.contains("job")) return std::nullopt;
+std::optional<JobRecord> JobRecord::from_json(const Json& value, RecordError* error) {
+  if (!value.is_object()) return unreadable(error, "", kNotAnObject);
+  if (!value.contains(job_fields::kSpec)) return unreadable(error, job_fields::kSpec, kMissing);
   std::string why;
-  auto spec = parse_job(value["job"], why);
-  if (!spec) return std::nullopt;
+  auto spec = parse_job(value[job_fields::kSpec], why);
+  if (!spec) return unreadable(error, job_fields::kSpec, why);
   JobRecord out;
   out.spec = std::move(*spec);
-  out.submitted = value.value("at", 0.0);
-  out.aborted = value.value("phase", "") == "aborted";
-  out.spread = value.value("spread", false);
+  out.submitted = value.value(job_fields::kSubmitted, 0.0);
+  out.aborted = value.value(job_fields::kPhase, "") == job_fields::kCancelled;
+  out.spread = value.value(job_fields::kSpread, false);
   return out;
 }
 
+Json ProgressRecord::to_json() const { return {{kDone, done.to_text()}}; }
+
+std::optional<ProgressRecord> ProgressRecord::from_json(const Json& value, int task_count,
+                                                        RecordError* error) {
+  auto done = RangeSet::from_text(value.value(kDone, ""), task_count);
+  if (!done) return unreadable(error, kDone, kNotRanges);
+  return ProgressRecord{std::move(*done)};
+}
+
+Json ending_json(const char* phase, int task_count) { return {{"phase", phase}, {"pieces", task_count}}; }
+
+// ---------------------------------------------------------------- the journal
+
 Json MachineRecord::to_json() const {
   std::map<std::string, Json> by_job;
   for (const PlacementRecord& item : placements) {
@@ -37,29 +145,32 @@
   }
   Json jobs = Json::object();
   for (auto& [ref, list] : by_job) jobs[ref] = std::move(list);
-  Json out = {{"a", address}, {"f", machine_type},       {"z", zone},
-              {"s", spot},    {"t", worker_incarnation}, {"p", std::move(jobs)}};
-  if (!stopping.empty()) out["x"] = stopping;
+  Json out = {{machine_fields::kAddress, address},
+              {machine_fields::kType, machine_type},
+              {machine_fields::kZone, zone},
+              {machine_fields::kSpot, spot},
+              {machine_fields::kIncarnation, worker_incarnation},
+              {machine_fields::kPlacements, std::move(jobs)}};
+  if (!stopping.empty()) out[machine_fields::kStopping] = stopping;
   return out;
 }
 
-std::optional<MachineRecord> MachineRecord::from_json(const Json& value) {
-  if (!value.is_object()) return std::nullopt;
+std::optional<MachineRecord> MachineRecord::from_json(const Json& value, RecordError* error) {
+  if (!value.is_object()) return unreadable(error, "", kNotAnObject);
   MachineRecord out;
+  RequiredFields fields(value);
   try {
-    out.address = value.at("a").get<std::string>();
-    out.machine_type = value.at("f").get<std::string>();
-    out.zone = value.at("z").get<std::string>();
-    out.spot = value.at("s").get<bool>();
-    out.worker_incarnation = value.at("t").get<std::uint64_t>();
-    for (const auto& [ref, list] : value.at("p").items()) {
-      for (std::size_t i = 0; i + 1 < list.size(); i += 2) {
-        out.placements.push_back({ref, list[i].get<int>(), list[i + 1].get<std::uint64_t>()});
-      }
-    }
-    if (value.contains("x")) out.stopping = value["x"].get<std::vector<std::uint64_t>>();
-  } catch (const Json::exception&) {
-    return std::nullopt;
+    out.address = fields.get<std::string>(machine_fields::kAddress);
+    out.machine_type = fields.get<std::string>(machine_fields::kType);
+    out.zone = fields.get<std::string>(machine_fields::kZone);
+    out.spot = fields.get<bool>(machine_fields::kSpot);
+    out.worker_incarnation = fields.get<std::uint64_t>(machine_fields::kIncarnation);
+    for (const auto& [ref, list] : fields.at(machine_fields::kPlacements).items())
+      read_placements(ref, list, out.placements);
+    if (value.contains(machine_fields::kStopping))
+      out.stopping = fields.get<std::vector<std::uint64_t>>(machine_fields::kStopping);
+  } catch (const Json::exception& exception) {
+    return unreadable(error, fields.last(), exception.what());
   }
   return out;
 }
@@ -67,56 +178,70 @@
 Json SegmentRecord::to_json() const {
   Json by_name = Json::object();
   for (const auto& [name, machine] : machines) by_name[name] = machine.to_json();
-  Json out = {{"m", std::move(by_name)}};
-  if (!done.empty()) out["d"] = done;
+  Json out = {{segment_fields::kMachines, std::move(by_name)}};
+  if (!done.empty()) out[segment_fields::kDone] = done;
   return out;
 }
 
-std::optional<SegmentRecord> SegmentRecord::from_json(const Json& value) {
-  if (!value.is_object() || !value.contains("m") || !value["m"].is_object()) return std::nullopt;
+std::optional<SegmentRecord> SegmentRecord::from_json(const Json& value, RecordError* error) {
+  if (!value.is_object()) return unreadable(error, "", kNotAnObject);
+  if (!value.contains(segment_fields::kMachines))
+    return unreadable(error, segment_fields::kMachines, kMissing);
+  const Json& machines = value[segment_fields::kMachines];
+  if (!machines.is_object()) return unreadable(error, segment_fields::kMachines, kNotAnObject);
   SegmentRecord out;
-  for (const auto& [name, machine] : value["m"].items()) {
-    auto record = MachineRecord::from_json(machine);
-    if (!record) return std::nullopt;
+  for (const auto& [name, machine] : machines.items()) {
+    RecordError inner;
+    auto record = MachineRecord::from_json(machine, &inner);
+    if (!record) return unreadable_inside(error, name, inner);
     out.machines.emplace(name, std::move(*record));
   }
-  const auto done = value.find("d");
-  if (done != value.end()) {
-    if (!done->is_object()) return std::nullopt;
-    for (const auto& [key, ranges] : done->items()) {
-      if (!ranges.is_string()) return std::nullopt;
-      out.done.emplace(key, ranges.get<std::string>());
-    }
+  const auto done = value.find(segment_fields::kDone);
+  if (done == value.end()) return out;
+  if (!done->is_object()) return unreadable(error, segment_fields::kDone, kNotAnObject);
+  for (const auto& [key, ranges] : done->items()) {
+    if (!ranges.is_string()) return unreadable(error, key, kNotRanges);
+    out.done.emplace(key, ranges.get<std::string>());
   }
   return out;
 }
 
+// ---------------------------------------------------------------- delegations and quota shares
+
 Json DelegationRecord::to_json() const {
-  Json out = {{"home", home_shard},    {"stamp", job_revision},    {"works", works},
-              {"head", job.to_json()}, {"range", range.to_text()}, {"done", done.to_text()}};
-  if (fails) out["fails"] = true;
+  Json out = {{delegation_fields::kHome, home_shard},       {delegation_fields::kJobRevision, job_revision},
+              {delegation_fields::kWorks, works},           {delegation_fields::kJob, job.to_json()},
+              {delegation_fields::kRange, range.to_text()}, {kDone, done.to_text()}};
+  if (fails) out[delegation_fields::kFails] = true;
   return out;
 }
 
-std::optional<DelegationRecord> DelegationRecord::from_json(const Json& value) {
-  if (!value.is_object() || !value.contains("head")) return std::nullopt;
-  auto job_record = JobRecord::from_json(value["head"]);
-  if (!job_record) return std::nullopt;
+std::optional<DelegationRecord> DelegationRecord::from_json(const Json& value, RecordError* error) {
+  if (!value.is_object()) return unreadable(error, "", kNotAnObject);
+  if (!value.contains(delegation_fields::kJob)) return unreadable(error, delegation_fields::kJob, kMissing);
+  RecordError inner;
+  auto job_record = JobRecord::from_json(value[delegation_fields::kJob], &inner);
+  if (!job_record) return unreadable_inside(error, delegation_fields::kJob, inner);
   DelegationRecord out;
-  out.home_shard = value.value("home", 0);
-  out.job_revision = value.value("stamp", std::uint64_t{0});
-  out.works = value.value("works", false);
-  out.fails = value.value("fails", false);
+  out.home_shard = value.value(delegation_fields::kHome, 0);
+  out.job_revision = value.value(delegation_fields::kJobRevision, std::uint64_t{0});
+  out.works = value.value(delegation_fields::kWorks, false);
+  out.fails = value.value(delegation_fields::kFails, false);
   const int task_count = job_record->spec.task_count;
   out.job = std::move(*job_record);
-  auto range = RangeSet::from_text(value.value("range", ""), task_count);
-  auto done = RangeSet::from_text(value.value("done", ""), task_count);
-  if (!range || !done) return std::nullopt;
+  auto range = RangeSet::from_text(value.value(delegation_fields::kRange, ""), task_count);
+  auto done = RangeSet::from_text(value.value(kDone, ""), task_count);
+  if (!range) return unreadable(error, delegation_fields::kRange, kNotRanges);
+  if (!done) return unreadable(error, kDone, kNotRanges);
   out.range = std::move(*range);
   out.done = std::move(*done);
   return out;
 }
 
+Json QuotaSplitRecord::to_json() const { return {{"c", cores}, {"g", gpus}}; }
+
+// ---------------------------------------------------------------- jobs that could not be accounted for
+
 RangeSet UnaccountedRecord::held_of(int task_count) const {
   if (rerun) return {};
   if (!all) return held;
@@ -126,34 +251,37 @@
 }
 
 Json UnaccountedRecord::to_json() const {
-  Json out = {{"held", held.to_text()}, {"reason", reason}, {"team", team}, {"class", job_class}};
-  if (all) out["all"] = true;
-  if (rerun) out["rerun"] = true;
-  if (may_have_ended) out["may_have_ended"] = true;
+  Json out = {{unaccounted_fields::kHeld, held.to_text()},
+              {unaccounted_fields::kReason, reason},
+              {unaccounted_fields::kTeam, team},
+              {unaccounted_fields::kClass, job_class}};
+  if (all) out[unaccounted_fields::kAll] = true;
+  if (rerun) out[unaccounted_fields::kRerun] = true;
+  if (may_have_ended) out[unaccounted_fields::kMayHaveEnded] = true;
   return out;
 }
 
-std::optional<UnaccountedRecord> UnaccountedRecord::from_json(const Json& value) {
-  if (!value.is_object()) return std::nullopt;
+std::optional<UnaccountedRecord> UnaccountedRecord::from_json(const Json& value, RecordError* error) {
+  if (!value.is_object()) return unreadable(error, "", kNotAnObject);
   UnaccountedRecord out;
-  auto held = RangeSet::from_text(value.value("held", ""), kMaxTasks);
-  if (!held) return std::nullopt;
+  auto held = RangeSet::from_text(value.value(unaccounted_fields::kHeld, ""), kMaxTasksPerJob);
+  if (!held) return unreadable(error, unaccounted_fields::kHeld, kNotRanges);
   out.held = std::move(*held);
-  out.all = value.value("all", false);
-  out.rerun = value.value("rerun", false);
-  out.may_have_ended = value.value("may_have_ended", false);
-  out.reason = value.value("reason", "");
-  out.team = value.value("team", "");
-  out.job_class = value.value("class", "");
+  out.all = value.value(unaccounted_fields::kAll, false);
+  out.rerun = value.value(unaccounted_fields::kRerun, false);
+  out.may_have_ended = value.value(unaccounted_fields::kMayHaveEnded, false);
+  out.reason = value.value(unaccounted_fields::kReason, "");
+  out.team = value.value(unaccounted_fields::kTeam, "");
+  out.job_class = value.value(unaccounted_fields::kClass, "");
   return out;
 }
 
+// ---------------------------------------------------------------- what workers are witnesses of
+
 std::uint64_t newest_shown(const Report& report) {
   std::uint64_t out = report.fencing_token;
   for (const TaskReport& task : report.tasks) out = std::max(out, task.attempt >> kAttemptShift);
   return out;
 }
 
-Json ending_json(const char* phase, int task_count) { return {{"phase", phase}, {"pieces", task_count}}; }
-
 }  // namespace mothslip
--- a/src/client/main.cpp
+++ b/src/client/main.cpp
@@ -1,87 +1,131 @@
-// mothslipctl, the operators' program.
+// mothslipctl, the operators' program: reads the command line, asks the controllers, prints their answer.
+// Exit codes are in exit_code.hpp.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
 #include <string>
 #include <vector>
 
+#include "client/exit_code.hpp"
 #include "client/operator_client.hpp"
 #include "client/tables.hpp"
 
 namespace {
 
+using mothslip::Json;
 using mothslip::client::CallOutcome;
 using mothslip::client::CallResult;
+using mothslip::client::ExitCode;
 using mothslip::client::OperatorClient;
+using mothslip::recovery::ControllerStatus;
+using mothslip::recovery::UnaccountedList;
 
-enum ExitCode { kDone = 0, kRefused = 1, kUsage = 2, kUnreachable = 3, kUnavailable = 4 };
+constexpr double kDefaultTimeoutSeconds = 30;
 
-int fail(const CallResult& result) {
-  std::cerr << "mothslipctl: " << result.error() << '\n';
-  switch (result.outcome) {
+ExitCode exit_code_of(CallOutcome outcome) {
+  switch (outcome) {
     case CallOutcome::kAnswered:
-      return kDone;
+      return ExitCode::kDone;
     case CallOutcome::kRefused:
-      return kRefused;
+      return ExitCode::kRefused;
     case CallOutcome::kUnavailable:
-      return kUnavailable;
+      return ExitCode::kUnavailable;
     case CallOutcome::kUnreachable:
-      return kUnreachable;
+      return ExitCode::kUnreachable;
   }
-  return kUnreachable;
+  return ExitCode::kUnreachable;
 }
 
-using Render = std::string (*)(const mothslip::Json&);
+ExitCode fail(const CallResult& result) {
+  std::cerr << "mothslipctl: " << result.error() << '\n';
+  return exit_code_of(result.outcome);
+}
 
-int show(const CallResult& result, bool json, Render render) {
+// An answer as text for people.
+using Render = std::string (*)(const Json&);
+
+std::string render_status(const Json& body) {
+  return mothslip::client::status_text(ControllerStatus::from_json(body));
+}
+
+std::string render_unaccounted(const Json& body) {
+  return mothslip::client::unaccounted_table(UnaccountedList::from_json(body));
+}
+
+ExitCode show(const CallResult& result, bool json, Render render) {
   if (!result.ok()) return fail(result);
   if (json) {
     std::cout << result.body.dump(2) << '\n';
   } else {
     std::cout << render(result.body);
   }
-  return kDone;
+  return ExitCode::kDone;
 }
 
-}  // namespace
+ExitCode resolve_job(OperatorClient& client, const std::string& job, const std::string& decision) {
+  const CallResult result = client.resolve(job, decision);
+  if (!result.ok()) return fail(result);
+  std::cout << job << ": " << decision << '\n';
+  return ExitCode::kDone;
+}
 
-int main(int argc, char** argv) {
-  CLI::App app{"mothslipctl, for those who operate a mothslip cluster"};
-  app.set_version_flag("--version", "mothslipctl " MOTHSLIP_VERSION);
-  app.require_subcommand(1);
+// What the command line says.
+struct Command {
   std::vector<std::string> controllers;
-  double timeout_s = 30;
+  double timeout_s = kDefaultTimeoutSeconds;
   bool json = false;
-  app.add_option("--at", controllers,
+  std::string job;       // of `resolve`
+  std::string decision;  // of `resolve`
+  // That of the subcommands which was given.
+  CLI::App* status = nullptr;
+  CLI::App* unaccounted = nullptr;
+  CLI::App* resolve = nullptr;
+};
+
+// Declares options and subcommands; `command` is filled when `app` parses, and must outlive it.
+void declare(CLI::App& app, Command& command) {
+  app.set_version_flag("--version", "mothslipctl " MOTHSLIP_VERSION);
+  app.require_subcommand(1);
+  app.add_option("--at", command.controllers,
                  "a controller's address for other controllers; may be given several times")
       ->required();
-  app.add_option("--timeout", timeout_s, "seconds after which to give up")->check(CLI::PositiveNumber);
-  app.add_flag("--json", json, "print what the controller answers as JSON");
+  app.add_option("--timeout", command.timeout_s, "seconds after which to give up")
+      ->check(CLI::PositiveNumber);
+  app.add_flag("--json", command.json, "print what the controller answers as JSON");
   CLI::App* recovery = app.add_subcommand("recovery", "lost state and its rebuilding");
   recovery->require_subcommand(1);
-  CLI::App* status =
+  command.status =
       recovery->add_subcommand("status", "whether records are being rebuilt, and how far that is");
-  CLI::App* unaccounted = recovery->add_subcommand("unaccounted", "jobs that could not be accounted for");
-  CLI::App* resolve = recovery->add_subcommand("resolve", "decide about such a job");
-  std::string job;
-  std::string decision;
-  resolve->add_option("job", job, "the job's id")->required();
-  resolve->add_option("--as", decision, "done, rerun or cancelled")
+  command.unaccounted = recovery->add_subcommand("unaccounted", "jobs that could not be accounted for");
+  command.resolve = recovery->add_subcommand("resolve", "decide about such a job");
+  command.resolve->add_option("job", command.job, "the job's id")->required();
+  command.resolve->add_option("--as", command.decision, "done, rerun or cancelled")
       ->required()
       ->check(CLI::IsMember({"done", "rerun", "cancelled"}));
+}
+
+ExitCode run(const Command& command) {
+  mothslip::EventEnv env;
+  OperatorClient client(env, command.controllers, command.timeout_s);
+  if (command.status->parsed()) return show(client.status(), command.json, render_status);
+  if (command.unaccounted->parsed()) return show(client.unaccounted(), command.json, render_unaccounted);
+  if (command.resolve->parsed()) return resolve_job(client, command.job, command.decision);
+  return ExitCode::kUsage;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  Command command;
+  CLI::App app{"mothslipctl, for those who operate a mothslip cluster"};
+  declare(app, command);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? kDone : kUsage;
+    const ExitCode code = app.exit(error) == 0 ? ExitCode::kDone : ExitCode::kUsage;
+    return static_cast<int>(code);
   }
+  // A controller that closed its end must not end this process.
   std::signal(SIGPIPE, SIG_IGN);
-  mothslip::EventEnv env;
-  OperatorClient client(env, controllers, timeout_s);
-  if (status->parsed()) return show(client.status(), json, mothslip::client::status_text);
-  if (unaccounted->parsed()) return show(client.unaccounted(), json, mothslip::client::unaccounted_table);
-  if (!resolve->parsed()) return kUsage;
-  const CallResult result = client.resolve(job, decision);
-  if (!result.ok()) return fail(result);
-  std::cout << job << ": " << decision << '\n';
-  return kDone;
+  return static_cast<int>(run(command));
 }
--- a/src/client/operator_client.cpp
+++ b/src/client/operator_client.cpp
@@ -6,10 +6,25 @@
 namespace mothslip::client {
 
 namespace {
-constexpr double kCallSeconds = 3.0;
-constexpr double kPauseSeconds = 0.5;
-constexpr int kSuccess = 2;      // hundreds of the status
-constexpr int kClientError = 4;  // likewise
+constexpr double kCallTimeoutSeconds = 3.0;
+constexpr double kPauseSeconds = 0.5;  // between rounds of all controllers
+
+// Of an answer with this HTTP status.
+CallOutcome outcome_of(int status) {
+  constexpr int kSuccessClass = 2;
+  constexpr int kClientErrorClass = 4;
+  const int status_class = status / 100;
+  if (status_class == kSuccessClass) return CallOutcome::kAnswered;
+  if (status_class == kClientErrorClass) return CallOutcome::kRefused;
+  return CallOutcome::kUnavailable;
+}
+
+// The list does not show the job as waiting for a decision.
+bool decided(const recovery::UnaccountedList& list, const std::string& job) {
+  return std::none_of(
+      list.entries.begin(), list.entries.end(),
+      [&job](const recovery::UnaccountedEntry& entry) { return entry.job == job && entry.decided.empty(); });
+}
 }  // namespace
 
 std::string CallResult::error() const {
@@ -21,21 +36,21 @@
 OperatorClient::OperatorClient(EventEnv& env, std::vector<std::string> controllers, double timeout_s)
     : env_(env), controllers_(std::move(controllers)), timeout_s_(timeout_s) {}
 
-CallResult OperatorClient::status() { return call("GET", "/ops/recovery/status", ""); }
+CallResult OperatorClient::status() { return call("GET", recovery::kStatusPath, ""); }
 
-CallResult OperatorClient::unaccounted() { return call("GET", "/ops/recovery/unaccounted", ""); }
+CallResult OperatorClient::unaccounted() { return call("GET", recovery::kUnaccountedPath, ""); }
 
 CallResult OperatorClient::resolve(const std::string& job, const std::string& decision) {
   const double give_up_at = env_.now() + timeout_s_;
   const std::string body = dump_json({{"job", job}, {"as", decision}});
-  bool taken = false;
+  bool accepted = false;  // by a controller, once at least
   while (true) {
-    CallResult result = call("POST", "/ops/recovery/resolve", body);
+    CallResult result = call("POST", recovery::kResolvePath, body);
     // (A repeat of one that has become durable meanwhile finds nothing to decide.)
-    if (result.outcome == CallOutcome::kRefused && !taken) return result;
-    taken |= result.ok();
+    if (result.outcome == CallOutcome::kRefused && !accepted) return result;
+    accepted |= result.ok();
     CallResult list = unaccounted();
-    if (taken && list.ok() && decided(list.body, job)) return list;
+    if (accepted && list.ok() && decided(recovery::UnaccountedList::from_json(list.body), job)) return list;
     if (env_.now() >= give_up_at) {
       if (result.ok()) result.outcome = CallOutcome::kUnavailable;
       return result;
@@ -44,13 +59,6 @@
   }
 }
 
-bool OperatorClient::decided(const Json& list, const std::string& job) {
-  const Json entries = list.value("unaccounted", Json::array());
-  return std::none_of(entries.begin(), entries.end(), [&job](const Json& entry) {
-    return entry.value("job", "") == job && entry.value("decided", "").empty();
-  });
-}
-
 CallResult OperatorClient::call(const std::string& method, const std::string& path, const std::string& body) {
   const double give_up_at = env_.now() + timeout_s_;
   CallResult out;
@@ -60,9 +68,7 @@
       if (reply.unanswered()) continue;
       out.controller = controller;
       out.body = parse_json(reply.body);
-      out.outcome = reply.status / 100 == kSuccess       ? CallOutcome::kAnswered
-                    : reply.status / 100 == kClientError ? CallOutcome::kRefused
-                                                         : CallOutcome::kUnavailable;
+      out.outcome = outcome_of(reply.status);
       if (out.outcome != CallOutcome::kUnavailable) return out;
     }
     if (env_.now() >= give_up_at) return out;
@@ -73,7 +79,7 @@
 HttpReply OperatorClient::call_once(const std::string& controller, const std::string& method,
                                     const std::string& path, const std::string& body) {
   HttpReply out;
-  env_.call({controller, method, path, body, kCallSeconds, false}, [this, &out](HttpReply reply) {
+  env_.call({controller, method, path, body, kCallTimeoutSeconds, false}, [this, &out](HttpReply reply) {
     out = std::move(reply);
     env_.stop();
   });
--- a/src/client/operator_client.hpp
+++ b/src/client/operator_client.hpp
@@ -8,6 +8,7 @@
 #include <vector>
 
 #include "protocol/messages.hpp"
+#include "recovery/operator_messages.hpp"
 #include "transport/event_env.hpp"
 
 namespace mothslip::client {
@@ -19,24 +20,29 @@
   kUnreachable,  // no controller answered
 };
 
+// The answer of a controller, as it came.
 struct CallResult {
   CallOutcome outcome = CallOutcome::kUnreachable;
-  std::string controller;  // that answered last
-  Json body;
+  std::string controller;  // that answered last; empty: none did
+  Json body;               // of its answer; null where that is no JSON
   [[nodiscard]] bool ok() const { return outcome == CallOutcome::kAnswered; }
-  // What the controller said was wrong.
+  // What the controller said was wrong, for people.
   [[nodiscard]] std::string error() const;
 };
 
 class OperatorClient {
  public:
-  // `controllers`: their addresses for other controllers, "10.0.0.1:8081".
+  // `controllers`: their addresses for other controllers, "10.0.0.1:8081". A call gives up after `timeout_s`
+  // (and at most one more round of the controllers).
   OperatorClient(EventEnv& env, std::vector<std::string> controllers, double timeout_s);
 
+  // Answered with a recovery::ControllerStatus.
   CallResult status();
+  // Answered with a recovery::UnaccountedList.
   CallResult unaccounted();
-  // Returns when the decision is durable: the job is not listed any more, or listed as to run again. Until
-  // the time is over it is repeated, which is safe.
+  // `decision`: done, rerun or cancelled. Returns when the decision is durable: the job is not listed any
+  // more, or listed as to run again; the result is then that of the list. Until the time is over it is
+  // repeated, which is safe.
   CallResult resolve(const std::string& job, const std::string& decision);
 
  private:
@@ -44,7 +50,6 @@
   HttpReply call_once(const std::string& controller, const std::string& method, const std::string& path,
                       const std::string& body);
   void pause(double seconds);
-  [[nodiscard]] static bool decided(const Json& list, const std::string& job);
 
   EventEnv& env_;
   std::vector<std::string> controllers_;
--- a/src/client/tables.cpp
+++ b/src/client/tables.cpp
@@ -12,6 +12,7 @@
 constexpr std::size_t kColumns = 6;
 using Row = std::array<std::string, kColumns>;
 
+// Columns as wide as their longest entry, two blanks between them.
 std::string render(const std::vector<Row>& rows) {
   std::array<std::size_t, kColumns> widths{};
   for (const Row& row : rows) {
@@ -32,49 +33,42 @@
 
 std::string rounded(double seconds) { return std::to_string(std::lround(seconds)) + " s"; }
 
-std::string rebuild_text(const Json& rebuild) {
-  std::string out = "phase:        " + rebuild.value("phase", "") + ", since " +
-                    rounded(rebuild.value("since_s", 0.0)) + "\n";
-  if (rebuild.contains("waits_s"))
-    out += "waits:        " + rounded(rebuild["waits_s"].get<double>()) + " more\n";
-  if (rebuild.contains("records"))
-    out += "records:      " + std::to_string(rebuild.value("written", 0)) + " of " +
-           std::to_string(rebuild.value("records", 0)) + " written\n";
-  for (const Json& node : rebuild.value("not_heard", Json::array()))
-    out += "not heard:    " + node.get<std::string>() + "\n";
+std::string or_dash(const std::string& text) { return text.empty() ? "-" : text; }
+
+std::string rebuild_text(const recovery::RebuildStatus& rebuild) {
+  std::string out = "phase:        " + rebuild.phase + ", since " + rounded(rebuild.since_s) + "\n";
+  if (rebuild.waits_s) out += "waits:        " + rounded(*rebuild.waits_s) + " more\n";
+  if (rebuild.records)
+    out += "records:      " + std::to_string(rebuild.records->written) + " of " +
+           std::to_string(rebuild.records->total) + " written\n";
+  for (const std::string& node : rebuild.not_heard) out += "not heard:    " + node + "\n";
   return out;
 }
 
 }  // namespace
 
-std::string status_text(const Json& status) {
-  const bool serving = status.value("serving", false);
-  std::string out = "controller:   " + status.value("node", "") + "\n";
-  out += "incarnation:  " + std::to_string(status.value("incarnation", 0)) + "\n";
-  out +=
-      std::string("state:        ") + (serving ? "serving" : "stopped: records are rebuilt or read") + "\n";
-  if (const std::string reason = status.value("reason", ""); !reason.empty())
-    out += (serving ? "last reason:  " : "reason:       ") + reason + "\n";
-  if (!status.contains("recovery")) return out;
-  const Json& recovery = status["recovery"];
-  out += "rebuilds:     incarnation " + std::to_string(recovery.value("begun", 0)) +
-         (recovery.value("leads", false) ? ", led by this controller\n" : ", led by another controller\n");
-  if (recovery.contains("rebuild")) out += rebuild_text(recovery["rebuild"]);
+std::string status_text(const recovery::ControllerStatus& status) {
+  std::string out = "controller:   " + status.node + "\n";
+  out += "incarnation:  " + std::to_string(status.incarnation) + "\n";
+  const std::string state = status.serving ? "serving" : "stopped: records are rebuilt or read";
+  out += "state:        " + state + "\n";
+  if (!status.reason.empty())
+    out += (status.serving ? "last reason:  " : "reason:       ") + status.reason + "\n";
+  if (!status.recovery) return out;
+  const recovery::RecoveryStatus& recovery = *status.recovery;
+  out += "rebuilds:     incarnation " + std::to_string(recovery.begun) +
+         (recovery.leads ? ", led by this controller\n" : ", led by another controller\n");
+  if (recovery.rebuild) out += rebuild_text(*recovery.rebuild);
   return out;
 }
 
-std::string unaccounted_table(const Json& list) {
-  const Json entries = list.value("unaccounted", Json::array());
-  if (entries.empty()) return "every job is accounted for\n";
+std::string unaccounted_table(const recovery::UnaccountedList& list) {
+  if (list.entries.empty()) return "every job is accounted for\n";
   std::vector<Row> rows = {{"JOB", "TEAM", "CLASS", "HELD", "DECIDED", "WHY"}};
-  for (const Json& entry : entries) {
-    const auto field = [&entry](const char* name) {
-      const std::string text = entry.value(name, "");
-      return text.empty() ? std::string("-") : text;
-    };
-    const std::string held =
-        entry.contains("held_tasks") ? std::to_string(entry["held_tasks"].get<int>()) : "all";
-    rows.push_back({field("job"), field("team"), field("class"), held, field("decided"), field("reason")});
+  for (const recovery::UnaccountedEntry& entry : list.entries) {
+    const std::string held = entry.held_tasks ? std::to_string(*entry.held_tasks) : "all";
+    rows.push_back({or_dash(entry.job), or_dash(entry.team), or_dash(entry.job_class), held,
+                    or_dash(entry.decided), or_dash(entry.reason)});
   }
   return render(rows);
 }
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -154,7 +154,7 @@
 }
 
 // Tasks that were delegated to shards whose owner was not heard.
-TaskSet lent_out_of_sight(const JobEvidence& job, const RebuildScope& scope) {
+TaskSet delegated_unheard(const JobEvidence& job, const RebuildScope& scope) {
   TaskSet out;
   for (const auto& [shard, tasks] : job.delegated) {
     const bool heard =
@@ -193,7 +193,7 @@
   }
   const auto shard = static_cast<std::size_t>(shard_of(ref, scope.shards));
   out.may_have_ended = !open_for_certain(job, scope.owner_heard[shard]);
-  out.held = out.may_have_ended ? all_tasks(*job.record) : lent_out_of_sight(job, scope) | job.held;
+  out.held = out.may_have_ended ? all_tasks(*job.record) : delegated_unheard(job, scope) | job.held;
   out.held -= out.done;
   for (const auto& [task, placement] : out.placements) out.held.remove(static_cast<std::uint32_t>(task));
   if (job.record->spec.gang && !out.held.isEmpty()) {
--- a/src/recovery/evidence.hpp
+++ b/src/recovery/evidence.hpp
@@ -23,17 +23,19 @@
 
 namespace mothslip::recovery {
 
-// Indices of tasks, compressed.
+// Indices of tasks, as a compressed bit set: unions of large sets are what merging consists of.
 using TaskSet = Roaring;
 [[nodiscard]] TaskSet to_task_set(const RangeSet& ranges);
 [[nodiscard]] RangeSet to_ranges(const TaskSet& tasks);
 
+// A task was placed on this machine, by this attempt.
 struct PlacementEvidence {
   std::string machine;
   std::uint64_t attempt = 0;
   friend bool operator==(const PlacementEvidence&, const PlacementEvidence&) = default;
 };
 
+// All that is known of one job. The sets are indices of its tasks; the placements are by task index.
 struct JobEvidence {
   std::optional<JobRecord> record;   // the description; nothing: only its name is known
   std::optional<JobPhase> ending;    // kDone or kCancelled
@@ -66,11 +68,11 @@
 };
 
 struct Evidence {
-  int shards = 0;
-  std::uint64_t newest = 0;  // token or revision that anybody has seen
-  std::map<int, OwnerEvidence> owners;
+  int shards = 0;                                 // of the cluster; 0: not known
+  std::uint64_t newest = 0;                       // token or revision that anybody has seen
+  std::map<int, OwnerEvidence> owners;            // by shard
   std::map<std::string, MachineRecord> machines;  // by name; their placements are with the jobs
-  std::map<std::string, JobEvidence> jobs;
+  std::map<std::string, JobEvidence> jobs;        // by job id
 
   void merge(const Evidence& other);
   [[nodiscard]] Json to_json() const;
@@ -84,12 +86,14 @@
 // are the whole.
 [[nodiscard]] std::vector<Evidence> cut(const Evidence& evidence, std::size_t entries);
 
+// What the evidence of a rebuilding covers.
 struct RebuildScope {
-  int shards = 0;
+  int shards = 0;                 // of the cluster
   std::vector<bool> owner_heard;  // by shard: all that its owner knew is among the evidence
   // Whatever ran is known to be gone: no placement counts.
   bool nothing_runs = false;
 
+  // The owners of all shards were heard.
   [[nodiscard]] bool complete() const;
 };
 
@@ -109,6 +113,7 @@
   std::map<int, PlacementEvidence> placements;
 };
 
+// `ref`: the job's id, which says what its home shard is. Pure.
 [[nodiscard]] JobOutcome derive_outcome(const std::string& ref, const JobEvidence& job,
                                         const RebuildScope& scope);
 
--- a/src/recovery/evidence_collector.cpp
+++ b/src/recovery/evidence_collector.cpp
@@ -7,38 +7,10 @@
 namespace mothslip::recovery {
 
 namespace {
-constexpr double kAskSeconds = 3.0;
-constexpr double kRetryEvery = 0.7;
+constexpr double kCallTimeoutSeconds = 3.0;
+constexpr double kRetrySeconds = 0.7;
 }  // namespace
 
-Json EvidenceRequest::to_json() const { return {{"begun", begun}, {"piece", chunk}}; }
-
-std::optional<EvidenceRequest> EvidenceRequest::from_json(const Json& value) {
-  if (!value.is_object() || !value.contains("begun") || !value["begun"].is_number_unsigned() ||
-      !value.contains("piece") || !value["piece"].is_number_unsigned())
-    return std::nullopt;
-  return EvidenceRequest{value["begun"].get<int>(), value["piece"].get<std::size_t>()};
-}
-
-Json EvidenceReply::to_json() const {
-  return {{"pieces", chunk_count}, {"uptime_s", uptime_s}, {"evidence", evidence.to_json()}};
-}
-
-std::optional<EvidenceReply> EvidenceReply::from_json(const Json& value) {
-  if (!value.is_object()) return std::nullopt;
-  EvidenceReply out;
-  try {
-    out.chunk_count = value.at("pieces").get<std::size_t>();
-    out.uptime_s = value.at("uptime_s").get<double>();
-    auto evidence = Evidence::from_json(value.at("evidence"));
-    if (!evidence) return std::nullopt;
-    out.evidence = std::move(*evidence);
-  } catch (const Json::exception&) {
-    return std::nullopt;
-  }
-  return out;
-}
-
 void EvidenceCollector::collect(double patience_s, Handler handler) {
   handler_ = std::move(handler);
   result_ = {};
@@ -51,7 +23,7 @@
 
 void EvidenceCollector::ask(const Member& member, std::size_t chunk) {
   const std::string body = dump_json(EvidenceRequest{begun_, chunk}.to_json());
-  env_.call({member.address, "POST", kEvidencePath, body, kAskSeconds},
+  env_.call({member.address, "POST", kEvidencePath, body, kCallTimeoutSeconds},
             [this, &member, chunk](const HttpReply& reply) { on_reply(member, chunk, reply); });
 }
 
@@ -59,7 +31,7 @@
   auto answer = reply.status == 200 ? EvidenceReply::from_json(parse_json(reply.body)) : std::nullopt;
   if (!answer) {
     if (env_.now() < give_up_at_) {
-      env_.after(kRetryEvery, [this, &member, chunk] { ask(member, chunk); });
+      env_.after(kRetrySeconds, [this, &member, chunk] { ask(member, chunk); });
       return;
     }
     spdlog::warn("recovery: {} has not answered, last with {}", member.node, reply.status);
--- a/src/recovery/evidence_collector.hpp
+++ b/src/recovery/evidence_collector.hpp
@@ -1,4 +1,5 @@
-// Asks all other controllers for what they know, chunk by chunk.
+// Asks all other controllers for what they know, chunk by chunk, and merges the answers. A controller that
+// does not answer is asked again until the patience of the caller is over.
 #pragma once
 
 #include <functional>
@@ -6,30 +7,11 @@
 #include <vector>
 
 #include "protocol/settings.hpp"
-#include "recovery/evidence.hpp"
+#include "recovery/messages.hpp"
 #include "transport/env.hpp"
 
 namespace mothslip::recovery {
 
-inline const std::string kEvidencePath = "/recovery/evidence";
-
-// The question: one chunk of what the asked controller knows. Asked for a rebuilding that it has not heard
-// of, it stops serving before it answers, so that what it says stays true.
-struct EvidenceRequest {
-  int begun = 0;  // the incarnation that is being rebuilt
-  std::size_t chunk = 0;
-  [[nodiscard]] Json to_json() const;
-  static std::optional<EvidenceRequest> from_json(const Json& value);
-};
-
-struct EvidenceReply {
-  std::size_t chunk_count = 0;
-  double uptime_s = 0;  // of the process
-  Evidence evidence;
-  [[nodiscard]] Json to_json() const;
-  static std::optional<EvidenceReply> from_json(const Json& value);
-};
-
 class EvidenceCollector {
  public:
   struct Result {
@@ -38,10 +20,12 @@
     std::vector<double> uptimes_s;     // of the processes that have
   };
   using Handler = std::function<void(Result)>;
+  // `begun`: the incarnation that is being rebuilt.
   EvidenceCollector(Env& env, const Settings& settings, int begun)
       : env_(env), settings_(settings), begun_(begun) {}
 
-  // Ends when all have answered, or after `patience_s`. Not to be called again before.
+  // Ends when all have answered in full, or after `patience_s` (and at most one call's timeout): then the
+  // handler is called, never from within this call. Not to be called again before.
   void collect(double patience_s, Handler handler);
 
  private:
@@ -53,7 +37,7 @@
   const Settings& settings_;
   int begun_;
   double give_up_at_ = 0;
-  std::size_t awaited_ = 0;
+  std::size_t awaited_ = 0;  // controllers that are still to be heard
   Result result_;
   Handler handler_;
 };
--- a/src/recovery/evidence_json.cpp
+++ b/src/recovery/evidence_json.cpp
@@ -5,65 +5,79 @@
 
 namespace {
 
-constexpr int kMostTasks = 100'000;
-
 std::string text_of(const TaskSet& tasks) { return to_ranges(tasks).to_text(); }
 
 std::optional<TaskSet> task_set_of(const Json& value) {
   if (!value.is_string()) return std::nullopt;
-  const auto ranges = RangeSet::from_text(value.get<std::string>(), kMostTasks);
+  const auto ranges = RangeSet::from_text(value.get<std::string>(), kMaxTasksPerJob);
   if (!ranges) return std::nullopt;
   return to_task_set(*ranges);
 }
 
+// Fields of a job's evidence as controllers send it.
+constexpr const char* kRecord = "head";
+constexpr const char* kEnding = "ending";
+constexpr const char* kInStore = "in_store";
+constexpr const char* kAccepted = "accepted";
+constexpr const char* kOwned = "owned";
+constexpr const char* kUndescribed = "undescribed";
+constexpr const char* kMayHaveEnded = "may_have_ended";
+constexpr const char* kHeld = "held";
+constexpr const char* kDone = "done";
+constexpr const char* kSeen = "seen";
+constexpr const char* kDelegated = "lent";  // by shard
+constexpr const char* kPlaced = "placed";   // each: index, machine, attempt
+
 Json job_json(const JobEvidence& job) {
   Json out = Json::object();
-  if (job.record) out["head"] = job.record->to_json();
-  if (job.ending) out["ending"] = wire_name(*job.ending);
-  if (job.in_store) out["in_store"] = true;
-  if (job.accepted) out["accepted"] = true;
-  if (job.owner_knows_it) out["owned"] = true;
-  if (job.without_description) out["undescribed"] = true;
-  if (job.may_have_ended) out["may_have_ended"] = true;
-  if (!job.held.isEmpty()) out["held"] = text_of(job.held);
-  if (!job.done.isEmpty()) out["done"] = text_of(job.done);
-  if (!job.seen.isEmpty()) out["seen"] = text_of(job.seen);
-  for (const auto& [shard, tasks] : job.delegated) out["lent"][std::to_string(shard)] = text_of(tasks);
+  if (job.record) out[kRecord] = job.record->to_json();
+  if (job.ending) out[kEnding] = wire_name(*job.ending);
+  if (job.in_store) out[kInStore] = true;
+  if (job.accepted) out[kAccepted] = true;
+  if (job.owner_knows_it) out[kOwned] = true;
+  if (job.without_description) out[kUndescribed] = true;
+  if (job.may_have_ended) out[kMayHaveEnded] = true;
+  if (!job.held.isEmpty()) out[kHeld] = text_of(job.held);
+  if (!job.done.isEmpty()) out[kDone] = text_of(job.done);
+  if (!job.seen.isEmpty()) out[kSeen] = text_of(job.seen);
+  for (const auto& [shard, tasks] : job.delegated) out[kDelegated][std::to_string(shard)] = text_of(tasks);
   for (const auto& [task, placement] : job.placements)
-    out["placed"].push_back({task, placement.machine, placement.attempt});
+    out[kPlaced].push_back({task, placement.machine, placement.attempt});
   return out;
 }
 
+// Throws Json::exception, or std::exception of std::stoi, where a field has another type or a shard is no
+// number.
 std::optional<JobEvidence> job_of(const Json& value) {
   JobEvidence out;
-  if (value.contains("head")) {
-    out.record = JobRecord::from_json(value["head"]);
+  if (value.contains(kRecord)) {
+    out.record = JobRecord::from_json(value[kRecord]);
     if (!out.record) return std::nullopt;
   }
-  if (value.contains("ending")) {
-    const auto status = terminal_status(value["ending"].get<std::string>(), 0);
+  if (value.contains(kEnding)) {
+    const auto status = terminal_status(value[kEnding].get<std::string>(), 0);
     if (!status) return std::nullopt;
     out.ending = status->phase;
   }
-  out.in_store = value.value("in_store", false);
-  out.accepted = value.value("accepted", false);
-  out.owner_knows_it = value.value("owned", false);
-  const auto done = task_set_of(value.value("done", Json("")));
-  const auto seen = task_set_of(value.value("seen", Json("")));
-  const auto held = task_set_of(value.value("held", Json("")));
+  out.in_store = value.value(kInStore, false);
+  out.accepted = value.value(kAccepted, false);
+  out.owner_knows_it = value.value(kOwned, false);
+  const auto done = task_set_of(value.value(kDone, Json("")));
+  const auto seen = task_set_of(value.value(kSeen, Json("")));
+  const auto held = task_set_of(value.value(kHeld, Json("")));
   if (!done || !seen || !held) return std::nullopt;
-  out.without_description = value.value("undescribed", false);
+  out.without_description = value.value(kUndescribed, false);
   out.held = *held;
-  out.may_have_ended = value.value("may_have_ended", false);
+  out.may_have_ended = value.value(kMayHaveEnded, false);
   out.done = *done;
   out.seen = *seen;
-  const Json delegated = value.value("lent", Json::object());
+  const Json delegated = value.value(kDelegated, Json::object());
   for (const auto& [shard, tasks] : delegated.items()) {
     const auto set = task_set_of(tasks);
     if (!set) return std::nullopt;
     out.delegated[std::stoi(shard)] = *set;
   }
-  const Json placements = value.value("placed", Json::array());
+  const Json placements = value.value(kPlaced, Json::array());
   for (const Json& placed : placements)
     out.placements[placed.at(0).get<int>()] = {placed.at(1).get<std::string>(),
                                                placed.at(2).get<std::uint64_t>()};
@@ -72,6 +86,7 @@
 
 }  // namespace
 
+// (Each of the owners: shard, token, loaded, had the lease, seconds left of it.)
 Json Evidence::to_json() const {
   Json out = {{"shards", shards}, {"newest", newest}};
   for (const auto& [shard, owner] : owners)
--- a/src/recovery/loss_detector.hpp
+++ b/src/recovery/loss_detector.hpp
@@ -2,9 +2,8 @@
 //
 // What proves it, and nothing else does:
 //  * a revision lower than one that somebody had seen before the question was asked: revisions only rise;
-//  * a lease that ended before its time, or a segment of a shard's journal that changed under its owner's
-//  eyes: what the
-//    service answered is no longer so;
+//  * a lease that ended before its time, or a segment of a shard's journal that somebody other than its owner
+//    has changed: what the service answered is no longer so;
 //  * a `meta` that is missing, or of another incarnation.
 // An outage, a lost or late answer and a watch that is too old are none of these.
 #pragma once
@@ -20,6 +19,7 @@
  public:
   // Called once, from within whatever the node was doing: it must not destroy the node there.
   using LossHandler = std::function<void(const std::string& why)>;
+  // `newest`: the newest revision that is known to begin with.
   LossDetector(std::uint64_t newest, LossHandler on_loss);
 
   [[nodiscard]] std::uint64_t newest() const override { return newest_; }
@@ -32,7 +32,7 @@
  private:
   void conclude(const std::string& why);
 
-  std::uint64_t newest_;
+  std::uint64_t newest_;  // revision that anybody is known to have seen
   bool lost_ = false;
   LossHandler on_loss_;
 };
--- a/src/recovery/rebuild.cpp
+++ b/src/recovery/rebuild.cpp
@@ -11,12 +11,14 @@
 
 namespace {
 // A controller that has just ended is back within some seconds and answers that it knows nothing.
-constexpr double kMemoryPatience = 15.0;
-constexpr double kReportPatience = 3.0;
-constexpr double kRetryEvery = 0.5;
-constexpr double kStoreShare = 0.8;  // nobody else asks much of the state service meanwhile
-constexpr double kMargin = 2.0;      // of clocks and messages
-constexpr double kDrift = 0.001;     // of two steady clocks, twice what the protocol allows
+constexpr double kMemoryPatienceSeconds = 15.0;
+constexpr double kReportPatienceSeconds = 3.0;
+constexpr double kRetrySeconds = 0.5;
+constexpr double kStoreShare = 0.8;     // nobody else asks much of the state service meanwhile
+constexpr double kMarginSeconds = 2.0;  // for messages under way and what clocks differ
+// By which two steady clocks may drift apart, as a share of the time: twice what the protocol allows. Must be
+// no less than what Ownership takes for it.
+constexpr double kClockDrift = 0.001;
 // Above every token that is known: what an unknown owner may have given out meanwhile is far less.
 constexpr std::uint64_t kTokenGap = std::uint64_t{1} << 30U;
 }  // namespace
@@ -53,28 +55,33 @@
   gather();
 }
 
-Json Rebuild::status() const {
-  Json out = {{"phase", phase_name(phase_)}, {"since_s", env_.now() - began_},
-              {"not_heard", missing_},       {"open", counts_.open},
-              {"ended", counts_.ended},      {"unaccounted", counts_.unaccounted}};
-  if (phase_ == RebuildPhase::kWaiting) out["waits_s"] = std::max(0.0, quiet_at() - env_.now());
-  if (writer_) {
-    out["records"] = writer_->total();
-    out["written"] = writer_->written();
-  }
+RebuildStatus Rebuild::status() const {
+  RebuildStatus out;
+  out.phase = phase_name(phase_);
+  out.since_s = env_.now() - began_;
+  out.not_heard = missing_;
+  out.open_jobs = counts_.open;
+  out.ended_jobs = counts_.ended;
+  out.unaccounted_jobs = counts_.unaccounted;
+  if (phase_ == RebuildPhase::kWaiting) out.waits_s = std::max(0.0, quiet_at() - env_.now());
+  if (writer_) out.records = RebuildStatus::Records{writer_->total(), writer_->written()};
   return out;
 }
 
 void Rebuild::gather() {
   phase_ = RebuildPhase::kGathering;
-  collector_.collect(kMemoryPatience,
+  collector_.collect(kMemoryPatienceSeconds,
                      [this](const EvidenceCollector::Result& result) { on_gathered(result); });
 }
 
-void Rebuild::on_gathered(const EvidenceCollector::Result& result) {
-  evidence_.merge(result.evidence);
+void Rebuild::merge_evidence(const Evidence& of_others) {
+  evidence_.merge(of_others);
   evidence_.merge(plan_.own_evidence());
   evidence_.shards = plan_.meta.shards;
+}
+
+void Rebuild::on_gathered(const EvidenceCollector::Result& result) {
+  merge_evidence(result.evidence);
   missing_ = result.missing;
   scope_ = scope_of(result);
   if (scope_.complete()) {
@@ -96,7 +103,7 @@
   for (const double uptime_s : result.uptimes_s) youngest_s = std::min(youngest_s, uptime_s);
   for (const auto& [shard, owner] : evidence_.owners) {
     if (shard < 0 || shard >= out.shards || !owner.loaded) continue;
-    const bool unbroken = result.missing.empty() && youngest_s > kMargin - owner.lease_left_s;
+    const bool unbroken = result.missing.empty() && youngest_s > kMarginSeconds - owner.lease_left_s;
     out.owner_heard[static_cast<std::size_t>(shard)] = owner.had_lease || unbroken;
   }
   return out;
@@ -106,7 +113,7 @@
 // recorded at the latest; and none renews a worker's lease so that it would last for longer than `cancel_s`
 // after that. By then whatever ran has ended, and every machine is in a new incarnation or gone.
 double Rebuild::quiet_at() const {
-  return began_ + (Ownership::kLeaseSeconds + settings_.cancel_s) * (1 + kDrift) + kMargin;
+  return began_ + (Ownership::kLeaseSeconds + settings_.cancel_s) * (1 + kClockDrift) + kMarginSeconds;
 }
 
 void Rebuild::wait_until_nothing_runs() {
@@ -117,10 +124,8 @@
   scope_.nothing_runs = true;
   env_.after(wait_s, [this] {
     // What workers have reported meanwhile.
-    collector_.collect(kReportPatience, [this](const EvidenceCollector::Result& result) {
-      evidence_.merge(result.evidence);
-      evidence_.merge(plan_.own_evidence());
-      evidence_.shards = plan_.meta.shards;
+    collector_.collect(kReportPatienceSeconds, [this](const EvidenceCollector::Result& result) {
+      merge_evidence(result.evidence);
       read();
     });
   });
@@ -134,7 +139,7 @@
 
 void Rebuild::on_read(std::optional<SurvivingRecords> surviving) {
   if (!surviving) {
-    env_.after(kRetryEvery, [this] { read(); });
+    env_.after(kRetrySeconds, [this] { read(); });
     return;
   }
   write(*surviving);
@@ -195,7 +200,7 @@
                  next_meta_.incarnation.number, env_.now() - began_);
     handlers_.published(next_meta_);
   } else if (reply.outcome == Outcome::kRefused) {
-    env_.after(kRetryEvery, [this] { publish(); });
+    env_.after(kRetrySeconds, [this] { publish(); });
   } else {
     handlers_.deposed();  // or published, by a copy that went unanswered: what `meta` says decides
   }
--- a/src/recovery/rebuild.hpp
+++ b/src/recovery/rebuild.hpp
@@ -10,6 +10,7 @@
 
 #include "coordination/state/state_client.hpp"
 #include "recovery/evidence_collector.hpp"
+#include "recovery/operator_messages.hpp"
 #include "recovery/record_writer.hpp"
 #include "recovery/scoped_env.hpp"
 #include "recovery/surviving_records.hpp"
@@ -24,23 +25,25 @@
   struct Plan {
     MetaRecord meta;  // as it is now: `begun` is the incarnation to be written
     std::uint64_t meta_revision = 0;
-    std::uint64_t leader_revision = 0;  // of our claim of the lead
-    std::string nonce;                  // makes the prefix of the keys unique
-    Incarnation last;                   // that the controllers served before, where known
-    double process_uptime_s = 0;
-    std::function<Evidence()> own_evidence;
+    std::uint64_t leader_revision = 0;       // of the key that names this controller the leader
+    std::string nonce;                       // makes the prefix of the keys unique
+    Incarnation last;                        // that the controllers served before, where known
+    double process_uptime_s = 0;             // of this controller
+    std::function<Evidence()> own_evidence;  // all that this controller knows
   };
+  // One of them is called, once, and must not destroy this object from within.
   struct Handlers {
-    std::function<void(const MetaRecord&)> published;
-    std::function<void()> deposed;
+    std::function<void(const MetaRecord&)> published;  // the new incarnation
+    std::function<void()> deposed;                     // another controller leads, or has published
   };
   Rebuild(Env& env, const Settings& settings, Plan plan, Handlers handlers);
 
   void start();
-  [[nodiscard]] Json status() const;
+  [[nodiscard]] RebuildStatus status() const;
 
  private:
   void gather();
+  void merge_evidence(const Evidence& of_others);
   void on_gathered(const EvidenceCollector::Result& result);
   [[nodiscard]] RebuildScope scope_of(const EvidenceCollector::Result& result) const;
   [[nodiscard]] double quiet_at() const;
--- /dev/null
+++ b/src/recovery/rebuilding_mode.cpp
@@ -0,0 +1,62 @@
+#include "recovery/rebuilding_mode.hpp"
+
+#include <utility>
+
+namespace mothslip::recovery {
+
+RebuildingMode::RebuildingMode(Env& env, const Settings& settings, const Options& options,
+                               const PublishedHandler& published)
+    : outer_env_(env),
+      process_started_(options.process_started),
+      snapshot_(options.known, env.now()),
+      service_(options.memory, env.now()),
+      env_(env),
+      recovery_(context(settings, options, published)) {}
+
+Recovery::Context RebuildingMode::context(const Settings& settings, const Options& options,
+                                          const PublishedHandler& published) {
+  Recovery::Context out;
+  out.env = &env_;
+  out.settings = &settings;
+  out.last = options.last;
+  out.shards = options.memory.shards;
+  out.process_started = options.process_started;
+  out.own_evidence = [this] { return own_evidence(); };
+  // (The handler ends this object, so it is called from a timer, and by a copy of its own.)
+  out.published = [this, published](const MetaRecord& meta) {
+    env_.after(0, [published, meta] { published(meta); });
+  };
+  return out;
+}
+
+void RebuildingMode::on_client_request(const HttpRequest& request, const Responder& responder) {
+  service_.on_client_request(request, responder, outer_env_.now());
+}
+
+void RebuildingMode::on_peer_request(const HttpRequest& request, const Responder& responder) {
+  service_.on_peer_request(request, responder, outer_env_.now());
+}
+
+EvidenceReply RebuildingMode::answer(const EvidenceRequest& request) const {
+  EvidenceReply out;
+  out.chunk_count = chunk_count();
+  out.uptime_s = outer_env_.now() - process_started_;
+  out.evidence = chunk(request.chunk);
+  return out;
+}
+
+double RebuildingMode::suspended_s() const { return snapshot_.age_s(outer_env_.now()); }
+
+// The chunks of what was known when this mode began, and last what workers have reported since.
+Evidence RebuildingMode::chunk(std::size_t number) const {
+  if (number >= snapshot_.chunk_count()) return service_.reported();
+  return snapshot_.chunk(number, outer_env_.now());
+}
+
+Evidence RebuildingMode::own_evidence() const {
+  Evidence out;
+  for (std::size_t number = 0; number < chunk_count(); number++) out.merge(chunk(number));
+  return out;
+}
+
+}  // namespace mothslip::recovery
--- a/src/recovery/rebuilt_records.cpp
+++ b/src/recovery/rebuilt_records.cpp
@@ -11,8 +11,9 @@
 namespace {
 
 constexpr double kFill = 0.8;        // of the largest value: owners add to these records
-constexpr int kTasksPerChunk = 512;  // that a further record of a job's progress covers
-constexpr double kCoreGrain = 0.25;  // shares of a team's limit are multiples of it
+constexpr double kCoreGrain = 0.25;  // even shares of a team's limit are multiples of it, cores or GPUs
+// What a machine takes in a segment besides its name and its record.
+constexpr std::size_t kMachineFrameBytes = 8;
 
 class RecordBuilder {
  public:
@@ -100,7 +101,7 @@
     UnaccountedRecord record;
     record.held = to_ranges(outcome.held);
     record.may_have_ended = outcome.may_have_ended;
-    // (Too many chunks for one record: all that neither ran nor is done is held then.)
+    // (Too many ranges for one record: all that neither ran nor is done is held then.)
     if (record.held.text_bytes() > value_bytes_ / 2) {
       record.held.clear();
       record.all = true;
@@ -114,19 +115,20 @@
   void add_progress(const std::string& ref, int shard, const RangeSet& done) {
     if (done.empty()) return;
     if (done.text_bytes() <= value_bytes_) {
-      out_.others.push_back({keys::progress(shard, ref), {{"done", done.to_text()}}});
+      out_.others.push_back({keys::progress(shard, ref), ProgressRecord{done}.to_json()});
       return;
     }
     const int end = done.ranges().rbegin()->second;
-    for (int number = 0; number * kTasksPerChunk < end; number++) {
-      const RangeSet slice = done.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk);
+    for (int number = 0; number * kTasksPerProgressChunk < end; number++) {
+      const int first = number * kTasksPerProgressChunk;
+      const RangeSet slice = done.slice(first, first + kTasksPerProgressChunk);
       if (slice.empty()) continue;
-      out_.others.push_back({keys::progress_chunk(shard, ref, number), {{"done", slice.to_text()}}});
+      out_.others.push_back({keys::progress_chunk(shard, ref, number), ProgressRecord{slice}.to_json()});
     }
   }
 
-  // A task is recorded by the shard of its machine; where that is not its home, as part of a delegation that
-  // it borrows.
+  // A task is recorded by the shard of its machine; where that is not its home shard, as part of a delegation
+  // to it.
   void add_placements(const std::string& ref, int home, const JobRecord& job_record,
                       const JobOutcome& outcome) {
     std::map<int, RangeSet> delegated_here;
@@ -170,7 +172,7 @@
       MachineRecord machine = known->second;
       machine.placements = std::move(placements);
       const int shard = shard_of(name, scope_.shards);
-      const std::size_t needs = name.size() + dump_json(machine.to_json()).size() + 8;
+      const std::size_t needs = name.size() + dump_json(machine.to_json()).size() + kMachineFrameBytes;
       if (bytes[shard] + needs > value_bytes_ && !segments[shard].machines.empty()) {
         out_.others.push_back({keys::segment(shard, ++numbers[shard]), segments[shard].to_json()});
         segments[shard] = {};
@@ -187,28 +189,39 @@
   // needs no record: its limit is split evenly.
   void add_team_limits() {
     for (int team = 0; team < static_cast<int>(settings_.teams.size()); team++) {
-      const Team& limits = settings_.teams[static_cast<std::size_t>(team)];
-      std::vector<ShardUse> use;
+      const std::vector<ShardUse> by_shard = use_of_team(team);
       ShardUse total;
-      for (int shard = 0; shard < scope_.shards; shard++) {
-        use.push_back(use_[{team, shard}]);
-        total.cores += use.back().cores;
-        total.gpus += use.back().gpus;
+      for (const ShardUse& each : by_shard) {
+        total.cores += each.cores;
+        total.gpus += each.gpus;
       }
       if (total.cores == 0 && total.gpus == 0) continue;
-      const double spare_cores = even_share(limits.cpus_max - total.cores);
-      const double spare_gpus = even_share(limits.gpus_max - total.gpus);
-      Json cores = Json::array();
-      Json gpus = Json::array();
-      for (const ShardUse& each : use) {
-        cores.push_back(each.cores + spare_cores);
-        gpus.push_back(each.gpus + spare_gpus);
-      }
-      // (What an even part rounds away must not be lost to the team.)
-      cores[0] = use[0].cores + rest_of(limits.cpus_max, total.cores, spare_cores);
-      gpus[0] = use[0].gpus + rest_of(limits.gpus_max, total.gpus, spare_gpus);
-      out_.others.push_back({keys::team(team), {{"c", std::move(cores)}, {"g", std::move(gpus)}}});
+      const Team& limits = settings_.teams[static_cast<std::size_t>(team)];
+      const QuotaSplitRecord record = split(limits, by_shard, total);
+      out_.others.push_back({keys::team(team), record.to_json()});
+    }
+  }
+
+  [[nodiscard]] std::vector<ShardUse> use_of_team(int team) {
+    std::vector<ShardUse> out;
+    for (int shard = 0; shard < scope_.shards; shard++) out.push_back(use_[{team, shard}]);
+    return out;
+  }
+
+  [[nodiscard]] QuotaSplitRecord split(const Team& limits, const std::vector<ShardUse>& by_shard,
+                                       const ShardUse& total) const {
+    const double spare_cores = even_share(limits.cpus_max - total.cores);
+    const double spare_gpus = even_share(limits.gpus_max - total.gpus);
+    QuotaSplitRecord out;
+    for (const ShardUse& each : by_shard) {
+      out.cores.push_back(each.cores + spare_cores);
+      out.gpus.push_back(each.gpus + spare_gpus);
     }
+    // (What an even part rounds away must not be lost to the team.)
+    const ShardUse& first = by_shard.front();
+    out.cores.front() = first.cores + rest_of(limits.cpus_max, total.cores, spare_cores);
+    out.gpus.front() = first.gpus + rest_of(limits.gpus_max, total.gpus, spare_gpus);
+    return out;
   }
 
   [[nodiscard]] double even_share(double amount) const {
--- a/src/recovery/rebuilt_records.hpp
+++ b/src/recovery/rebuilt_records.hpp
@@ -10,11 +10,12 @@
 namespace mothslip::recovery {
 
 struct RecordWrite {
-  std::string key;
+  std::string key;  // without the incarnation's prefix
   Json data;
 };
 
-// Delegations name the revision of their job record, so job records are written first.
+// All records of the new incarnation but `meta`. Delegations name the revision of their job record, so job
+// records are written first.
 struct RebuiltRecords {
   std::vector<RecordWrite> job_records;
   std::vector<RecordWrite> others;  // everything but job records and delegations
--- a/src/recovery/record_writer.cpp
+++ b/src/recovery/record_writer.cpp
@@ -3,11 +3,16 @@
 #include <algorithm>
 #include <utility>
 
+#include "recovery/state_answer.hpp"
+
 namespace mothslip::recovery {
 
 namespace {
+// A transaction may have so many bytes, or as many as the largest value if that is more.
 constexpr std::size_t kTransactionBytes = std::size_t{48} * 1024;
-constexpr double kRetryEvery = 0.3;
+// What a change takes in the body of a transaction besides its value and, in the guard and the put, its key.
+constexpr std::size_t kFrameBytes = 100;
+constexpr double kRetrySeconds = 0.3;
 }  // namespace
 
 RecordWriter::RecordWriter(Env& env, StateClient& store, const Settings& settings, Target target,
@@ -42,7 +47,8 @@
   std::size_t bytes = 0;
   const auto most = static_cast<std::size_t>(store_.writes_per_txn());
   while (!queue_.empty() && batch.size() < most) {
-    const std::size_t needs = queue_.back().key.size() * 2 + dump_json(queue_.back().data).size() + 100;
+    const std::size_t needs =
+        queue_.back().key.size() * 2 + dump_json(queue_.back().data).size() + kFrameBytes;
     if (!batch.empty() && bytes + needs > batch_bytes_) break;
     bytes += needs;
     batch.push_back(std::move(queue_.back()));
@@ -73,7 +79,7 @@
                        if (reply.ok()) {
                          settle(batch, reply.revision());
                        } else if (reply.outcome == Outcome::kRefused || reply.outcome == Outcome::kUnknown) {
-                         env_.after(kRetryEvery, [this, batch, body] { send(batch, body); });
+                         env_.after(kRetrySeconds, [this, batch, body] { send(batch, body); });
                        } else {
                          look_for(batch, body);
                        }
@@ -85,11 +91,11 @@
   store_.get(RequestPriority::kLaunch, key_space_.stored_key(batch.front().key),
              [this, batch, body](const StateReply& reply) {
                if (reply.ok()) {
-                 settle(batch, reply.body.value("stamp", std::uint64_t{0}));
+                 settle(batch, stored_revision(reply));
                } else if (reply.outcome == Outcome::kMissing) {
                  handler_(false);
                } else {
-                 env_.after(kRetryEvery, [this, batch, body] { look_for(batch, body); });
+                 env_.after(kRetrySeconds, [this, batch, body] { look_for(batch, body); });
                }
              });
 }
--- a/src/recovery/record_writer.hpp
+++ b/src/recovery/record_writer.hpp
@@ -12,24 +12,24 @@
 #include <vector>
 
 #include "coordination/state/state_client.hpp"
+#include "recovery/messages.hpp"
 #include "recovery/rebuilt_records.hpp"
 
 namespace mothslip::recovery {
 
-inline const std::string kLeaderKey = "recovery/leader";
-
 class RecordWriter {
  public:
   struct Target {
     Incarnation incarnation;            // that is written
     std::uint64_t leader_revision = 0;  // of the key that names the leader
   };
-  // Called with false when the leader has been deposed.
+  // Called once: with true when all records are durable, with false when the leader has been deposed.
   using Handler = std::function<void(bool written)>;
   // `store` works without any prefix.
   RecordWriter(Env& env, StateClient& store, const Settings& settings, Target target, RebuiltRecords records);
 
   void write(Handler handler);
+  // Records to be written in all, and those that are durable.
   [[nodiscard]] std::size_t total() const { return total_; }
   [[nodiscard]] std::size_t written() const { return written_; }
 
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -7,12 +7,16 @@
 
 #include "bookkeeping/records.hpp"
 #include "coordination/ownership/ownership.hpp"
+#include "recovery/messages.hpp"
+#include "recovery/state_answer.hpp"
 
 namespace mothslip::recovery {
 
 namespace {
-constexpr double kLookEvery = 0.5;
-constexpr double kRenewEvery = 1.0;
+constexpr double kLookSeconds = 0.5;   // between looks at `meta`
+constexpr double kRenewSeconds = 1.0;  // between renewals of the leader's lease
+constexpr double kRenewTimeoutSeconds = kRenewSeconds * 1.5;
+constexpr std::uint64_t kNonces = 1'000'000'000;
 }  // namespace
 
 Recovery::Recovery(Context context)
@@ -20,14 +24,16 @@
 
 void Recovery::start() { look(); }
 
-Json Recovery::status() const {
-  Json out = {{"begun", begun_}, {"leads", rebuild_ != nullptr}};
-  if (rebuild_) out["rebuild"] = rebuild_->status();
+RecoveryStatus Recovery::status() const {
+  RecoveryStatus out;
+  out.begun = begun_;
+  out.leads = rebuild_ != nullptr;
+  if (rebuild_) out.rebuild = rebuild_->status();
   return out;
 }
 
 void Recovery::look_again() {
-  ctx_.env->after(kLookEvery, [this] { look(); });
+  ctx_.env->after(kLookSeconds, [this] { look(); });
 }
 
 void Recovery::look() {
@@ -40,16 +46,16 @@
     meta.shards = ctx_.shards > 0 ? ctx_.shards : static_cast<int>(ctx_.settings->members.size()) + 1;
     return claim(meta, 0);
   }
-  const auto meta = reply.ok() ? MetaRecord::from_json(reply.body.value("data", Json())) : std::nullopt;
+  const auto meta = meta_of(reply);
   if (!meta) {
     if (reply.ok()) spdlog::error("recovery: the record meta cannot be read");
     return look_again();
   }
-  const auto revision = reply.body.value("stamp", std::uint64_t{0});
+  const std::uint64_t revision = stored_revision(reply);
   begun_ = std::max(begun_, meta->begun);
   if (meta->rebuilding()) return look_for_leader(*meta, revision);
-  const bool newer = meta->incarnation.number > ctx_.last.number && meta->incarnation.number >= begun_;
-  if (newer) return ctx_.published(*meta);
+  const int published = meta->incarnation.number;
+  if (published > ctx_.last.number && published >= begun_) return ctx_.published(*meta);
   claim(*meta, revision);
 }
 
@@ -65,7 +71,7 @@
 
 void Recovery::claim(const MetaRecord& meta, std::uint64_t meta_revision) {
   store_.lease_create(Ownership::kLeaseSeconds, [this, meta, meta_revision](const StateReply& reply) {
-    const std::uint64_t lease = reply.ok() ? reply.body.value("hold", std::uint64_t{0}) : 0;
+    const std::uint64_t lease = created_lease(reply);
     if (lease == 0) return look_again();
     claim_with(lease, meta, meta_revision);
   });
@@ -80,7 +86,7 @@
   transaction.guard(keys::kMeta, meta_revision);
   transaction.guard(kLeaderKey, 0);
   transaction.put(keys::kMeta, next.to_json());
-  transaction.put_with_lease(kLeaderKey, {{"node", ctx_.settings->node}, {"begun", next.begun}}, lease);
+  transaction.put_with_lease(kLeaderKey, LeaderRecord{ctx_.settings->node, next.begun}.to_json(), lease);
   const auto most = static_cast<std::size_t>(ctx_.settings->txn_ops);
   for (int shard = 0; shard < meta.shards && transaction.then.size() < most; shard++)
     transaction.put(meta.incarnation.prefix + keys::shard(shard), {{"node", kRebuiltOwner}});
@@ -100,23 +106,23 @@
   plan.meta = meta;
   plan.meta_revision = revision;
   plan.leader_revision = revision;
-  plan.nonce = std::to_string(ctx_.env->random() % 1'000'000'000);
+  plan.nonce = std::to_string(ctx_.env->random() % kNonces);
   plan.last = ctx_.last;
   plan.process_uptime_s = ctx_.env->now() - ctx_.process_started;
   plan.own_evidence = ctx_.own_evidence;
   const auto deposed = [this] { ctx_.env->after(0, [this] { stop_leading(); }); };
   rebuild_ = std::make_unique<Rebuild>(*ctx_.env, *ctx_.settings, std::move(plan),
                                        Rebuild::Handlers{ctx_.published, deposed});
-  ctx_.env->after(kRenewEvery, [this, lease] { renew(lease); });
+  ctx_.env->after(kRenewSeconds, [this, lease] { renew(lease); });
   rebuild_->start();
 }
 
 void Recovery::renew(std::uint64_t lease) {
   if (lease != lease_) return;
-  store_.lease_renew(lease, kRenewEvery * 1.5, [this, lease](const StateReply& reply) {
+  store_.lease_renew(lease, kRenewTimeoutSeconds, [this, lease](const StateReply& reply) {
     if (lease != lease_) return;
     if (reply.outcome == Outcome::kMissing) return stop_leading();
-    ctx_.env->after(reply.ok() ? kRenewEvery : kLookEvery, [this, lease] { renew(lease); });
+    ctx_.env->after(reply.ok() ? kRenewSeconds : kLookSeconds, [this, lease] { renew(lease); });
   });
 }
 
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -1,5 +1,8 @@
 // What a controller does from the first sign of lost state until records are rebuilt: it watches `meta`,
 // leads the rebuilding where nobody else does, and tells when a new incarnation is published.
+//
+// The lead is a key of the state service under a lease (kLeaderKey). Who takes it raises `meta.begun` in the
+// same transaction, so there is one leader for each incarnation that is begun.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +11,7 @@
 #include <string>
 
 #include "coordination/state/state_client.hpp"
+#include "recovery/operator_messages.hpp"
 #include "recovery/rebuild.hpp"
 
 namespace mothslip::recovery {
@@ -17,19 +21,17 @@
   struct Context {
     Env* env = nullptr;
     const Settings* settings = nullptr;
-    Incarnation last;            // that this controller served
-    int shards = 0;              // of the cluster; 0: not known
-    double process_started = 0;  // by the clock of `env`
-    std::function<Evidence()> own_evidence;
-    // Ends this object.
+    Incarnation last;                        // that this controller served
+    int shards = 0;                          // of the cluster; 0: not known
+    double process_started = 0;              // by the clock of `env`
+    std::function<Evidence()> own_evidence;  // all that this controller knows
+    // A new incarnation is published. Must not destroy this object from within.
     std::function<void(const MetaRecord&)> published;
   };
   explicit Recovery(Context context);
 
   void start();
-  // The incarnation that is being rebuilt, as far as is known here.
-  [[nodiscard]] int begun() const { return begun_; }
-  [[nodiscard]] Json status() const;
+  [[nodiscard]] RecoveryStatus status() const;
 
  private:
   void look();
@@ -44,8 +46,8 @@
 
   Context ctx_;
   StateClient store_;
-  int begun_;
-  std::uint64_t lease_ = 0;  // of our lead; 0: we do not lead
+  int begun_;                // the incarnation that is being rebuilt, as far as is known here
+  std::uint64_t lease_ = 0;  // under which this controller leads; 0: it does not
   std::unique_ptr<Rebuild> rebuild_;
 };
 
--- /dev/null
+++ b/src/recovery/serving_mode.cpp
@@ -0,0 +1,35 @@
+#include "recovery/serving_mode.hpp"
+
+#include <utility>
+
+#include "recovery/doubt.hpp"
+#include "recovery/operator_messages.hpp"
+
+namespace mothslip::recovery {
+
+// (The node calls the detector from whatever it is doing, and must not be destroyed there: the handler is
+// called from a timer, which is gone if this object is.)
+ServingMode::ServingMode(Env& env, const Settings& settings, const Options& options, LossHandler on_loss)
+    : detector_(options.incarnation.token_offset,
+                [this, on_loss = std::move(on_loss)](const std::string& why) {
+                  env_.after(0, [on_loss, why] { on_loss(why); });
+                }),
+      env_(env),
+      node_(env_, settings, options.capabilities, options.incarnation, &detector_),
+      unaccounted_(env_, settings, options.incarnation, node_) {
+  for (const auto& [ref, status] : options.terminals) node_.note_terminal(ref, status);
+  const double hold_back = hold_back_s(settings, options.doubt_s);
+  if (hold_back > 0) node_.hold_back(hold_back);
+}
+
+void ServingMode::on_client_request(const HttpRequest& request, const Responder& responder) {
+  node_.on_client_request(request, responder);
+}
+
+void ServingMode::on_peer_request(const HttpRequest& request, const Responder& responder) {
+  if (request.path == kUnaccountedPath) return unaccounted_.list(responder);
+  if (request.path == kResolvePath) return unaccounted_.resolve(request.body, responder);
+  node_.on_peer_request(request, responder);
+}
+
+}  // namespace mothslip::recovery
--- a/src/recovery/surviving_records.cpp
+++ b/src/recovery/surviving_records.cpp
@@ -11,8 +11,6 @@
 
 namespace {
 
-constexpr int kMostTasks = 100'000;
-
 // One reading: prefix after prefix. (Where tasks are placed is not read: by the time of a rebuilding either
 // their machines' owners tell, or nothing runs any more.)
 class Reader : public std::enable_shared_from_this<Reader> {
@@ -23,13 +21,13 @@
     using Take = void (Reader::*)(const StateItem&);
     const auto plan = [this](const std::string& prefix, Take take) { steps_.push_back({prefix, take}); };
     plan(current_ + keys::kJobRecords, &Reader::take_job_record);
-    plan(current_ + "d/", &Reader::take_progress);
+    plan(current_ + keys::kProgress, &Reader::take_progress);
     plan(current_ + keys::kDelegations, &Reader::take_delegation);
-    plan(current_ + "h/", &Reader::take_segment);
+    plan(current_ + keys::kSegments, &Reader::take_segment);
     plan(current_ + keys::kUnaccounted, &Reader::take_unaccounted);
-    plan(current_ + "e/", &Reader::take_ending);
+    plan(current_ + keys::kEndings, &Reader::take_ending);
     for (const std::string& earlier : incarnation.earlier_prefixes)
-      plan(earlier + "e/", &Reader::take_ending);
+      plan(earlier + keys::kEndings, &Reader::take_ending);
   }
 
   void next() {
@@ -67,19 +65,25 @@
     return name.substr(0, name.find('~'));
   }
 
-  void unreadable(const StateItem& item) const {
-    spdlog::error("recovery: record {} cannot be read", item.key);
+  static void log_unreadable(const StateItem& item, const RecordError& error) {
+    spdlog::error("recovery: record {} cannot be read: {}", item.key, error.to_text());
+  }
+
+  // The job, if it is open by what was read before.
+  JobEvidence* open_job(const std::string& ref) {
+    const auto found = out_.evidence.jobs.find(ref);
+    return found == out_.evidence.jobs.end() ? nullptr : &found->second;
   }
 
-  void add_done(const std::string& ref, const std::string& text) {
-    const auto open = out_.evidence.jobs.find(ref);
-    if (open == out_.evidence.jobs.end()) return;  // it has ended
-    if (const auto done = RangeSet::from_text(text, kMostTasks)) open->second.done |= to_task_set(*done);
+  void add_done(const std::string& ref, const RangeSet& done) {
+    JobEvidence* job = open_job(ref);
+    if (job != nullptr) job->done |= to_task_set(done);
   }
 
   void take_job_record(const StateItem& item) {
-    auto job_record = JobRecord::from_json(item.data);
-    if (!job_record) return unreadable(item);
+    RecordError error;
+    auto job_record = JobRecord::from_json(item.data, &error);
+    if (!job_record) return log_unreadable(item, error);
     JobEvidence job;
     job.in_store = true;
     const std::string ref = job_record->spec.ref;
@@ -87,18 +91,25 @@
     out_.evidence.jobs[ref].merge(job);
   }
 
-  void take_progress(const StateItem& item) { add_done(job_of(item.key), item.data.value("done", "")); }
+  void take_progress(const StateItem& item) {
+    const auto progress = ProgressRecord::from_json(item.data, kMaxTasksPerJob);
+    if (progress) add_done(job_of(item.key), progress->done);
+  }
 
   void take_delegation(const StateItem& item) {
-    const auto delegation = DelegationRecord::from_json(item.data);
-    if (!delegation) return unreadable(item);
-    add_done(delegation->job.spec.ref, delegation->done.to_text());
+    RecordError error;
+    const auto delegation = DelegationRecord::from_json(item.data, &error);
+    if (!delegation) return log_unreadable(item, error);
+    add_done(delegation->job.spec.ref, delegation->done);
   }
 
   void take_segment(const StateItem& item) {
-    const auto segment = SegmentRecord::from_json(item.data);
-    if (!segment) return unreadable(item);
-    for (const auto& [name, text] : segment->done) add_done(job_of(name), text);
+    RecordError error;
+    const auto segment = SegmentRecord::from_json(item.data, &error);
+    if (!segment) return log_unreadable(item, error);
+    for (const auto& [name, text] : segment->done) {
+      if (const auto done = RangeSet::from_text(text, kMaxTasksPerJob)) add_done(job_of(name), *done);
+    }
   }
 
   void take_unaccounted(const StateItem& item) {
@@ -113,12 +124,12 @@
     const std::string ref = job_of(item.key);
     if (const auto number = job_number(ref)) out_.endings.add(*number);
     // Only those that somebody takes for open matter beyond that.
-    const auto open = out_.evidence.jobs.find(ref);
-    if (open == out_.evidence.jobs.end() || !item.data.is_object()) return;
+    JobEvidence* job = open_job(ref);
+    if (job == nullptr || !item.data.is_object()) return;
     if (const auto status = terminal_status(item.data.value("phase", ""), 0)) {
       JobEvidence ended;
       ended.ending = status->phase;
-      open->second.merge(ended);
+      job->merge(ended);
     }
   }
 
--- a/src/recovery/surviving_records.hpp
+++ b/src/recovery/surviving_records.hpp
@@ -12,9 +12,9 @@
 namespace mothslip::recovery {
 
 struct SurvivingRecords {
-  Evidence evidence;  // what was known before, and what the records add
-  TaskSet endings;    // numbers of the jobs whose ending is held
-  std::uint64_t revision = 0;
+  Evidence evidence;           // what was known before, and what the records add
+  TaskSet endings;             // numbers of the jobs whose ending is held
+  std::uint64_t revision = 0;  // newest one that the state service answered with
 };
 
 // `incarnation`: of the records that are read. `known`: what other sources say; records of jobs that are over
--- a/src/recovery/unaccounted_jobs.cpp
+++ b/src/recovery/unaccounted_jobs.cpp
@@ -5,63 +5,33 @@
 #include <memory>
 
 #include "protocol/names.hpp"
+#include "recovery/operator_messages.hpp"
 
 namespace mothslip::recovery {
 
 namespace {
 
-constexpr double kRelaySeconds = 2.0;
+constexpr double kRelayTimeoutSeconds = 2.0;
 constexpr double kListShare = 0.1;  // of the state service's limits, at the most
 constexpr int kRetryAfterSeconds = 1;
 
-struct DecisionName {
-  const char* name;
-  ShardLeader::HeldDecision what;
-};
-constexpr DecisionName kDecisions[] = {{"done", ShardLeader::HeldDecision::kDone},
-                                       {"rerun", ShardLeader::HeldDecision::kRerun},
-                                       {"cancelled", ShardLeader::HeldDecision::kCancelled}};
-
-Json entry_of(const StateItem& item) {
+UnaccountedEntry entry_of(const StateItem& item) {
   const auto record = UnaccountedRecord::from_json(item.data);
-  Json out = {{"job", item.key.substr(item.key.rfind('/') + 1)}};
-  if (!record) {
-    out["reason"] = "its record cannot be read";
-    return out;
-  }
-  out["team"] = record->team;
-  out["class"] = record->job_class;
-  out["reason"] = record->reason;
-  out["may_have_ended"] = record->may_have_ended;
-  out["decided"] = record->rerun ? "rerun" : "";
-  if (!record->all) out["held_tasks"] = record->held.size();
+  UnaccountedEntry out;
+  out.job = item.key.substr(item.key.rfind('/') + 1);
+  out.readable = record.has_value();
+  out.reason = record ? record->reason : "its record cannot be read";
+  if (!record) return out;
+  out.team = record->team;
+  out.job_class = record->job_class;
+  out.may_have_ended = record->may_have_ended;
+  out.decided = record->rerun ? "rerun" : "";
+  if (!record->all) out.held_tasks = record->held.size();
   return out;
 }
 
 }  // namespace
 
-Json Decision::to_json() const {
-  Json out = {{"job", ref}, {"relayed", relayed}};
-  for (const DecisionName& each : kDecisions) {
-    if (each.what == what) out["as"] = each.name;
-  }
-  return out;
-}
-
-std::optional<Decision> Decision::from_json(const Json& value) {
-  if (!value.is_object() || !value.value("job", Json()).is_string() || !value.value("as", Json()).is_string())
-    return std::nullopt;
-  Decision out;
-  out.ref = value["job"].get<std::string>();
-  out.relayed = value.value("relayed", false);
-  for (const DecisionName& each : kDecisions) {
-    if (value["as"] != each.name) continue;
-    out.what = each.what;
-    return valid_ref(out.ref) ? std::optional(out) : std::nullopt;
-  }
-  return std::nullopt;
-}
-
 UnaccountedJobs::UnaccountedJobs(Env& env, const Settings& settings, const Incarnation& incarnation,
                                  Node& node)
     : env_(env), store_(env, settings, incarnation), node_(node) {
@@ -74,9 +44,9 @@
       responder.send(503, R"({"error":"state service away"})", kRetryAfterSeconds);
       return;
     }
-    Json jobs = Json::array();
-    for (const StateItem& item : items) jobs.push_back(entry_of(item));
-    responder.send(200, dump_json({{"unaccounted", std::move(jobs)}}));
+    UnaccountedList list;
+    for (const StateItem& item : items) list.entries.push_back(entry_of(item));
+    responder.send(200, dump_json(list.to_json()));
   };
   store_.list(RequestPriority::kRest, keys::kUnaccounted, answer);
 }
@@ -103,7 +73,7 @@
     return responder.send(503, R"({"error":"no owner of the job's shard is known"})", kRetryAfterSeconds);
   Decision passed_on = decision;
   passed_on.relayed = true;
-  env_.call({address, "POST", "/ops/recovery/resolve", dump_json(passed_on.to_json()), kRelaySeconds},
+  env_.call({address, "POST", kResolvePath, dump_json(passed_on.to_json()), kRelayTimeoutSeconds},
             [responder](const HttpReply& reply) {
               if (reply.unanswered()) {
                 responder.send(503, R"({"error":"owner not reached"})", kRetryAfterSeconds);
--- a/src/recovery/unaccounted_jobs.hpp
+++ b/src/recovery/unaccounted_jobs.hpp
@@ -6,26 +6,19 @@
 
 #include "coordination/node/node.hpp"
 #include "coordination/state/state_client.hpp"
+#include "recovery/messages.hpp"
 #include "transport/http.hpp"
 
 namespace mothslip::recovery {
 
-// What an operator says about a job.
-struct Decision {
-  std::string ref;
-  ShardLeader::HeldDecision what = ShardLeader::HeldDecision::kDone;
-  bool relayed = false;  // by another controller
-  [[nodiscard]] Json to_json() const;
-  static std::optional<Decision> from_json(const Json& value);
-};
-
 class UnaccountedJobs {
  public:
   UnaccountedJobs(Env& env, const Settings& settings, const Incarnation& incarnation, Node& node);
 
+  // Answers with an UnaccountedList; 503 where the state service cannot be read.
   void list(const Responder& responder);
-  // Answers 202 once the job's owner has begun to act on it; the job leaves the list when that is durable.
-  // 404: it is not unaccounted.
+  // `body`: a Decision. Answers 202 once the job's owner has begun to act on it; the job leaves the list when
+  // that is durable. 404: it is not unaccounted. 400: malformed. 503: its owner is not known, or not reached.
   void resolve(const std::string& body, const Responder& responder);
 
  private:
