--- a/src/scheduling/gang.cpp
+++ b/src/scheduling/gang.cpp
@@ -10,16 +10,18 @@
 
 namespace {
 
+// A machine that holds some of the gang's tasks.
 struct Candidate {
-  std::size_t machine = 0;
-  int slots = 0;
+  std::size_t machine = 0;  // index
+  int slots = 0;            // tasks that it holds
   double fetch_s = 0;
   int zone = 0;
 };
 
+// Places for all tasks.
 struct Choice {
   std::vector<GangShare> shares;
-  double start_s = 0;
+  double start_s = 0;  // from now: when the last image is there
   [[nodiscard]] bool better_than(const Choice& other) const {
     return std::tuple(start_s, shares.size()) < std::tuple(other.start_s, other.shares.size());
   }
--- a/src/scheduling/gang.hpp
+++ b/src/scheduling/gang.hpp
@@ -13,9 +13,10 @@
 struct GangMachine {
   Resources room{};
   int zone = 0;
-  double fetch_s = 0;  // until it has the image; 0: it has it
+  double fetch_s = 0;  // seconds until it has the image; 0: it has it
 };
 
+// The tasks of a gang that are to be placed together.
 struct GangNeeds {
   Resources demand{};  // of a task
   int tasks = 0;
@@ -24,6 +25,7 @@
   std::map<int, int> placed_in_zone;  // tasks of the gang that are placed already
 };
 
+// The tasks that one machine gets.
 struct GangShare {
   std::size_t machine = 0;  // index into the machines that were given
   int tasks = 0;
--- a/src/scheduling/preemption.hpp
+++ b/src/scheduling/preemption.hpp
@@ -15,9 +15,10 @@
   double lost = 0;  // core-seconds of work that stopping it costs
 };
 
+// The tasks to be stopped.
 struct Preemption {
   std::vector<std::size_t> ids;  // to be stopped; empty: not worth it, or not possible
-  double lost = 0;
+  double lost = 0;               // core-seconds, by all of them
 };
 
 // The tasks whose end makes `room` large enough for `needed`, taken in order of their loss, without those
--- a/src/scheduling/preference.cpp
+++ b/src/scheduling/preference.cpp
@@ -4,6 +4,10 @@
 
 namespace mothslip {
 
+namespace {
+constexpr double kPlentyOfTime = 3;  // times the remaining work, left beside it: no deadline pressure
+}
+
 double fitness(const Resources& demand, const Resources& room, const Resources& weights) {
   double sum = 0;
   for (std::size_t r = 0; r < demand.size(); r++) sum += demand[r] * room[r] * weights[r];
@@ -17,6 +21,7 @@
 }
 
 namespace {
+// The range of a term over the requests.
 struct Span {
   double low = std::numeric_limits<double>::infinity();
   double high = -std::numeric_limits<double>::infinity();
@@ -24,8 +29,8 @@
     low = std::min(low, value);
     high = std::max(high, value);
   }
-  // Min-max over the listed requests; a term that is the same for all adds nothing.
-  [[nodiscard]] double normal(double value) const { return high > low ? (value - low) / (high - low) : 0; }
+  // The value, scaled to 0..1 over the requests; a term that is the same for all adds nothing.
+  [[nodiscard]] double scaled(double value) const { return high > low ? (value - low) / (high - low) : 0; }
 };
 }  // namespace
 
@@ -33,28 +38,29 @@
                                 const PreferenceWeights& weights) {
   const std::size_t count = requests.size();
   std::vector<double> out(count, -std::numeric_limits<double>::infinity());
-  std::vector<double> f(count);
-  std::vector<double> u(count);
-  std::vector<double> a(count);
-  Span fs;
-  Span us;
-  Span as;
+  std::vector<double> fitnesses(count);
+  std::vector<double> urgencies(count);
+  std::vector<double> alignments(count);
+  Span fitness_span;
+  Span urgency_span;
+  Span alignment_span;
   double stages = 0;
   for (const Request& request : requests) stages += request.stages;
   for (std::size_t i = 0; i < count; i++) {
     if (!fits(requests[i].demand, room)) continue;
-    f[i] = fitness(requests[i].demand, room, weights.resource);
-    u[i] = urgency(requests[i], weights.resource);
-    a[i] = stages > 0 ? (requests[i].stages + requests[i].stages_finished) / stages : 0;
-    fs.add(f[i]);
-    us.add(u[i]);
-    as.add(a[i]);
+    fitnesses[i] = fitness(requests[i].demand, room, weights.resource);
+    urgencies[i] = urgency(requests[i], weights.resource);
+    alignments[i] = stages > 0 ? (requests[i].stages + requests[i].stages_finished) / stages : 0;
+    fitness_span.add(fitnesses[i]);
+    urgency_span.add(urgencies[i]);
+    alignment_span.add(alignments[i]);
   }
   for (std::size_t i = 0; i < count; i++) {
     if (!fits(requests[i].demand, room)) continue;
-    out[i] = weights.fitness * fs.normal(f[i]) + weights.urgency * us.normal(u[i]) +
-             weights.alignment * as.normal(a[i]) + weights.slack * requests[i].pressure + requests[i].bonus +
-             (requests[i].local ? weights.locality : 0);
+    out[i] = weights.fitness * fitness_span.scaled(fitnesses[i]) +
+             weights.urgency * urgency_span.scaled(urgencies[i]) +
+             weights.alignment * alignment_span.scaled(alignments[i]) + weights.slack * requests[i].pressure +
+             requests[i].bonus + (requests[i].local ? weights.locality : 0);
   }
   return out;
 }
@@ -68,10 +74,10 @@
       best = static_cast<int>(i);
       continue;
     }
-    const Request& mine = requests[i];
-    const Request& other = requests[static_cast<std::size_t>(best)];
-    if (mine.nothing_placed != other.nothing_placed) {
-      if (mine.nothing_placed) best = static_cast<int>(i);
+    const Request& request = requests[i];
+    const Request& best_request = requests[static_cast<std::size_t>(best)];
+    if (request.nothing_placed != best_request.nothing_placed) {
+      if (request.nothing_placed) best = static_cast<int>(i);
     } else if (score[i] > score[static_cast<std::size_t>(best)]) {
       best = static_cast<int>(i);
     }
@@ -82,7 +88,7 @@
 double deadline_pressure(double time_left_s, double work_left_s) {
   if (work_left_s <= 0) work_left_s = 1;
   if (time_left_s <= work_left_s) return 1;
-  return std::clamp(1 - (time_left_s - work_left_s) / (3 * work_left_s), 0.0, 1.0);
+  return std::clamp(1 - (time_left_s - work_left_s) / (kPlentyOfTime * work_left_s), 0.0, 1.0);
 }
 
 }  // namespace mothslip
--- a/src/scheduling/sizing.cpp
+++ b/src/scheduling/sizing.cpp
@@ -4,20 +4,25 @@
 #include <cmath>
 #include <limits>
 #include <map>
+#include <optional>
 #include <queue>
 #include <tuple>
+#include <utility>
 
 namespace mothslip {
 
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kGuessSlack = 1.5;  // estimates are wrong by half: plan for tasks that take a little longer
-constexpr double kBootSlack = 1.1;
-constexpr double kPreemption = 5.0;  // until a task that is stopped for another has saved and is gone
+constexpr double kEstimateSlack = 1.5;    // times the estimate: estimates are wrong by half
+constexpr double kBootSlack = 1.1;        // times boot_s
+constexpr double kLeastFetchRate = 0.01;  // GB a second
+constexpr double kPreemption = 5.0;       // seconds until a preempted task has made its checkpoint and ended
 // Of the time that a deadline leaves: what comes after, and goes first, is not known yet.
 constexpr double kSlackShare = 0.5;
-constexpr double kWorthWaiting = 1.3;  // a new machine must start the task this much sooner
+constexpr double kUnusedWorth = 0.5;     // of a machine, for room that the demand does not use
+constexpr double kSpreadPenalty = 0.01;  // added to the price for each machine that the market has
+constexpr double kWorthWaiting = 1.3;    // times sooner that a new machine must start the task
 
 bool allowed(const FleetDemand& demand, int type, int zone, bool spot) {
   if (spot ? !demand.spot_allowed : demand.spot_only) return false;
@@ -25,7 +30,8 @@
   return demand.zone < 0 || demand.zone == zone;
 }
 
-double dominant(const Resources& demand, const Resources& capacity) {
+// The largest share of the capacity that the demand takes of any resource.
+double dominant_share(const Resources& demand, const Resources& capacity) {
   double share = 0;
   for (std::size_t r = 0; r < demand.size(); r++) {
     if (demand[r] > 0) share = std::max(share, demand[r] / std::max(capacity[r], 1e-9));
@@ -41,34 +47,45 @@
   return room.yields && preempts(demand) ? std::min(room.at_s, kPreemption) : room.at_s;
 }
 
-// The earliest time at which the machine has this much free.
-double earliest(const FleetMachine& machine, const FleetDemand& demand) {
-  // Rooms are kept in order of time, but for those that yield.
-  Resources early{};
-  bool yields = false;
+void add(Resources& sum, const Resources& amount) {
+  for (std::size_t r = 0; r < sum.size(); r++) sum[r] += amount[r];
+}
+
+// What the demand gets by preempting: all rooms that yield to it. nullopt: there are none.
+std::optional<Resources> preemptible_room(const FleetMachine& machine, const FleetDemand& demand) {
+  if (!preempts(demand)) return std::nullopt;
+  std::optional<Resources> out;
   for (const FleetRoom& room : machine.rooms) {
-    if (!room.yields || !preempts(demand)) continue;
-    yields = true;
-    for (std::size_t r = 0; r < early.size(); r++) early[r] += room.room[r];
+    if (!room.yields) continue;
+    if (!out) out = Resources{};
+    add(*out, room.room);
   }
+  return out;
+}
+
+// The earliest time at which the machine has this much free, in seconds from now.
+double earliest_start(const FleetMachine& machine, const FleetDemand& demand) {
+  // Rooms are kept in order of time, but for those that yield: these come in at the time of preemption.
+  std::optional<Resources> preemptible = preemptible_room(machine, demand);
   Resources sum{};
   for (const FleetRoom& room : machine.rooms) {
-    if (yields && room.at_s > kPreemption) {
-      for (std::size_t r = 0; r < sum.size(); r++) sum[r] += early[r];
-      yields = false;
+    if (preemptible && room.at_s > kPreemption) {
+      add(sum, *preemptible);
+      preemptible.reset();
       if (fits(demand.demand, sum)) return kPreemption;
     }
     if (room.yields && preempts(demand)) continue;
-    for (std::size_t r = 0; r < sum.size(); r++) sum[r] += room.room[r];
+    add(sum, room.room);
     if (fits(demand.demand, sum)) return room.at_s;
   }
-  if (!yields) return kNever;
-  for (std::size_t r = 0; r < sum.size(); r++) sum[r] += early[r];
+  if (!preemptible) return kNever;
+  add(sum, *preemptible);
   if (fits(demand.demand, sum)) return kPreemption;
   return kNever;
 }
 
-// Takes the demand out of the rooms free by `at`, the latest first: what is free earlier stays for others.
+// Takes the demand out of the rooms free by `at`, the latest first: what is free earlier stays for others. It
+// comes back at `until`.
 void take(FleetMachine& machine, const FleetDemand& wanted, double at, double until) {
   Resources demand = wanted.demand;
   FleetRoom back{until, demand, wanted.rank == 0};
@@ -86,18 +103,19 @@
 }
 
 // Where the tasks of one demand could start, the earliest first; among equals the machine that a task fills
-// most, so that large ones stay free. Only the machine that took a task is looked at again.
+// most, so that large ones stay free. Only the machine that took a task is
+// considered again.
 class Starts {
  public:
   Starts(const std::vector<FleetType>& types, const std::vector<FleetMachine>& machines,
          const FleetDemand& demand)
       : types_(types), machines_(machines), demand_(demand) {
-    for (std::size_t m = 0; m < machines.size(); m++) look(static_cast<int>(m));
+    for (std::size_t m = 0; m < machines.size(); m++) consider(static_cast<int>(m));
   }
   struct Start {
-    double at = kNever;
-    double share = 0;
-    int machine = -1;
+    double at = kNever;                         // seconds from now
+    double share = 0;                           // of the machine that a task takes
+    int machine = -1;                           // index
     bool operator<(const Start& other) const {  // a later start is less
       if (at != other.at) return at > other.at;
       if (share != other.share) return share < other.share;
@@ -105,18 +123,20 @@
     }
   };
   [[nodiscard]] Start best() const { return heap_.empty() ? Start{} : heap_.top(); }
-  // The machine of the best start took a task.
-  void took() {
+  // A task was put on the machine of the best start.
+  void on_task_placed() {
     const int machine = heap_.top().machine;
     heap_.pop();
-    look(machine);
+    consider(machine);
   }
-  void look(int machine) {
+  // Puts the machine among the starts, if the demand may run there.
+  void consider(int machine) {
     const FleetMachine& each = machines_[static_cast<std::size_t>(machine)];
     if (!each.usable || !allowed(demand_, each.type, each.zone, each.spot)) return;
-    const double at = earliest(each, demand_);
+    const double at = earliest_start(each, demand_);
     if (at == kNever) return;
-    heap_.push({at, dominant(demand_.demand, types_[static_cast<std::size_t>(each.type)].capacity), machine});
+    heap_.push(
+        {at, dominant_share(demand_.demand, types_[static_cast<std::size_t>(each.type)].capacity), machine});
   }
 
  private:
@@ -126,8 +146,8 @@
   std::priority_queue<Start> heap_;
 };
 
-// The market with the least price for what the tasks would use of it; where we have few machines first, so
-// that they spread over zones.
+// The index of the market with the least price for what the `left` tasks would use of its machine, or -1;
+// among equals where few machines are rented, so that they spread over zones.
 int best_market(const std::vector<FleetType>& types, const std::vector<FleetMarket>& markets,
                 const FleetDemand& demand, int left) {
   int best = -1;
@@ -138,11 +158,12 @@
     if (!allowed(demand, market.type, market.zone, market.spot)) continue;
     const FleetType& type = types[static_cast<std::size_t>(market.type)];
     if (!fits(demand.demand, type.capacity)) continue;
-    const double share = std::max(dominant(demand.demand, type.capacity), 1e-6);
+    const double share = std::max(dominant_share(demand.demand, type.capacity), 1e-6);
     const double used = std::min(std::floor(1 / share + 1e-6), static_cast<double>(left));
     // Room that this job leaves free is worth half: others may use it.
-    const double worth = used + 0.5 * (1 / share - used);
-    const double price = (market.spot ? type.spot_price : type.hourly) / worth * (1 + 0.01 * market.rented);
+    const double worth = used + kUnusedWorth * (1 / share - used);
+    const double hourly = market.spot ? type.spot_price : type.hourly;
+    const double price = hourly / worth * (1 + kSpreadPenalty * market.rented);
     if (price < best_price) {
       best_price = price;
       best = static_cast<int>(i);
@@ -151,63 +172,117 @@
   return best;
 }
 
+// What a machine that is rented for a demand would bring.
+struct RentOption {
+  std::size_t market = 0;  // index
+  double ready_s = 0;      // until it is up and has the image
+};
+
+// One run of plan_fleet: tasks are put on machines in thought, and machines are added.
+class Planner {
+ public:
+  Planner(const std::vector<FleetType>& types, std::vector<FleetMarket> markets,
+          std::vector<FleetMachine> machines, const FleetLimits& limits)
+      : types_(types),
+        markets_(std::move(markets)),
+        machines_(std::move(machines)),
+        limits_(limits),
+        needed_rooms_(machines_.size(), 0) {}
+
+  void place(const FleetDemand& demand) {
+    const double run_s = kEstimateSlack * std::max(1.0, demand.estimated_s);
+    Starts starts(types_, machines_, demand);
+    for (int left = std::min(demand.count, limits_.most_tasks); left > 0; left--) {
+      if (!place_task(demand, left, run_s, starts)) break;
+    }
+  }
+
+  [[nodiscard]] FleetPlan plan() const {
+    FleetPlan out;
+    out.needed_rooms = needed_rooms_;
+    for (const auto& [market, count] : rents_) {
+      const auto [type, zone, spot] = market;
+      out.rents.push_back({type, zone, spot, count});
+    }
+    return out;
+  }
+
+ private:
+  // False when the task fits nowhere: then the others of the demand don't either.
+  bool place_task(const FleetDemand& demand, int left, double run_s, Starts& starts) {
+    const Starts::Start here = starts.best();
+    const double latest = std::min(demand.start_within_s, kSlackShare * (demand.time_left_s - run_s));
+    if (here.at > latest && may_rent()) {
+      const auto option = worthwhile_rent(demand, left, run_s, here.at);
+      if (option) {
+        rent(*option, demand, run_s, starts);
+        return true;
+      }
+    }
+    if (here.machine < 0) return false;
+    const auto index = static_cast<std::size_t>(here.machine);
+    take(machines_[index], demand, here.at, here.at + run_s);
+    starts.on_task_placed();
+    if (index < needed_rooms_.size()) needed_rooms_[index]++;
+    return true;
+  }
+
+  [[nodiscard]] bool may_rent() const {
+    return static_cast<int>(machines_.size()) < limits_.most_machines && rented_ < limits_.most_at_once;
+  }
+
+  // The best market's machine, if it is worth it: when it comes in time, or when waiting for the present
+  // machines takes much longer than a new one does.
+  [[nodiscard]] std::optional<RentOption> worthwhile_rent(const FleetDemand& demand, int left, double run_s,
+                                                          double start_here_s) const {
+    const int market = best_market(types_, markets_, demand, left);
+    if (market < 0) return std::nullopt;
+    const auto index = static_cast<std::size_t>(market);
+    const FleetType& type = types_[static_cast<std::size_t>(markets_[index].type)];
+    const double fetch_s = demand.image_gb / std::max(kLeastFetchRate, type.fetch_gb_per_s);
+    const double ready_s = kBootSlack * type.boot_s + fetch_s;
+    const bool in_time = ready_s <= demand.time_left_s - run_s && ready_s < start_here_s;
+    if (!in_time && kWorthWaiting * ready_s >= start_here_s) return std::nullopt;
+    return RentOption{index, ready_s};
+  }
+
+  // Adds the machine, with the task on it.
+  void rent(const RentOption& option, const FleetDemand& demand, double run_s, Starts& starts) {
+    FleetMarket& market = markets_[option.market];
+    market.rented++;
+    rents_[{market.type, market.zone, market.spot}]++;
+    FleetMachine fresh;
+    fresh.type = market.type;
+    fresh.zone = market.zone;
+    fresh.spot = market.spot;
+    fresh.rooms.push_back({option.ready_s, types_[static_cast<std::size_t>(market.type)].capacity});
+    take(fresh, demand, option.ready_s, option.ready_s + run_s);
+    machines_.push_back(std::move(fresh));
+    starts.consider(static_cast<int>(machines_.size()) - 1);
+    rented_++;
+  }
+
+  const std::vector<FleetType>& types_;
+  std::vector<FleetMarket> markets_;
+  std::vector<FleetMachine> machines_;  // those given, then those rented
+  const FleetLimits& limits_;
+  std::vector<int> needed_rooms_;                    // by index of the machines given
+  std::map<std::tuple<int, int, bool>, int> rents_;  // machines, by type, zone and spot
+  int rented_ = 0;
+};
+
 }  // namespace
 
 FleetPlan plan_fleet(const std::vector<FleetType>& types, std::vector<FleetMarket> markets,
                      std::vector<FleetMachine> machines, std::vector<FleetDemand> demands,
                      const FleetLimits& limits) {
-  FleetPlan plan;
-  plan.needed_rooms.assign(machines.size(), 0);
   std::stable_sort(demands.begin(), demands.end(), [](const FleetDemand& a, const FleetDemand& b) {
     if (a.rank != b.rank) return a.rank > b.rank;
     return a.time_left_s < b.time_left_s;
   });
-  std::map<std::tuple<int, int, bool>, int> rents;
-  const std::size_t known = machines.size();
-  int at_once = 0;
-  for (const FleetDemand& demand : demands) {
-    const double run = kGuessSlack * std::max(1.0, demand.estimated_s);
-    Starts starts(types, machines, demand);
-    for (int left = std::min(demand.count, limits.most_tasks); left > 0; left--) {
-      const Starts::Start here = starts.best();
-      const double latest = std::min(demand.start_within_s, kSlackShare * (demand.time_left_s - run));
-      if (here.at > latest && static_cast<int>(machines.size()) < limits.most_machines &&
-          at_once < limits.most_at_once) {
-        const int at = best_market(types, markets, demand, left);
-        if (at >= 0) {
-          FleetMarket& market = markets[static_cast<std::size_t>(at)];
-          const FleetType& type = types[static_cast<std::size_t>(market.type)];
-          const double ready =
-              kBootSlack * type.boot_s + demand.image_gb / std::max(0.01, type.fetch_gb_per_s);
-          // Worth it when it comes in time, or when waiting here takes much longer than a new machine does.
-          const bool in_time = ready <= demand.time_left_s - run && ready < here.at;
-          if (in_time || kWorthWaiting * ready < here.at) {
-            market.rented++;
-            rents[{market.type, market.zone, market.spot}]++;
-            FleetMachine fresh;
-            fresh.type = market.type;
-            fresh.zone = market.zone;
-            fresh.spot = market.spot;
-            fresh.rooms.push_back({ready, type.capacity});
-            take(fresh, demand, ready, ready + run);
-            machines.push_back(std::move(fresh));
-            starts.look(static_cast<int>(machines.size()) - 1);
-            at_once++;
-            continue;
-          }
-        }
-      }
-      if (here.machine < 0) break;
-      take(machines[static_cast<std::size_t>(here.machine)], demand, here.at, here.at + run);
-      starts.took();
-      if (static_cast<std::size_t>(here.machine) < known)
-        plan.needed_rooms[static_cast<std::size_t>(here.machine)]++;
-    }
-  }
-  for (const auto& [where, count] : rents) {
-    plan.rents.push_back({std::get<0>(where), std::get<1>(where), std::get<2>(where), count});
-  }
-  return plan;
+  Planner planner(types, std::move(markets), std::move(machines), limits);
+  for (const FleetDemand& demand : demands) planner.place(demand);
+  return planner.plan();
 }
 
 }  // namespace mothslip
--- a/src/scheduling/sizing.hpp
+++ b/src/scheduling/sizing.hpp
@@ -1,4 +1,5 @@
-// How many machines of which kind: a pure function from what waits, what is up and what it costs.
+// Fleet sizing: how many machines of which type are to be rented. A pure function of what waits, what is up
+// and what it costs. Times are seconds from now, memory is in GB, prices are dollars an hour.
 #pragma once
 
 #include <string>
@@ -8,6 +9,7 @@
 
 namespace mothslip {
 
+// A machine type.
 struct FleetType {
   Resources capacity{};
   double hourly = 0;
@@ -23,7 +25,7 @@
   int zone = 0;
   bool spot = false;
   bool refused = false;
-  int rented = 0;  // machines of ours from here
+  int rented = 0;  // machines from here
 };
 
 // Room that becomes free at some time from now (0: is free).
@@ -33,11 +35,12 @@
   bool yields = false;  // held by best-effort work, which is stopped for other work
 };
 
+// A machine that is up, booting or being asked for.
 struct FleetMachine {
-  int type = 0;
-  int zone = 0;
+  int type = 0;  // index
+  int zone = 0;  // index
   bool spot = false;
-  bool usable = true;            // false: draining, sick or silent
+  bool usable = true;            // false: draining, faulty or silent
   std::vector<FleetRoom> rooms;  // booting: everything, at the expected time
 };
 
@@ -45,7 +48,7 @@
 struct FleetDemand {
   Resources demand{};
   int count = 0;
-  int rank = 0;
+  int rank = 0;  // its urgency; 0: best-effort, negative: headroom, nothing waits
   double estimated_s = 30;
   double image_gb = 0;
   double time_left_s = 1e9;     // until the deadline; huge: none
@@ -57,20 +60,22 @@
 };
 
 struct FleetPlan {
+  // So many machines of one market.
   struct Rent {
     int type = 0;
     int zone = 0;
     bool spot = false;
     int count = 0;
   };
-  std::vector<Rent> rents;
+  std::vector<Rent> rents;        // by type, zone and spot
   std::vector<int> needed_rooms;  // per machine: tasks of the demand put there in thought
 };
 
+// Bounds of one plan.
 struct FleetLimits {
-  int most_machines = 5000;
-  int most_at_once = 150;
-  int most_tasks = 300;  // of one demand that are looked at
+  int most_machines = 5000;  // of the fleet
+  int most_at_once = 150;    // machines rented
+  int most_tasks = 300;      // of one demand that are considered
 };
 
 // Puts the waiting tasks, most urgent first, where they could start earliest on what there is; where that is
