--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -5,7 +5,7 @@
 namespace mothslip {
 
 namespace {
-constexpr double kCallSeconds = 4.0;
+constexpr double kCallSeconds = 4.0;  // timeout of a call
 }
 
 CloudClient::CloudClient(Env& env, const Settings& settings)
@@ -37,12 +37,7 @@
 }
 
 void CloudClient::rent(const RentalRequest& request, CloudHandler handler) {
-  const Json body = {{"rental", request.name},
-                     {"flavour", request.machine_type},
-                     {"hall", request.zone},
-                     {"loaner", request.spot},
-                     {"how_many", request.how_many}};
-  send("POST", "/hosts", dump_json(body), std::move(handler));
+  send("POST", "/hosts", dump_json(request.to_json()), std::move(handler));
 }
 
 void CloudClient::give_back(const std::vector<std::string>& machine_names, CloudHandler handler) {
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -1,11 +1,12 @@
-// The cloud behind a token bucket. Calls that would have to wait are dropped by the caller's own pacing:
-// `ready` says whether one may be made now.
+// Calls to the cloud's interface, behind a token bucket. Nothing is queued here: callers ask `ready` whether
+// a call may be made now, and come back later when it may not.
 #pragma once
 
 #include <functional>
 #include <string>
 #include <vector>
 
+#include "coordination/fleet/cloud_messages.hpp"
 #include "protocol/messages.hpp"
 #include "transport/env.hpp"
 #include "transport/token_bucket.hpp"
@@ -14,33 +15,34 @@
 
 struct CloudReply {
   int status = 0;  // 0: no response
-  Json body;
+  Json body;       // null when empty, discarded when it is not JSON
 };
 using CloudHandler = std::function<void(CloudReply)>;
 
-struct RentalRequest {
-  std::string name;
-  std::string machine_type;
-  std::string zone;
-  bool spot = false;
-  int how_many = 0;
-};
-
 class CloudClient {
  public:
+  // `env` outlives the client, and the client outlives its calls.
   CloudClient(Env& env, const Settings& settings);
+  // The part of the cloud's limit that this node may use, 0..1.
   void set_share(double share);
+  // One more call may be made now, and `reserve` calls would be left after it.
   [[nodiscard]] bool ready(double reserve = 0);
+  // The calls. Each takes a token, whether or not there is one, and gets exactly one reply.
+  // Lists the machine types.
   void machine_types(CloudHandler handler);
+  // Rents machines, at most 50 in one call.
   void rent(const RentalRequest& request, CloudHandler handler);
+  // Returns machines, at most 100 in one call.
   void give_back(const std::vector<std::string>& machine_names, CloudHandler handler);
+  // Lists machines in order of their names, those after `from` (empty: from the first).
   void list(const std::string& from, CloudHandler handler);
 
  private:
   void send(const char* method, std::string path, std::string body, CloudHandler handler);
+
   Env& env_;
   std::string address_;
-  double rps_;
+  double rps_;  // calls a second that the cloud takes from all nodes together
   TokenBucket calls_;
 };
 
--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -1,26 +1,37 @@
-// Rents and returns machines. One node does: the owner of shard 0, and every write guards that ownership.
+// Scales the fleet: rents and returns machines. One node does: the leader of
+// shard 0, and every write is guarded by that leadership.
 //
-// A rental's name is made of the fencing token and a counter and is recorded before the call, so that it is
-// never used for another; a new owner repeats the recorded calls to learn what they brought.
+// The work is divided: ShardReports holds what the shards say, MachineInventory
+// the machines there are, RentalLedger what is asked of the cloud,
+// DemandEstimate the work and how it varies; MachineLiveness, MachineReturns,
+// ScaleOut and ScaleIn decide. Fleet calls them once a second and answers the
+// shards.
 #pragma once
 
-#include <map>
-#include <memory>
-#include <set>
-#include <string>
-#include <tuple>
+#include <functional>
 #include <vector>
 
+#include "coordination/fleet/callback_guard.hpp"
 #include "coordination/fleet/cloud_client.hpp"
+#include "coordination/fleet/demand_estimate.hpp"
+#include "coordination/fleet/fleet_view.hpp"
+#include "coordination/fleet/machine_inventory.hpp"
+#include "coordination/fleet/machine_liveness.hpp"
+#include "coordination/fleet/machine_returns.hpp"
+#include "coordination/fleet/rental_ledger.hpp"
+#include "coordination/fleet/scale_in.hpp"
+#include "coordination/fleet/scale_out.hpp"
+#include "coordination/fleet/shard_reports.hpp"
 #include "coordination/fleet/shard_summary.hpp"
 #include "coordination/state/state_client.hpp"
 #include "protocol/names.hpp"
-#include "scheduling/sizing.hpp"
 
 namespace mothslip {
 
 class Fleet {
  public:
+  // What the fleet works with. The pointers are not null, and what they point
+  // to outlives the fleet.
   struct Context {
     Env* env = nullptr;
     StateClient* state = nullptr;
@@ -30,117 +41,43 @@
     NameTable* zones = nullptr;
     std::uint64_t fencing_token = 0;  // of shard 0
     int shard_count = 1;
-    std::function<bool()> exclusive_owner;
-    std::function<void(MachineTypes)> new_types;
+    std::function<bool()> exclusive_owner;        // nobody else can lead shard 0 now
+    std::function<void(MachineTypes)> new_types;  // the cloud's list of machine types, as last asked for
   };
   explicit Fleet(Context context);
 
+  // Reads the recorded rentals, then begins to act.
   void start();
-  // A shard tells of its machines and its waiting tasks, and hears what to do with its machines.
+  // A shard tells of its machines and its waiting tasks, and hears what to do
+  // with its machines.
   FleetOrders take(ShardSummary summary);
 
  private:
-  struct Rented {
-    std::string address;
-    int type = 0;
-    int zone = 0;
-    bool spot = false;
-    double rented_at = 0;
-    bool listed = false;
-    int missing = 0;      // lists in a row without it
-    bool failed = false;  // the cloud says so
-    bool returning = false;
-    bool returned = false;
-    double returned_at = 0;
-    std::string why;
-  };
-  struct Market {
-    double refused_until = 0;
-    double backoff = 0;
-  };
-  // One record names all that is asked for in a step: a change a machine type and zone would use up the
-  // budget of changes just when jobs wait for machines.
-  struct Rental {
-    std::vector<RentalRequest> requests;
-    std::set<std::string> open;  // names of those whose outcome is not certain
-    double at = 0;
-  };
-  using MarketKey = std::tuple<int, int, bool>;
-
-  void load();
-  void step();
-  void refresh_types();
-  void poll_list(const std::string& from);
-  void take_list_page(const Json& body);
-  void end_list();
-  void note_reporting(const ShardSummary& summary);
-  [[nodiscard]] bool knows_all_of(const std::string& machine_name) const;
-  [[nodiscard]] bool heard_of(const std::string& machine_name) const;
-  [[nodiscard]] bool within_limit(const DemandSummary& demand) const;
-  void evaluate_machines();
+  void run_step();
+  // `step_s` seconds after the last step.
+  void act(double step_s);
   void plan();
-  void follow_ordinary_use(double step_s);
-  [[nodiscard]] double ordinary_spare() const;
-  void keep_ordinary(const std::vector<std::string>& names, const std::vector<FleetMachine>& machines,
-                     const std::vector<FleetType>& types);
-  [[nodiscard]] Resources as_unit(const DemandSummary& wanted) const;
-  [[nodiscard]] std::vector<FleetPlan::Rent> rents_for_large_gangs() const;
-  [[nodiscard]] std::optional<FleetPlan::Rent> rent_for(const DemandSummary& gang) const;
-  [[nodiscard]] std::vector<int> slots_by_shard(const DemandSummary& gang, int zone) const;
-  [[nodiscard]] bool allows(const DemandSummary& wanted, int type, int zone, bool spot) const;
-  void cordon_surplus(const std::vector<std::string>& names, const std::vector<FleetMachine>& machines,
-                      const std::vector<FleetType>& types);
-  void rent(const std::vector<FleetPlan::Rent>& wanted);
-  void record_rental(const std::string& name);
-  void call_rental(const std::string& name, const RentalRequest& request);
-  void on_rental(const std::string& name, const RentalRequest& request, const CloudReply& reply);
-  void drop_rental(const std::string& name);
-  void send_returns();
-  void start_return(const std::string& machine_name, Rented& rented, const std::string& why);
-  [[nodiscard]] const MachineSummary* reporting(const std::string& machine_name) const;
-  [[nodiscard]] std::vector<FleetDemand> demands() const;
-
-  template <typename F>
-  auto alive(F f) {
-    return [token = std::weak_ptr<bool>(alive_), f = std::move(f)](auto&&... args) mutable {
-      if (!token.expired()) f(std::forward<decltype(args)>(args)...);
-    };
-  }
+  void refresh_types();
+  [[nodiscard]] std::vector<FleetDemand> all_demands() const;
+  void log_if_due(const FleetView& view, const std::vector<FleetDemand>& demands);
+  void add_machine_orders(const ShardSummary& summary, FleetOrders& orders) const;
+  void add_waiting_hints(int shard, bool starving, FleetOrders& orders) const;
 
   Context ctx_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  struct Told {
-    ShardSummary summary;
-    double at = 0;
-    double since = 0;  // first heard from this owner
-  };
-  std::map<int, Told> summaries_;                          // by shard
-  std::map<std::string, const MachineSummary*> machines_;  // those in the summaries
-  std::set<std::string> cordoned_;
-  std::map<std::string, double> start_wish_;  // by workload: tasks are wanted to start within
-  int next_name_ = 0;
-  std::map<std::string, Rented> rented_;
-  std::map<std::string, Rental> rentals_;
-  std::map<MarketKey, Market> markets_;
-  std::set<std::string> list_seen_;
-  bool listing_ = false;
-  bool list_complete_ = false;  // at least one full list since we took over
-  double next_list_ = 0;
-  double next_types_ = 0;
-  int rent_calls_ = 0;
-  bool return_call_ = false;
-  double guarantee_wish_ = 60;  // any job: tasks are wanted to start within, the least that guarantees say
-  double used_cores_ = 0;       // smoothed
-  double headroom_share_ = 0;   // of all cores: what is wanted free, as last planned
-  double squares_ = 0;          // of the open jobs' cores, smoothed
-  OrdinaryUse ordinary_;        // smoothed likewise
-  double next_gang_rent_ = 0;
-  std::set<std::string> kept_;  // ordinary machines that are kept for work that may run nowhere else
-  double last_step_ = 0;
-  double began_ = 0;
-  double next_note_ = 0;
-  double trouble_until_ = 0;
-  bool knows_use_ = false;
+  ShardReports reports_;
+  MachineInventory inventory_;
+  RentalLedger rentals_;
+  DemandEstimate demand_;
+  FleetViewBuilder view_builder_;
+  MachineLiveness liveness_;
+  MachineReturns returns_;
+  ScaleOut scale_out_;
+  ScaleIn scale_in_;
+  double headroom_share_ = 0;  // of all cores: what is wanted free, as last planned
+  double last_step_at_ = 0;    // times are seconds of Env::now()
+  double next_types_at_ = 0;
+  double next_log_at_ = 0;
+  CallbackGuard callbacks_;
 };
 
 }  // namespace mothslip
--- /dev/null
+++ b/src/coordination/fleet/fleet_view.cpp
@@ -0,0 +1,108 @@
+#include "coordination/fleet/fleet_view.hpp"
+
+#include <algorithm>
+
+namespace mothslip {
+
+namespace {
+constexpr double kBootLate = 1.7;         // times boot_s: a machine that is not up by then is not counted on
+constexpr double kLeastBootLeft = 2.0;    // seconds that a machine that is not up needs at the least
+constexpr double kRequestTrusted = 10.0;  // seconds: a rental without an answer is counted on this long
+}  // namespace
+
+double FleetView::total_cores() const {
+  double out = 0;
+  for (const FleetMachine& machine : machines) {
+    out += types[static_cast<std::size_t>(machine.type)].capacity[0];
+  }
+  return out;
+}
+
+double FleetView::price_per_core(const FleetMachine& machine) const {
+  const FleetType& type = types[static_cast<std::size_t>(machine.type)];
+  return (machine.spot ? type.spot_price : type.hourly) / std::max(1.0, type.capacity[0]);
+}
+
+FleetView FleetViewBuilder::build() const {
+  FleetView view;
+  add_types(view);
+  add_machines(view);
+  add_requested(view);
+  return view;
+}
+
+void FleetViewBuilder::add_types(FleetView& view) const {
+  const std::vector<MachineType>& all = sources_.types.all();
+  for (std::size_t t = 0; t < all.size(); t++) {
+    const MachineType& type = all[t];
+    FleetType out;
+    out.capacity = {type.cores, type.memory_gb, type.accelerators};
+    out.hourly = type.hourly;
+    out.spot_price = type.spot_price;
+    out.boot_s = type.boot_s;
+    out.fetch_gb_per_s = type.fetch_gb_per_s;
+    add_markets(view, static_cast<int>(t), type);
+    view.types.push_back(std::move(out));
+  }
+}
+
+void FleetViewBuilder::add_markets(FleetView& view, int type, const MachineType& machine_type) const {
+  for (const std::string& zone_name : machine_type.zones) {
+    const int zone = sources_.zones.intern(zone_name);
+    for (const bool spot : {true, false}) {
+      FleetMarket market;
+      market.type = type;
+      market.zone = zone;
+      market.spot = spot;
+      market.refused = sources_.rentals.is_refused(type, zone, spot);
+      view.markets.push_back(market);
+    }
+  }
+}
+
+void FleetViewBuilder::add_machines(FleetView& view) const {
+  for (const auto& [name, rented] : sources_.inventory.machines()) {
+    if (rented.returned) continue;
+    FleetMachine out = to_fleet_machine(name, rented, view.types[static_cast<std::size_t>(rented.type)]);
+    for (FleetMarket& market : view.markets) {
+      if (market.type == out.type && market.zone == out.zone && market.spot == out.spot) market.rented++;
+    }
+    view.machines.push_back(std::move(out));
+    view.names.push_back(name);
+  }
+}
+
+FleetMachine FleetViewBuilder::to_fleet_machine(const std::string& name, const RentedMachine& rented,
+                                                const FleetType& type) const {
+  FleetMachine out;
+  out.type = rented.type;
+  out.zone = rented.zone;
+  out.spot = rented.spot;
+  const MachineSummary* reported = sources_.reports.machine(name);
+  if (reported != nullptr) {
+    out.usable = reported->schedulable && !rented.returning;
+    out.rooms = reported->rooms;
+    return out;
+  }
+  const double age = sources_.env.now() - rented.rented_at;
+  out.usable = !rented.returning && !rented.failed && age < kBootLate * type.boot_s;
+  out.rooms.push_back({std::max(kLeastBootLeft, type.boot_s - age), type.capacity});
+  return out;
+}
+
+// What is being asked for counts as booting, or it would be asked for again every second until answered.
+void FleetViewBuilder::add_requested(FleetView& view) const {
+  sources_.rentals.for_each_open([this, &view](const RentalLedger::OpenRequest& open) {
+    FleetMachine out;
+    out.type = sources_.types.find(open.request.machine_type);
+    if (out.type < 0) return;
+    out.zone = sources_.zones.intern(open.request.zone);
+    out.spot = open.request.spot;
+    out.usable = sources_.env.now() - open.asked_at < kRequestTrusted;
+    const FleetType& type = view.types[static_cast<std::size_t>(out.type)];
+    out.rooms.push_back({type.boot_s, type.capacity});
+    for (int i = 0; i < open.request.how_many; i++) view.machines.push_back(out);
+  });
+}
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/fleet/machine_returns.hpp
@@ -0,0 +1,38 @@
+// The calls that return machines to the cloud.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "coordination/fleet/callback_guard.hpp"
+#include "coordination/fleet/cloud_client.hpp"
+#include "coordination/fleet/machine_inventory.hpp"
+#include "coordination/fleet/shard_reports.hpp"
+
+namespace mothslip {
+
+class MachineReturns {
+ public:
+  // The arguments outlive this object.
+  MachineReturns(const Env& env, CloudClient& cloud, const Settings& settings, const ShardReports& reports,
+                 MachineInventory& inventory);
+
+  // Returns the machines that are marked for it and drained, one call at a time, when a call may be made. A
+  // call is repeated until the cloud confirms it.
+  void send();
+
+ private:
+  [[nodiscard]] std::vector<std::string> ready_to_return() const;
+  [[nodiscard]] bool may_be_returned(const std::string& machine_name, const RentedMachine& machine) const;
+  void on_reply(const std::vector<std::string>& machine_names, const CloudReply& reply);
+
+  const Env& env_;
+  CloudClient& cloud_;
+  const Settings& settings_;
+  const ShardReports& reports_;
+  MachineInventory& inventory_;
+  bool call_open_ = false;
+  CallbackGuard callbacks_;
+};
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/fleet/scale_out.cpp
@@ -0,0 +1,123 @@
+#include "coordination/fleet/scale_out.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "scheduling/gang.hpp"
+
+namespace mothslip {
+
+namespace {
+constexpr double kSilentShard = 20.0;      // seconds: a shard that stays silent longer is not waited for
+constexpr double kGangAge = 2.0;           // seconds: a gang that has waited so long gets machines of its own
+constexpr double kGangRentInterval = 2.5;  // seconds: by then it is known to which shards those rented fall
+constexpr int kMaxGangRent = 8;            // machines at once
+
+Resources capacity_of(const MachineType& type) { return {type.cores, type.memory_gb, type.accelerators}; }
+}  // namespace
+
+ScaleOut::ScaleOut(const ScaleOutSources& sources, RentalLedger& rentals)
+    : sources_(sources), rentals_(rentals) {}
+
+// A shard that stays silent must not keep the others from their machines.
+bool ScaleOut::knows_what_there_is() const {
+  if (!sources_.inventory.list_complete()) return false;
+  return sources_.reports.complete() || sources_.env.now() - started_at_ > kSilentShard;
+}
+
+void ScaleOut::rent(const FleetPlan& plan) {
+  if (!knows_what_there_is()) return;
+  std::vector<FleetPlan::Rent> rents = plan.rents;
+  const double now = sources_.env.now();
+  if (now >= next_gang_rent_at_) {
+    next_gang_rent_at_ = now + kGangRentInterval;
+    const DemandSummary* gang = oldest_large_gang();
+    const auto rent = gang != nullptr ? rent_for(*gang) : std::nullopt;
+    if (rent) rents.push_back(*rent);
+  }
+  rentals_.rent(rents);
+}
+
+// Of those that have waited a while and are within their team's limit; null: there is none.
+const DemandSummary* ScaleOut::oldest_large_gang() const {
+  const DemandSummary* oldest = nullptr;
+  for (const auto& [shard, report] : sources_.reports.all()) {
+    if (!sources_.reports.is_recent(report)) continue;
+    for (const DemandSummary& demand : report.summary.demands) {
+      if (!is_large_gang(demand)) continue;
+      const double waited_s = sources_.env.wall() - demand.submitted;
+      if (waited_s < kGangAge || !sources_.demand.within_limit(demand)) continue;
+      if (oldest == nullptr || demand.submitted < oldest->submitted) oldest = &demand;
+    }
+  }
+  return oldest;
+}
+
+// No single machine holds it.
+bool ScaleOut::is_large_gang(const DemandSummary& demand) const {
+  return demand.gang && demand.count >= 2 && gang_unit(demand, sources_.types) == demand.demand;
+}
+
+// A gang that no single machine holds needs several of one shard and, as a rule, of one zone. Which shard a
+// machine falls to shows only when it is rented: where no shard has enough, more are rented in the zone that
+// lacks least, until one has. (What is too much goes back when it is idle.)
+std::optional<FleetPlan::Rent> ScaleOut::rent_for(const DemandSummary& gang) const {
+  std::optional<GangOffer> best;
+  const std::vector<MachineType>& types = sources_.types.all();
+  for (std::size_t t = 0; t < types.size(); t++) {
+    if (slots(capacity_of(types[t]), gang.demand) == 0) continue;
+    for (const std::string& zone_name : types[t].zones) {
+      const int zone = sources_.zones.intern(zone_name);
+      const int missing = missing_slots(gang, zone);
+      if (missing <= 0) return std::nullopt;
+      for (const bool spot : {true, false}) {
+        const auto offer = offer_for(gang, static_cast<int>(t), zone, spot, missing);
+        if (offer && (!best || offer->better_than(*best))) best = offer;
+      }
+    }
+  }
+  return best ? std::optional(best->rent) : std::nullopt;
+}
+
+std::optional<ScaleOut::GangOffer> ScaleOut::offer_for(const DemandSummary& gang, int type, int zone,
+                                                       bool spot, int missing) const {
+  if (rentals_.is_refused(type, zone, spot) || !allows(gang, type, zone, spot)) return std::nullopt;
+  const MachineType& machine_type = sources_.types.at(type);
+  const int slots_each = slots(capacity_of(machine_type), gang.demand);
+  const int count = (missing + slots_each - 1) / slots_each;
+  GangOffer out;
+  out.rent = {type, zone, spot, std::min(count, kMaxGangRent)};
+  out.missing = missing;
+  out.price = (spot ? machine_type.spot_price : machine_type.hourly) * count;
+  return out;
+}
+
+// Tasks of the gang for which the shard that has most room in the zone has none.
+int ScaleOut::missing_slots(const DemandSummary& gang, int zone) const {
+  const std::vector<int> by_shard = slots_by_shard(gang, zone);
+  return gang.count - *std::max_element(by_shard.begin(), by_shard.end());
+}
+
+// Tasks of the gang that each shard's machines in this zone could hold if they were empty. A shard owns the
+// machines whose names hash to it: those that are still booting count too.
+std::vector<int> ScaleOut::slots_by_shard(const DemandSummary& gang, int zone) const {
+  const int shard_count = sources_.reports.shard_count();
+  std::vector<int> out(static_cast<std::size_t>(shard_count));
+  for (const auto& [name, rented] : sources_.inventory.machines()) {
+    if (rented.returned || rented.returning || rented.failed || rented.zone != zone) continue;
+    if (!allows(gang, rented.type, zone, rented.spot)) continue;
+    const MachineSummary* reported = sources_.reports.machine(name);
+    if (reported != nullptr && !reported->schedulable) continue;
+    out[static_cast<std::size_t>(shard_of(name, shard_count))] +=
+        slots(capacity_of(sources_.types.at(rented.type)), gang.demand);
+  }
+  return out;
+}
+
+bool ScaleOut::allows(const DemandSummary& gang, int type, int zone, bool spot) const {
+  if (spot && !gang.allows_spot) return false;
+  if (!gang.zone.empty() && sources_.zones.intern(gang.zone) != zone) return false;
+  return allows_type(gang, sources_.types.at(type).name);
+}
+
+}  // namespace mothslip
--- a/src/coordination/fleet/shard_summary.hpp
+++ b/src/coordination/fleet/shard_summary.hpp
@@ -1,7 +1,10 @@
-// What a shard tells the fleet, and what the fleet tells it back. Between nodes both travel as JSON.
+// What the leader of a shard tells the fleet's leader once a second, and what that answers. Between nodes
+// both travel as JSON.
 #pragma once
 
+#include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -10,6 +13,7 @@
 
 namespace mothslip {
 
+// A machine that reports to the shard.
 struct MachineSummary {
   std::string name;
   std::string machine_type;
@@ -20,26 +24,27 @@
   bool faulty = false;
   bool draining = false;
   bool empty = false;            // nothing placed, and that is durable
-  double silent_s = 0;           // since its last report
-  double idle_s = 0;             // since it last had a placement
+  double silent_s = 0;           // seconds since its last heartbeat
+  double idle_s = 0;             // seconds since it last had a placement
   std::vector<FleetRoom> rooms;  // free now, and when placed tasks are expected to end
 };
 
+// Waiting tasks of one job.
 struct DemandSummary {
-  Resources demand{};
+  Resources demand{};  // of a task
   int count = 0;
-  int team = 0;
-  int urgency = 0;
+  int team = 0;     // index
+  int urgency = 0;  // see Urgency; 0: best-effort
   double estimated_s = 0;
   double image_gb = 0;
-  double time_left_s = 1e9;
+  double time_left_s = 1e9;  // until the deadline; huge: none
   std::string job_class;
   bool allows_spot = false;
   std::vector<std::string> machine_types;  // empty: any
   std::string zone;                        // empty: any
-  double submitted = 0;
-  bool starving = false;  // of its job nothing has begun for long
-  bool gang = false;      // the tasks start together: they are asked for as one
+  double submitted = 0;                    // seconds since the epoch
+  bool starving = false;                   // of its job nothing has begun for long
+  bool gang = false;                       // the tasks start together: they are asked for as one
 };
 
 // Work that may only run on ordinary machines: what it takes, and what that varies by.
@@ -51,6 +56,7 @@
   [[nodiscard]] bool empty() const { return cores <= 0; }
 };
 
+// What a shard has and wants.
 struct ShardSummary {
   int shard = 0;
   std::uint64_t fencing_token = 0;
@@ -62,6 +68,7 @@
   std::vector<DemandSummary> demands;
 
   [[nodiscard]] Json to_json() const;
+  // nullopt when malformed.
   static std::optional<ShardSummary> from_json(const Json& value);
 };
 
@@ -75,14 +82,16 @@
   double least_cores = 0;  // of the smallest machine type that can hold it; for the shard to work out
 };
 
+// What a shard is to do with its machines, by their names.
 struct FleetOrders {
-  std::vector<std::string> draining;
-  std::vector<std::string> cordoned;
-  std::vector<std::string> removed;  // the cloud confirmed it
+  std::vector<std::string> draining;  // start nothing, and let what runs end or move
+  std::vector<std::string> cordoned;  // start nothing that could go elsewhere
+  std::vector<std::string> removed;   // the cloud confirmed it
   std::vector<WaitingHint> waiting;
   double headroom_share = 0;  // of the machines' cores, kept free of best-effort work
 
   [[nodiscard]] Json to_json() const;
+  // Without any orders when malformed.
   static FleetOrders from_json(const Json& value);
 };
 
