--- a/src/recovery/rebuilt_records.cpp
+++ b/src/recovery/rebuilt_records.cpp
@@ -204,6 +204,7 @@
 
   [[nodiscard]] std::vector<ShardUse> use_of_team(int team) {
     std::vector<ShardUse> out;
+    out.reserve(static_cast<std::size_t>(scope_.shards));
     for (int shard = 0; shard < scope_.shards; shard++) out.push_back(use_[{team, shard}]);
     return out;
   }
