--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -81,6 +81,25 @@
   return false;
 }
 
+// Gives how many machines hold members of the gang; the first two are taken away.
+int give_notice_to_two_members(World& world, const std::string& ref) {
+  int members = 0;
+  for (auto& [name, worker] : world.workers) {
+    const bool member = std::any_of(worker->tasks.begin(), worker->tasks.end(),
+                                    [&ref](const Task& task) { return task.ref == ref; });
+    if (member && members++ < 2) take_away(world, *worker, 14);
+  }
+  return members;
+}
+
+bool stop_is_recorded(const World& world) {
+  const auto& values = world.state.values();
+  return std::any_of(values.begin(), values.end(), [](const auto& record) {
+    const auto& [key, value] = record;
+    return key.rfind("h/", 0) == 0 && value.dump().find("\"x\":[") != std::string::npos;
+  });
+}
+
 }  // namespace
 
 TEST_P(Gang, AllOfThemOnAQuietDay) {
@@ -179,19 +198,11 @@
   world.submit(job);
   int stopped_without_record = 0;
   world.at(75, [&] {
-    int warned = 0;
-    for (auto& [name, worker] : world.workers) {
-      const bool member = std::any_of(worker->tasks.begin(), worker->tasks.end(),
-                                      [&ref](const Task& task) { return task.ref == ref; });
-      if (member && warned++ < 2) take_away(world, *worker, 14);
-    }
-    ASSERT_GT(warned, 1);
+    const int members = give_notice_to_two_members(world, ref);
+    ASSERT_GT(members, 1);
   });
   world.network.on_commit = [&](const std::string&, const Json&) {
-    bool recorded = false;
-    for (const auto& [key, value] : world.state.values())
-      recorded |= key.rfind("h/", 0) == 0 && value.dump().find("\"x\":[") != std::string::npos;
-    if (!recorded && world.gangs.saves == 0 && find_member(world, "saving") != nullptr)
+    if (!stop_is_recorded(world) && world.gangs.saves == 0 && find_member(world, "saving") != nullptr)
       stopped_without_record++;
   };
   world.troubles_end = 95;
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -37,6 +37,112 @@
   for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, back_after);
 }
 
+// Of those named: machines that have been given back or have died.
+template <class Names>
+int count_dead(const World& world, const Names& names) {
+  int dead = 0;
+  for (const std::string& name : names) dead += world.workers.at(name)->dead ? 1 : 0;
+  return dead;
+}
+
+// The red jobs have one home shard: their tasks are delegated to the other shards. The other team's work ends
+// just before 60 s and leaves room.
+void submit_red_and_blue(World& world) {
+  for (int i = 0; i < 20; i++) {
+    UserJob job = plain_job(world, i, i < 14 ? 2 : 50, 8, i < 8 ? 160 : i < 14 ? 34 : 60, 2);
+    job.body["owner"] = i >= 8 && i < 14 ? "blue" : "red";
+    for (int n = 5000 + 100 * i; i < 8 && shard_of(job.ref, 3) != 0; n++)
+      job.ref = "job-00" + std::to_string(n);
+    job.body["ref"] = job.ref;
+    world.submit(job);
+  }
+}
+
+// What the red team uses at a time.
+struct RedTasks {
+  double cores = 0;
+  int delegated = 0;               // tasks on machines of another shard
+  std::set<std::string> machines;  // those machines
+};
+
+RedTasks find_red_tasks(const World& world) {
+  RedTasks out;
+  for (const auto& [name, worker] : world.workers) {
+    for (const Task& task : worker->tasks) {
+      if (!worker->on_machine(task) || task.job->team != "red") continue;
+      out.cores += task.job->cores;
+      if (shard_of(task.ref, 3) == shard_of(name, 3)) continue;
+      out.delegated++;
+      out.machines.insert(name);
+    }
+  }
+  return out;
+}
+
+// Their tasks fail on every machine, until they are cancelled. Gives their names.
+std::vector<std::string> submit_mistaken(World& world) {
+  std::vector<std::string> out;
+  for (int i = 20; i < 25; i++) {
+    UserJob job = plain_job(world, i + 20, 25 + 1.5 * (i - 20), 20, 10, 1);
+    job.mistaken = true;
+    job.cancel_at = 120;
+    out.push_back(job.ref);
+    world.submit(job);
+  }
+  return out;
+}
+
+int count_starts(const World& world, const std::vector<std::string>& refs) {
+  int out = 0;
+  for (const std::string& ref : refs) {
+    for (const auto& [index, starts] : world.jobs.at(ref).starts) out += starts;
+  }
+  return out;
+}
+
+// One of the troubles of the scenarios below, at a node or a machine drawn by lot.
+void trouble_by_lot(World& world) {
+  const int node = some_node(world);
+  Worker* worker = some_worker(world);
+  const double for_s = world.uniform(2, 40);
+  switch (world.rng() % 9) {
+    case 0:
+      world.nodes.crash(node, world.rng() % 2 == 0 ? 0.1 : 8);
+      break;
+    case 1:
+      world.state.set_outage(true);
+      world.in(world.rng() % 3 == 0 ? for_s + 15 : 5, [&world] { world.state.set_outage(false); });
+      break;
+    case 2:
+      world.network.cut_node(node, world.rng() % 2 == 0);
+      world.in(for_s, [&world] { world.network.mend_nodes(); });
+      break;
+    case 3:
+      world.nodes.freeze(node, for_s);
+      break;
+    case 4:
+      if (worker == nullptr) break;
+      worker->inbound_unreachable = true;
+      world.in(for_s, [worker] { worker->inbound_unreachable = false; });
+      break;
+    case 5:
+      if (worker == nullptr) break;
+      worker->outbound_unreachable = true;
+      world.in(for_s, [worker] { worker->outbound_unreachable = false; });
+      break;
+    case 6:
+      if (worker != nullptr) worker->hang(for_s);
+      break;
+    case 7:
+      if (worker != nullptr) worker->reboot(world.rng() % 2 == 0);
+      break;
+    default:
+      for (auto& [ref, job] : world.jobs) {
+        if (job.accepted && !job.told_done && world.rng() % 6 == 0) world.cancel_job(ref);
+      }
+  }
+}
+
 }  // namespace
 
 // Reports that a cut held back arrive at the owner that has taken the shard over meanwhile and acted; with
@@ -285,30 +391,11 @@
   tight.team_max = 40;
   World world(tight);
   world.network.hold_share = 0;
-  // The other team's work ends just before and leaves room.
-  for (int i = 0; i < 20; i++) {
-    UserJob job = plain_job(world, i, i < 14 ? 2 : 50, 8, i < 8 ? 160 : i < 14 ? 34 : 60, 2);
-    job.body["owner"] = i >= 8 && i < 14 ? "blue" : "red";
-    // The red jobs have one home shard: their tasks are delegated to the other shards.
-    for (int n = 5000 + 100 * i; i < 8 && shard_of(job.ref, 3) != 0; n++)
-      job.ref = "job-00" + std::to_string(n);
-    job.body["ref"] = job.ref;
-    world.submit(job);
-  }
-  double used = 0;
-  int delegated_here = 0;  // delegated tasks on machines that cannot be asked
+  submit_red_and_blue(world);
+  RedTasks red;
   world.at(60, [&] {
-    std::set<std::string> away;
-    for (auto& [name, worker] : world.workers) {
-      for (const Task& task : worker->tasks) {
-        if (!worker->on_machine(task) || task.job->team != "red") continue;
-        used += task.job->cores;
-        if (shard_of(task.ref, 3) == shard_of(name, 3)) continue;
-        delegated_here++;
-        away.insert(name);
-      }
-    }
-    for (const std::string& name : away) world.network.cut_off(name);
+    red = find_red_tasks(world);
+    for (const std::string& name : red.machines) world.network.cut_off(name);  // they cannot be asked
     for (auto& [ref, job] : world.jobs) {
       if (job.run_s > 100) world.cancel_job(ref);
     }
@@ -320,8 +407,8 @@
   world.run_until(1500);
 
   expect_kept(world);
-  EXPECT_GE(used, 36);
-  EXPECT_GE(delegated_here, 1);
+  EXPECT_GE(red.cores, 36);
+  EXPECT_GE(red.delegated, 1);
 }
 
 // Commands and their answers are held up for seconds, and the machines then go on: hung ones take what came
@@ -397,14 +484,7 @@
   calm.team_max = 160;
   World world(calm);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, 2 + i * 1.8, 16, 10, 4));
-  std::vector<std::string> mistaken;
-  for (int i = 20; i < 25; i++) {
-    UserJob job = plain_job(world, i + 20, 25 + 1.5 * (i - 20), 20, 10, 1);
-    job.mistaken = true;
-    job.cancel_at = 120;
-    mistaken.push_back(job.ref);
-    world.submit(job);
-  }
+  const std::vector<std::string> mistaken = submit_mistaken(world);
   std::string faulty;
   std::set<std::string> good;
   world.at(24, [&] {
@@ -419,9 +499,7 @@
     }
   });
   int lost = 0;
-  world.at(60, [&] {
-    for (const std::string& name : good) lost += world.workers.at(name)->dead ? 1 : 0;
-  });
+  world.at(60, [&] { lost = count_dead(world, good); });
 
   world.run_until(400);
 
@@ -429,10 +507,7 @@
   EXPECT_TRUE(world.workers.at(faulty)->dead) << "the faulty machine is still kept";
   EXPECT_GT(good.size(), 6u);
   EXPECT_LE(4u * static_cast<unsigned>(lost), good.size()) << "good machines were given back as faulty";
-  int tries = 0;
-  for (const std::string& ref : mistaken) {
-    for (const auto& [index, starts] : world.jobs.at(ref).starts) tries += starts;
-  }
+  const int tries = count_starts(world, mistaken);
   EXPECT_GE(tries, 15);
   EXPECT_LT(tries, 250);
 }
@@ -456,9 +531,7 @@
   });
   int lost = 0;
   world.at(84, [&] {
-    for (const auto& [shard, names] : idle) {
-      for (const std::string& name : names) lost += world.workers.at(name)->dead ? 1 : 0;
-    }
+    for (const auto& [shard, names] : idle) lost += count_dead(world, names);
   });
   world.troubles_end = 95;
 
@@ -478,47 +551,7 @@
   world.network.hold_share = 0.6;
   add_jobs(world, 2, 140);
   for (double t = 20; t < 150; t += world.uniform(2, 9)) {
-    world.at(t, [&world] {
-      const int node = some_node(world);
-      Worker* worker = some_worker(world);
-      const double for_s = world.uniform(2, 40);
-      switch (world.rng() % 9) {
-        case 0:
-          world.nodes.crash(node, world.rng() % 2 == 0 ? 0.1 : 8);
-          break;
-        case 1:
-          world.state.set_outage(true);
-          world.in(world.rng() % 3 == 0 ? for_s + 15 : 5, [&world] { world.state.set_outage(false); });
-          break;
-        case 2:
-          world.network.cut_node(node, world.rng() % 2 == 0);
-          world.in(for_s, [&world] { world.network.mend_nodes(); });
-          break;
-        case 3:
-          world.nodes.freeze(node, for_s);
-          break;
-        case 4:
-          if (worker == nullptr) break;
-          worker->inbound_unreachable = true;
-          world.in(for_s, [worker] { worker->inbound_unreachable = false; });
-          break;
-        case 5:
-          if (worker == nullptr) break;
-          worker->outbound_unreachable = true;
-          world.in(for_s, [worker] { worker->outbound_unreachable = false; });
-          break;
-        case 6:
-          if (worker != nullptr) worker->hang(for_s);
-          break;
-        case 7:
-          if (worker != nullptr) worker->reboot(world.rng() % 2 == 0);
-          break;
-        default:
-          for (auto& [ref, job] : world.jobs) {
-            if (job.accepted && !job.told_done && world.rng() % 6 == 0) world.cancel_job(ref);
-          }
-      }
-    });
+    world.at(t, [&world] { trouble_by_lot(world); });
   }
   world.at(190, [&world] {
     world.options.late_writes = world.options.copies = 0;
--- a/tests/sim/checks.cpp
+++ b/tests/sim/checks.cpp
@@ -31,25 +31,31 @@
   for (const auto& [group, counts] : served) EXPECT_GE(2 * counts.first, counts.second) << group;
 }
 
-// The largest of each class, by the cores of all their tasks: the upper fifth, and at least one. They begin
-// within four minutes of their submission, or of the troubles' end.
-void expect_largest_begun(const World& world) {
+// By the cores of all their tasks: the upper fifth, and at least one.
+std::vector<const UserJob*> largest_of_each_class(const World& world) {
   std::map<std::string, std::vector<const UserJob*>> classes;
   for (const auto& [ref, job] : world.jobs) {
     if (job.accepted && job.cancel_at < 0 && !job.cancel_asked && !job.mistaken)
       classes[job.body["workload"].get<std::string>()].push_back(&job);
   }
+  std::vector<const UserJob*> out;
   for (auto& [job_class, jobs] : classes) {
     std::sort(jobs.begin(), jobs.end(), [](const UserJob* a, const UserJob* b) {
       return a->task_count * a->cores > b->task_count * b->cores;
     });
     jobs.resize(std::max<std::size_t>(1, jobs.size() / 5));
-    for (const UserJob* job : jobs) {
-      const bool troubled = world.troubles_end < 1e17 && job->submit_at < world.troubles_end;
-      const double since = troubled ? world.troubles_end : job->submit_at;
-      EXPECT_GE(job->first_start, 0) << job->ref;
-      EXPECT_LE(job->first_start - since, kLargestBeginWithinS) << job->ref;
-    }
+    out.insert(out.end(), jobs.begin(), jobs.end());
+  }
+  return out;
+}
+
+// They begin within four minutes of their submission, or of the troubles' end.
+void expect_largest_begun(const World& world) {
+  for (const UserJob* job : largest_of_each_class(world)) {
+    const bool troubled = world.troubles_end < 1e17 && job->submit_at < world.troubles_end;
+    const double since = troubled ? world.troubles_end : job->submit_at;
+    EXPECT_GE(job->first_start, 0) << job->ref;
+    EXPECT_LE(job->first_start - since, kLargestBeginWithinS) << job->ref;
   }
 }
 
--- a/tests/sim/rule_checker.cpp
+++ b/tests/sim/rule_checker.cpp
@@ -33,6 +33,8 @@
     if (world_.now - job.aborted_at > world_.options.lease_s)
       world_.broken("started after its cancellation: " + task.ref);
   }
+  check_runs_once(worker, task);
+  check_quota(job.team);
   check_places(worker, task);
   if (job.told_aborted && world_.now - job.aborted_at > kCancelS)
     world_.broken("ran_cancelled: " + task.ref + " starts");
@@ -45,26 +47,39 @@
   job.last_attempt = std::max(job.last_attempt, task.attempt);
 }
 
-// It runs once, under its team's limit, and where its job may run.
+void RuleChecker::check_runs_once(const Worker& worker, const Task& task) const {
+  for (const auto& [name, other] : world_.workers) {
+    if (other->dead) continue;
+    for (const Task& each : other->tasks) {
+      if (!other->on_machine(each) || each.job != task.job || each.index != task.index) continue;
+      if (other.get() == &worker && each.attempt == task.attempt) continue;
+      world_.broken("ran_twice: " + task.ref + "/" + std::to_string(task.index) + " on " + worker.name +
+                    " and " + name);
+    }
+  }
+}
+
+void RuleChecker::check_quota(const std::string& team) const {
+  double used = 0;
+  for (const auto& [name, worker] : world_.workers) {
+    if (worker->dead) continue;
+    for (const Task& each : worker->tasks) {
+      if (worker->on_machine(each) && each.job->team == team) used += each.job->cores;
+    }
+  }
+  if (used > world_.options.team_max + kRounding)
+    world_.broken("quota: " + team + " uses " + std::to_string(used));
+}
+
 void RuleChecker::check_places(const Worker& worker, const Task& task) const {
   const UserJob& job = *task.job;
-  std::map<std::string, int> in_zone;
-  double used = 0;
+  std::map<std::string, int> in_zone;  // tasks of the job
   for (const auto& [name, other] : world_.workers) {
     if (other->dead) continue;
     for (const Task& each : other->tasks) {
-      if (!other->on_machine(each)) continue;
-      if (each.job->team == job.team) used += each.job->cores;
-      if (each.job != &job) continue;
-      in_zone[other->zone]++;
-      if (each.index == task.index && !(other.get() == &worker && each.attempt == task.attempt)) {
-        world_.broken("ran_twice: " + task.ref + "/" + std::to_string(task.index) + " on " + worker.name +
-                      " and " + name);
-      }
+      if (other->on_machine(each) && each.job == &job) in_zone[other->zone]++;
     }
   }
-  if (used > world_.options.team_max + kRounding)
-    world_.broken("quota: " + job.team + " uses " + std::to_string(used));
   if (worker.spot && !may_use_spot(job)) world_.broken("wrong_place: " + task.ref + " on spot");
   if (!may_run_in(job, worker.zone)) world_.broken("wrong_place: " + task.ref + " hall");
   if (is_bound_to_one_zone(job) && in_zone.size() > 1) world_.broken("wrong_place: " + task.ref + " apart");
--- a/tests/sim/rule_checker.hpp
+++ b/tests/sim/rule_checker.hpp
@@ -38,6 +38,9 @@
   void check_cancelled() const;
   void check_launch(const std::string& from, const std::string& node, const Json& order);
   void check_attempt(const Task& task);
+  void check_runs_once(const Worker& worker, const Task& task) const;
+  void check_quota(const std::string& team) const;
+  // That it runs where its job may run.
   void check_places(const Worker& worker, const Task& task) const;
   [[nodiscard]] bool could_run(const UserJob& job) const;
   [[nodiscard]] std::optional<double> cores_of_team_without(const UserJob& job) const;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -23,6 +23,22 @@
   }
 };
 
+// A few large jobs, a steady stream of small ones, and a burst. Gives the names of the large ones.
+std::vector<std::string> submit_three_classes(World& world) {
+  std::vector<std::string> largest;
+  for (int i = 0; i < 90; i++) {
+    const bool burst = i % 3 == 0;
+    const bool large = i % 15 == 7;
+    const double at = burst ? world.uniform(60, 75) : large ? world.uniform(20, 120) : world.uniform(2, 300);
+    UserJob job = plain_job(world, i, at, 6, 12, large ? 16 : burst ? 2 : 4);
+    job.body["workload"] = large ? "large" : burst ? "burst" : "stream";
+    job.body["urgency"] = large ? "normal" : "urgent";
+    if (large) largest.push_back(job.ref);
+    world.submit(job);
+  }
+  return largest;
+}
+
 }  // namespace
 
 TEST_P(Cluster, QuietDay) {
@@ -395,17 +411,7 @@
 // all the same.
 TEST_P(Cluster, TheLargestJobsBeginWithinFourMinutes) {
   World world(options());
-  std::vector<std::string> largest;
-  for (int i = 0; i < 90; i++) {
-    const bool burst = i % 3 == 0;
-    const bool large = i % 15 == 7;
-    const double at = burst ? world.uniform(60, 75) : large ? world.uniform(20, 120) : world.uniform(2, 300);
-    UserJob job = plain_job(world, i, at, 6, 12, large ? 16 : burst ? 2 : 4);
-    job.body["workload"] = large ? "large" : burst ? "burst" : "stream";
-    job.body["urgency"] = large ? "normal" : "urgent";
-    if (large) largest.push_back(job.ref);
-    world.submit(job);
-  }
+  const std::vector<std::string> largest = submit_three_classes(world);
 
   world.run_until(900);
 
