--- /dev/null
+++ b/src/coordination/shard/journal_outcome.cpp
@@ -0,0 +1,151 @@
+#include "coordination/shard/journal_outcome.hpp"
+
+#include <algorithm>
+
+#include "coordination/shard/gang_scheduler.hpp"
+#include "coordination/shard/task_delegation.hpp"
+#include "coordination/shard/worker_commands.hpp"
+
+namespace mothslip {
+
+JournalOutcome::JournalOutcome(const ShardContext& context, ShardModel& model, Collaborators collaborators,
+                               JournalSegments& segments, JournalWriteBuilder& builder,
+                               PendingJournalChanges& pending)
+    : ctx_(context),
+      model_(model),
+      gangs_(collaborators.gangs),
+      delegation_(collaborators.delegation),
+      commands_(collaborators.commands),
+      segments_(segments),
+      builder_(builder),
+      pending_(pending) {}
+
+void JournalOutcome::on_written(const JournalWrite& write, std::uint64_t revision) {
+  for (const int number : write.puts) segments_.at(number).revision = revision;
+  for (const int number : write.removes) segments_.erase(number);
+  for (const auto& [delegation, record] : write.delegations) {
+    const auto delegated = delegation.job->delegated.find(delegation.key);
+    if (delegated != delegation.job->delegated.end())
+      delegated->second.revision = std::max(delegated->second.revision, revision);
+  }
+  for (const auto& [job, indices] : write.completions) job->saved(indices);
+  gangs_.gangs_written(set_recorded(write));
+  const std::set<JobPtr> stopped = set_stops_recorded(write);
+  drop_removed(write);
+  gangs_.stops_written(stopped);
+  for (const PlacementRef& ref : write.added) {
+    const auto it = model_.machines().find(ref.machine);
+    if (it != model_.machines().end()) commands_.answer(*it->second);
+  }
+}
+
+// Returns the gangs among the jobs.
+std::set<JobPtr> JournalOutcome::set_recorded(const JournalWrite& write) {
+  std::set<JobPtr> gangs;
+  for (const PlacementRef& ref : write.added) {
+    Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
+    if (placement == nullptr) continue;
+    if (placement->stage == Placement::Stage::kNew) placement->stage = Placement::Stage::kRecorded;
+    if (placement->job->is_gang()) gangs.insert(placement->job);
+  }
+  return gangs;
+}
+
+// Returns the gangs that are being stopped.
+std::set<JobPtr> JournalOutcome::set_stops_recorded(const JournalWrite& write) {
+  std::set<JobPtr> stopped;
+  for (const PlacementRef& ref : write.stops) {
+    Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
+    if (placement == nullptr) continue;
+    placement->stop_recorded = true;
+    stopped.insert(placement->job);
+  }
+  return stopped;
+}
+
+void JournalOutcome::drop_removed(const JournalWrite& write) {
+  for (const PlacementRef& ref : write.removed) {
+    const auto it = model_.machines().find(ref.machine);
+    if (it == model_.machines().end()) continue;
+    const auto& placements = it->second->placements;
+    const auto found = std::find_if(placements.begin(), placements.end(), [&ref](const Placement& placement) {
+      return placement.attempt == ref.attempt && placement.index == ref.index;
+    });
+    if (found == placements.end()) continue;
+    model_.drop_placement(*it->second, static_cast<std::size_t>(found - placements.begin()));
+  }
+}
+
+// Only job records may have changed: they were cancelled meanwhile, by this leader or, of delegated ones, by
+// their home shard. Nothing of this was written; what belongs to other jobs is tried again.
+bool JournalOutcome::on_refused(const JournalWrite& write, const std::vector<std::string>& failed) {
+  const std::set<std::string> failed_keys(failed.begin(), failed.end());
+  std::set<JobPtr> delegated_here;
+  for (const std::string& key : failed_keys) {
+    if (!explains_refusal(write, key, delegated_here)) return false;
+  }
+  for (const JobPtr& job : delegated_here) delegation_.drop_delegated(job);
+  segments_.undo_created(write);
+  undo_delegations(write, failed_keys);
+  segments_.undo_moved(write);
+  undo_added(write, failed_keys);
+  mark_segments(write);
+  pending_.has_new_placements = true;
+  if (!write.completions.empty() && pending_.unrecorded_since == 0)
+    pending_.unrecorded_since = ctx_.env->now() - PendingJournalChanges::kCompletionDelayS;
+  return true;
+}
+
+// Whether the guard on the key may fail while this shard is led as before. Collects the delegations to this
+// shard whose job record it is.
+bool JournalOutcome::explains_refusal(const JournalWrite& write, const std::string& key,
+                                      std::set<JobPtr>& delegated_here) const {
+  bool explained = false;
+  for (const auto& [name, job] : model_.jobs()) {
+    if (keys::job_record(job->home_shard, job->spec().ref) != key) continue;
+    if (job->delegated_here()) delegated_here.insert(job);
+    explained |= job->delegated_here() || job->cancelling || job->record.aborted;
+  }
+  // A job that is no longer here has ended, and its new placements with it.
+  const std::string own_records = keys::job_records(ctx_.shard);
+  explained |= key.rfind(own_records, 0) == 0 && model_.jobs().count(key.substr(own_records.size())) == 0;
+  explained |= write.delegate_shards.count(key) > 0;  // the leader that was to take tasks was deposed
+  return explained;
+}
+
+void JournalOutcome::undo_delegations(const JournalWrite& write, const std::set<std::string>& failed) {
+  for (const auto& [delegation, record] : write.delegations) {
+    const bool revoked = failed.count(keys::shard(delegation.to)) > 0 ||
+                         failed.count(keys::job_record(ctx_.shard, delegation.job->spec().ref)) > 0;
+    if (revoked) {
+      builder_.revoke_delegation(delegation);
+    } else {
+      pending_.delegations.push_back(delegation);
+    }
+  }
+}
+
+void JournalOutcome::undo_added(const JournalWrite& write, const std::set<std::string>& failed) {
+  for (const PlacementRef& ref : write.added) {
+    Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
+    if (placement == nullptr) continue;
+    placement->segment = 0;
+    if (failed.count(keys::job_record(placement->job->home_shard, placement->job->spec().ref)) > 0)
+      model_.free_placement(*placement, 0);
+    pending_.has_freed_placements = true;
+  }
+}
+
+// The segments that the write would have changed have to be written (again).
+void JournalOutcome::mark_segments(const JournalWrite& write) {
+  for (const PlacementRef& ref : write.removed) {
+    if (write.created.count(ref.segment) == 0) segments_.at(ref.segment).dirty = true;
+  }
+  for (const int number : write.puts) {
+    // (Those that were split may be too large again: the next write finds out.)
+    if (write.created.count(number) == 0) segments_.recheck_size(number);
+  }
+  segments_.at(JournalSegments::kActiveSegment).dirty = true;
+}
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/shard/journal_outcome.hpp
@@ -0,0 +1,59 @@
+// Settles in memory what became of a write of the journal: it is durable, or it was refused as a whole.
+#pragma once
+
+#include <cstdint>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "coordination/shard/journal_segments.hpp"
+#include "coordination/shard/journal_write.hpp"
+#include "coordination/shard/journal_write_builder.hpp"
+#include "coordination/shard/shard_context.hpp"
+#include "coordination/shard/shard_model.hpp"
+
+namespace mothslip {
+
+class GangScheduler;
+class TaskDelegation;
+class WorkerCommands;
+
+class JournalOutcome {
+ public:
+  // The collaborators that act on what has become durable.
+  struct Collaborators {
+    GangScheduler& gangs;
+    TaskDelegation& delegation;
+    WorkerCommands& commands;
+  };
+  JournalOutcome(const ShardContext& context, ShardModel& model, Collaborators collaborators,
+                 JournalSegments& segments, JournalWriteBuilder& builder, PendingJournalChanges& pending);
+
+  // The write is durable at this revision: its placements may be launched, what it freed is gone.
+  void on_written(const JournalWrite& write, std::uint64_t revision);
+  // Nothing of the write was done, because the guards on these keys failed. Takes it back and returns true
+  // where cancellations and deposed leaders of other shards explain that; otherwise returns false and changes
+  // nothing.
+  bool on_refused(const JournalWrite& write, const std::vector<std::string>& failed);
+
+ private:
+  [[nodiscard]] std::set<JobPtr> set_recorded(const JournalWrite& write);
+  [[nodiscard]] std::set<JobPtr> set_stops_recorded(const JournalWrite& write);
+  void drop_removed(const JournalWrite& write);
+  [[nodiscard]] bool explains_refusal(const JournalWrite& write, const std::string& key,
+                                      std::set<JobPtr>& delegated_here) const;
+  void undo_delegations(const JournalWrite& write, const std::set<std::string>& failed);
+  void undo_added(const JournalWrite& write, const std::set<std::string>& failed);
+  void mark_segments(const JournalWrite& write);
+
+  const ShardContext& ctx_;
+  ShardModel& model_;
+  GangScheduler& gangs_;
+  TaskDelegation& delegation_;
+  WorkerCommands& commands_;
+  JournalSegments& segments_;
+  JournalWriteBuilder& builder_;
+  PendingJournalChanges& pending_;
+};
+
+}  // namespace mothslip
--- /dev/null
+++ b/src/coordination/shard/journal_write_builder.cpp
@@ -0,0 +1,181 @@
+#include "coordination/shard/journal_write_builder.hpp"
+
+#include <algorithm>
+#include <map>
+#include <string>
+#include <utility>
+
+#include "coordination/shard/task_delegation.hpp"
+
+namespace mothslip {
+
+namespace {
+bool is_unrecorded(const Placement& placement) {
+  return placement.stage == Placement::Stage::kNew && placement.segment == 0;
+}
+
+std::string job_record_key(const Job& job) { return keys::job_record(job.home_shard, job.spec().ref); }
+
+using PlacementsOnMachines = std::vector<std::pair<Machine*, Placement*>>;
+
+// Upper bound of the bytes that the placements take in a segment; those of one machine follow each other.
+std::size_t entry_bytes(const PlacementsOnMachines& placements) {
+  std::size_t bytes = 0;
+  const Machine* last = nullptr;
+  for (const auto& [machine, placement] : placements) {
+    bytes += placement_bytes(*placement) + (machine != last ? machine_bytes(*machine) : 0);
+    last = machine;
+  }
+  return bytes;
+}
+}  // namespace
+
+JournalWriteBuilder::JournalWriteBuilder(const ShardContext& context, ShardModel& model,
+                                         TaskDelegation& delegation, JournalSegments& segments,
+                                         PendingJournalChanges& pending)
+    : ctx_(context), model_(model), delegation_(delegation), segments_(segments), pending_(pending) {}
+
+bool JournalWriteBuilder::needs_journal_entry(const Job& job) {
+  if (job.unsaved.empty() || job.finishing || job.record.aborted) return false;
+  if (job.complete() && (job.delegated_here() || job.all_delegated_complete()))
+    return false;  // its ending says it all
+  return !job.fold_due && !job.progress_inflight;
+}
+
+// All placements of a gang go into one write, or none does: returns the gangs of which that is so. (One that
+// is too large for a segment is spread over several writes like other placements: nothing of it is launched
+// before the last is durable.)
+std::set<JobPtr> JournalWriteBuilder::add_gangs(JournalWrite& write) {
+  std::map<JobPtr, PlacementsOnMachines> gangs;
+  for (auto& [name, machine] : model_.machines()) {
+    for (Placement& placement : machine->placements) {
+      if (is_unrecorded(placement) && placement.job->is_gang())
+        gangs[placement.job].emplace_back(machine.get(), &placement);
+    }
+  }
+  std::set<JobPtr> whole;
+  for (const auto& [job, placements] : gangs) {
+    const std::size_t bytes = entry_bytes(placements);
+    if (bytes + JournalSegments::kFrameBytes > segments_.limit()) continue;
+    whole.insert(job);
+    if (write.guards() + 3 > write.max_guards || !segments_.reserve(write, bytes)) {
+      pending_.has_new_placements = true;
+      continue;
+    }
+    write.job_records[job_record_key(*job)] = job->job_revision;
+    for (const auto& [machine, placement] : placements) {
+      placement->segment = JournalSegments::kActiveSegment;
+      write.added.push_back({machine->name, placement->attempt, placement->index, 0});
+    }
+  }
+  return whole;
+}
+
+// Where a write could not take all, the next begins behind it.
+std::vector<Machine*> JournalWriteBuilder::machines_with_new_placements() {
+  std::vector<Machine*> out;
+  for (auto& [name, machine] : model_.machines()) {
+    if (std::any_of(machine->placements.begin(), machine->placements.end(), is_unrecorded))
+      out.push_back(machine.get());
+  }
+  const auto next = std::find_if(out.begin(), out.end(), [this](const Machine* machine) {
+    return machine->name > pending_.last_written_machine;
+  });
+  std::rotate(out.begin(), next, out.end());
+  return out;
+}
+
+void JournalWriteBuilder::add_new_placements(JournalWrite& write) {
+  const std::vector<Machine*> machines = machines_with_new_placements();
+  pending_.has_new_placements = false;
+  const std::set<JobPtr> gangs = add_gangs(write);
+  for (Machine* machine : machines) {
+    if (!add_machine(write, *machine, gangs)) {
+      pending_.has_new_placements = true;
+      return;
+    }
+    pending_.last_written_machine = machine->name;
+  }
+}
+
+// The new placements on the machine but for those of the gangs; false: the write is full.
+bool JournalWriteBuilder::add_machine(JournalWrite& write, Machine& machine, const std::set<JobPtr>& gangs) {
+  bool entered = false;
+  for (Placement& placement : machine.placements) {
+    if (!is_unrecorded(placement) || gangs.count(placement.job) > 0) continue;
+    const std::string job_record = job_record_key(*placement.job);
+    const std::size_t new_guards = write.job_records.count(job_record) > 0 ? 0 : 1;
+    if (write.guards() + new_guards + 2 > write.max_guards) return false;
+    const std::size_t created = write.created.size();
+    const std::size_t bytes = placement_bytes(placement) + (entered ? 0 : machine_bytes(machine));
+    if (!segments_.reserve(write, bytes)) return false;
+    // The active segment was sealed in between: the machine needs an entry in the new one, too.
+    if (entered && write.created.size() != created)
+      write.bytes[JournalSegments::kActiveSegment] += machine_bytes(machine);
+    write.job_records[job_record] = placement.job->job_revision;
+    entered = true;
+    placement.segment = JournalSegments::kActiveSegment;
+    write.added.push_back({machine.name, placement.attempt, placement.index, 0});
+  }
+  return true;
+}
+
+void JournalWriteBuilder::add_delegations(JournalWrite& write) {
+  while (!pending_.delegations.empty() && write.changes() < write.max_changes &&
+         write.guards() + 3 <= write.max_guards) {
+    NewDelegation delegation = std::move(pending_.delegations.front());
+    pending_.delegations.pop_front();
+    const Job& job = *delegation.job;
+    const auto delegated = job.delegated.find(delegation.key);
+    if (delegated == job.delegated.end()) continue;
+    if (job.over() || job.cancelling) {
+      revoke_delegation(delegation);
+      continue;
+    }
+    DelegationRecord record;
+    record.home_shard = ctx_.shard;
+    record.job_revision = job.job_revision;
+    record.job = job.record;
+    record.works = !job.done.empty();
+    record.range = delegated->second.range;
+    write.job_records[keys::job_record(ctx_.shard, job.spec().ref)] = job.job_revision;
+    write.delegate_shards[keys::shard(delegation.to)] = delegation.to_fencing_token;
+    write.delegations.emplace_back(std::move(delegation), record.to_json());
+  }
+}
+
+void JournalWriteBuilder::revoke_delegation(const NewDelegation& delegation) {
+  if (delegation.job->delegated.count(delegation.key) == 0) return;
+  delegation_.reclaim_tasks(delegation.job, delegation.key, {}, {});
+  delegation.job->delegated.erase(delegation.key);
+}
+
+void JournalWriteBuilder::add_completions(JournalWrite& write) {
+  if (pending_.unrecorded_since == 0) return;
+  const std::size_t limit = segments_.limit();
+  bool incomplete = false;
+  for (const auto& [name, job] : model_.jobs()) {
+    if (!needs_journal_entry(*job)) {
+      incomplete |= !job->unsaved.empty() && (job->fold_due || job->progress_inflight);
+      continue;
+    }
+    const std::size_t bytes = completion_bytes(name, job->unsaved) + 1;
+    if (bytes > limit / 4) {
+      job->fold_due = true;
+      incomplete = true;
+      continue;
+    }
+    if (!segments_.reserve(write, bytes)) {
+      incomplete = true;
+      break;
+    }
+    RangeSet& recorded = segments_.at(JournalSegments::kActiveSegment).done[name];
+    recorded.insert(job->unsaved);
+    // Many scattered completions of one job are cheaper in its own record.
+    if (recorded.text_bytes() > limit / 8) job->fold_due = true;
+    write.completions.emplace_back(job, job->unsaved);
+  }
+  pending_.unrecorded_since = incomplete ? ctx_.env->now() : 0;
+}
+
+}  // namespace mothslip
