--- a/src/coordination/shard/job_completion.cpp
+++ b/src/coordination/shard/job_completion.cpp
@@ -49,9 +49,9 @@
 bool JobCompletion::commit_endings() {
   Transaction txn = committer_.guarded_transaction();
   std::vector<JobPtr> finished;
-  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (const JobPtr& job : jobs_to_end()) {
-    if (txn.then.size() + changes_to_end(*job) > most) continue;
+    if (txn.then.size() + changes_to_end(*job) > max_changes) continue;
     job->finishing = true;
     model_.counters().endings++;
     add_ending(txn, *job, "done");
@@ -91,11 +91,11 @@
   });
 }
 
-bool JobCompletion::remove_delegations_of_cancelled(const JobPtr& job, std::size_t most) {
+bool JobCompletion::remove_delegations_of_cancelled(const JobPtr& job, std::size_t max_changes) {
   Transaction txn = committer_.guarded_transaction();
   std::vector<std::string> removed;
   for (const auto& [key, delegated] : job->delegated) {
-    if (removed.size() == most) break;
+    if (removed.size() == max_changes) break;
     txn.guard(key, delegated.revision);
     txn.remove(key);
     removed.push_back(key);
@@ -108,41 +108,53 @@
   return true;
 }
 
+// Adds to the transaction what is left of a cancelled job or delegation of which nothing runs any more.
+JobCompletion::Cleanup JobCompletion::add_cleanup(Transaction& txn, const std::string& name, const Job& job,
+                                                  std::size_t max_changes) const {
+  if (!job.record.aborted || job.cleaning || job.placed > 0 || job.progress_inflight) return Cleanup::kNotDue;
+  if (job.delegated_here()) {
+    // A delegation whose record is complete is the home shard's to delete.
+    if (job.complete() && job.unsaved.empty()) return Cleanup::kNotDue;
+    if (txn.then.size() + 1 > max_changes) return Cleanup::kNoRoom;
+    txn.guard(name, job.delegation_revision);
+    txn.remove(name);
+    return Cleanup::kAdded;
+  }
+  if (!job.all_delegated_complete()) return Cleanup::kNotDue;  // the shards that they went to delete them
+  const std::size_t needed = changes_to_end(job);
+  if (txn.then.size() + needed > max_changes && !txn.then.empty()) return Cleanup::kNoRoom;
+  if (needed > max_changes) return Cleanup::kTooManyDelegations;
+  add_ending(txn, job, "aborted");
+  return Cleanup::kAdded;
+}
+
 bool JobCompletion::commit_cancelled_cleanup() {
   Transaction txn = committer_.guarded_transaction();
   std::vector<std::string> cleaned;
-  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (auto& [name, job] : model_.jobs()) {
-    if (!job->record.aborted || job->cleaning || job->placed > 0 || job->progress_inflight) continue;
-    if (job->delegated_here()) {
-      // A delegation whose record is complete is the home's to delete.
-      if (job->complete() && job->unsaved.empty()) continue;
-      if (txn.then.size() + 1 > most) break;
-      txn.guard(name, job->delegation_revision);
-      txn.remove(name);
-    } else {
-      if (!job->all_delegated_complete()) continue;  // their delegates delete them
-      const std::size_t needs = changes_to_end(*job);
-      if (txn.then.size() + needs > most && !txn.then.empty()) break;
-      // Too many delegations to go along with the ending: they go first.
-      if (needs > most) return remove_delegations_of_cancelled(job, most);
-      add_ending(txn, *job, "aborted");
-    }
+    const Cleanup cleanup = add_cleanup(txn, name, *job, max_changes);
+    if (cleanup == Cleanup::kNotDue) continue;
+    if (cleanup == Cleanup::kNoRoom) break;
+    if (cleanup == Cleanup::kTooManyDelegations) return remove_delegations_of_cancelled(job, max_changes);
     job->cleaning = true;
     cleaned.push_back(name);
   }
   if (cleaned.empty()) return false;
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [this, cleaned](std::uint64_t) {
-    for (const std::string& name : cleaned) {
-      // Its delegations are gone or complete: their delegates know, or have nothing left of it.
-      const auto it = model_.jobs().find(name);
-      if (it == model_.jobs().end()) continue;
-      if (!it->second->delegated_here()) cancellation_.confirm(it->second);
-      progress_.discard_progress_chunks(*it->second);
-      model_.forget(name);
-    }
-  });
+  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn,
+                    [this, cleaned](std::uint64_t) { on_cleaned(cleaned); });
   return true;
 }
 
+void JobCompletion::on_cleaned(const std::vector<std::string>& names) {
+  for (const std::string& name : names) {
+    // Its delegations are gone or complete: the shards that they went to know, or have nothing left of it.
+    const auto it = model_.jobs().find(name);
+    if (it == model_.jobs().end()) continue;
+    if (!it->second->delegated_here()) cancellation_.confirm(it->second);
+    progress_.discard_progress_chunks(*it->second);
+    model_.forget(name);
+  }
+}
+
 }  // namespace mothslip
