--- a/src/coordination/shard/progress_records.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -1,5 +1,6 @@
 #include "coordination/shard/progress_records.hpp"
 
+#include <algorithm>
 #include <vector>
 
 #include "coordination/shard/job_completion.hpp"
@@ -26,16 +27,16 @@
   return out;
 }
 
-// The hundreds of tasks whose completions take most of the main record.
+// The chunk of tasks whose completions take most of the main record.
 int ProgressRecords::longest_chunk(const Job& job, const RangeSet& main) {
   int longest = 0;
-  std::size_t most = 0;
+  std::size_t longest_ranges = 0;
   const int count = (job.spec().task_count + kTasksPerChunk - 1) / kTasksPerChunk;
   for (int number = 0; number < count; number++) {
     const std::size_t ranges =
         main.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk).range_count();
-    if (ranges <= most) continue;
-    most = ranges;
+    if (ranges <= longest_ranges) continue;
+    longest_ranges = ranges;
     longest = number;
   }
   return longest;
@@ -63,60 +64,57 @@
   return {number, std::move(slice)};
 }
 
+// A completed job gets here only when it has too many delegations to end in one transaction.
+bool ProgressRecords::progress_due(const Job& job, std::size_t complete_delegations,
+                                   std::size_t max_changes) const {
+  if (job.complete()) return completion_.changes_to_end(job) > max_changes;
+  return job.fold_due || complete_delegations >= kMergeDelegations;
+}
+
+// Removes the completed delegations whose tasks the written progress holds; returns their keys.
+std::vector<std::string> ProgressRecords::remove_merged_delegations(Transaction& txn, const Job& job,
+                                                                    const RangeSet& written,
+                                                                    std::size_t max_changes) {
+  std::vector<std::string> merged;
+  for (const auto& [key, delegated] : job.delegated) {
+    RangeSet missing = delegated.done;
+    missing.erase(written);
+    if (!delegated.complete() || !missing.empty() || txn.then.size() + 1 > max_changes) continue;
+    txn.guard(key, delegated.revision);
+    txn.remove(key);
+    merged.push_back(key);
+  }
+  return merged;
+}
+
 bool ProgressRecords::commit_progress() {
   Transaction txn = committer_.guarded_transaction();
-  struct Item {
-    JobPtr job;
-    ProgressWrite write;
-    std::vector<std::string> merged;  // delegations
-  };
-  std::vector<Item> items;
-  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  std::vector<JobProgress> written;
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (auto& [ref, job] : model_.jobs()) {
     if (job->delegated_here() || job->finishing || job->cancelling || job->progress_inflight ||
         job->record.aborted)
       continue;
-    std::size_t complete = 0;
-    for (const auto& [key, delegated] : job->delegated) complete += delegated.complete() ? 1 : 0;
-    // A completed job comes here only when it has too many delegations to end in one go.
-    const bool too_many = job->complete() && completion_.changes_to_end(*job) > most;
-    const bool due = job->fold_due && !job->complete();
-    if (!due && !too_many && (job->complete() || complete < kMergeDelegations)) continue;
-    if (txn.then.size() + 1 + (complete > 0 ? 1 : 0) > most) break;
-    Item item;
-    item.job = job;
-    item.write = add_progress(txn, *job);
-    for (const auto& [key, delegated] : job->delegated) {
-      RangeSet missing = delegated.done;
-      missing.erase(item.write.done);
-      if (!delegated.complete() || !missing.empty() || txn.then.size() + 1 > most) continue;
-      txn.guard(key, delegated.revision);
-      txn.remove(key);
-      item.merged.push_back(key);
-    }
+    const auto complete =
+        static_cast<std::size_t>(std::count_if(job->delegated.begin(), job->delegated.end(),
+                                               [](const auto& item) { return item.second.complete(); }));
+    if (!progress_due(*job, complete, max_changes)) continue;
+    if (txn.then.size() + 1 + (complete > 0 ? 1 : 0) > max_changes) break;
+    JobProgress progress;
+    progress.job = job;
+    progress.write = add_progress(txn, *job);
+    progress.merged = remove_merged_delegations(txn, *job, progress.write.done, max_changes);
     job->progress_inflight = true;
-    items.push_back(std::move(item));
+    written.push_back(std::move(progress));
   }
-  if (items.empty()) return false;
-  const auto done = [this, items](std::uint64_t revision) {
-    for (const Item& item : items) {
-      Job& job = *item.job;
-      job.progress_inflight = false;
-      for (const std::string& key : item.merged) job.delegated.erase(key);
-      if (item.write.chunk == ProgressWrite::kMain) {
-        job.progress_revision = revision;
-      } else {
-        job.progress_chunks[item.write.chunk] = {revision, item.write.done};
-      }
-      journal_.on_completions_recorded(item.job, job.spec().ref, item.write.done);
-    }
-  };
+  if (written.empty()) return false;
+  const auto done = [this, written](std::uint64_t revision) { on_progress_written(written, revision); };
   // A cancellation came in between: what belongs to other jobs is tried again.
-  const auto conflict = [this, items](const std::vector<std::string>& failed) {
+  const auto conflict = [this, written](const std::vector<std::string>& failed) {
     if (!completion_.only_cancelled(failed)) return false;
-    for (const Item& item : items) {
-      item.job->progress_inflight = false;
-      item.job->fold_due = true;
+    for (const JobProgress& progress : written) {
+      progress.job->progress_inflight = false;
+      progress.job->fold_due = true;
     }
     return true;
   };
@@ -124,6 +122,21 @@
   return true;
 }
 
+void ProgressRecords::on_progress_written(const std::vector<JobProgress>& written, std::uint64_t revision) {
+  for (const JobProgress& progress : written) {
+    Job& job = *progress.job;
+    const ProgressWrite& write = progress.write;
+    job.progress_inflight = false;
+    for (const std::string& key : progress.merged) job.delegated.erase(key);
+    if (write.chunk == ProgressWrite::kMain) {
+      job.progress_revision = revision;
+    } else {
+      job.progress_chunks[write.chunk] = {revision, write.done};
+    }
+    journal_.on_completions_recorded(progress.job, job.spec().ref, write.done);
+  }
+}
+
 void ProgressRecords::discard_progress_chunks(const Job& job) {
   if (job.delegated_here()) return;
   for (const auto& [number, chunk] : job.progress_chunks)
@@ -134,8 +147,8 @@
 bool ProgressRecords::commit_discarded() {
   if (discarded_.empty()) return false;
   Transaction txn = committer_.guarded_transaction();
-  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
-  while (!discarded_.empty() && txn.then.size() < most) {
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  while (!discarded_.empty() && txn.then.size() < max_changes) {
     const DiscardedRecord record = std::move(discarded_.front());
     discarded_.pop_front();
     txn.guard(record.key, record.revision);
--- a/src/coordination/shard/progress_records.hpp
+++ b/src/coordination/shard/progress_records.hpp
@@ -10,6 +10,7 @@
 #include <deque>
 #include <string>
 #include <utility>
+#include <vector>
 
 #include "coordination/shard/shard_context.hpp"
 #include "coordination/shard/shard_model.hpp"
@@ -37,18 +38,30 @@
   bool commit_progress();
   // The job is over; its further records of progress go when there is nothing better to do.
   void discard_progress_chunks(const Job& job);
-  // Deletes further records of jobs that are over.
+  // Deletes further records of jobs that are over; false: there are none.
   bool commit_discarded();
 
  private:
   struct ProgressWrite {
     static constexpr int kMain = -1;
-    int chunk = kMain;
-    RangeSet done;  // what is durable with it
+    int chunk = kMain;  // number of the further record, or the main one
+    RangeSet done;      // what is durable with it
+  };
+  // What a transaction writes of one job.
+  struct JobProgress {
+    JobPtr job;
+    ProgressWrite write;
+    std::vector<std::string> merged;  // keys of the delegations that are removed with it
   };
   [[nodiscard]] static RangeSet main_progress(const Job& job);
   [[nodiscard]] static int longest_chunk(const Job& job, const RangeSet& main);
   [[nodiscard]] ProgressWrite add_progress(Transaction& txn, Job& job) const;
+  [[nodiscard]] bool progress_due(const Job& job, std::size_t complete_delegations,
+                                  std::size_t max_changes) const;
+  [[nodiscard]] static std::vector<std::string> remove_merged_delegations(Transaction& txn, const Job& job,
+                                                                          const RangeSet& written,
+                                                                          std::size_t max_changes);
+  void on_progress_written(const std::vector<JobProgress>& written, std::uint64_t revision);
 
   const ShardContext& ctx_;
   ShardModel& model_;
