--- a/src/coordination/shard/placement_rules.cpp
+++ b/src/coordination/shard/placement_rules.cpp
@@ -5,15 +5,15 @@
 namespace mothslip {
 
 namespace {
-constexpr double kAvoid = 60;         // seconds
-constexpr double kStarving = 45;      // seconds
-constexpr double kGangStarving = 12;  // its room does not gather by itself
-constexpr double kAgeFrom = 90;       // seconds since submission; then a unit of preference
-constexpr double kAgeWeight = 45;     // every so many
+constexpr double kAvoidS = 60;         // a machine, after the job's last error there
+constexpr double kStarvingS = 45;      // since submission
+constexpr double kGangStarvingS = 12;  // likewise for gangs: their room does not gather by itself
+constexpr double kAgeFromS = 90;       // since submission; from then on a unit of preference
+constexpr double kAgeUnitS = 45;       // every so many seconds
 // Best-effort work of which nothing has begun for this long is treated like other work until its first task
 // is placed: nothing waits for ever, however busy the cluster is.
-constexpr double kOverlooked = 30.0;
-constexpr double kPromoteAfter = 120.0;
+constexpr double kPromoteAfterS = 120.0;
+constexpr double kLongUnplacedS = 30.0;  // of best-effort work
 }  // namespace
 
 PlacementRules::PlacementRules(const ShardContext& context, ShardModel& model)
@@ -34,7 +34,9 @@
 }
 
 // No smaller type would do.
-bool PlacementRules::needs_type(double least, int type) const { return least >= ctx_.types->at(type).cores; }
+bool PlacementRules::needs_type(double least_cores, int type) const {
+  return least_cores >= ctx_.types->at(type).cores;
+}
 
 bool PlacementRules::fits_smaller_type(const Job& job, int type) const {
   return flexible(job) && !needs_type(job.least_cores, type);
@@ -58,7 +60,7 @@
 // fault and the only one here, the job failed there for ever. One that fails on several is at fault itself.
 bool PlacementRules::avoids(const Job& job, const Machine& machine) const {
   const auto it = job.failing.find(machine.name);
-  if (it == job.failing.end() || ctx_.env->now() - it->second.last >= kAvoid) return false;
+  if (it == job.failing.end() || ctx_.env->now() - it->second.last >= kAvoidS) return false;
   return job.at_fault() || (job.failing.size() < Job::kSeveral && it->second.errors >= 2);
 }
 
@@ -82,7 +84,7 @@
 bool PlacementRules::starving(const Job& job) const {
   if (job.placed > 0 || !job.done.empty() || job.waiting.empty() || job.delegated_open() > 0) return false;
   if (job.at_fault()) return false;  // it has begun, and failed
-  return ctx_.env->wall() - job.record.submitted > (job.is_gang() ? kGangStarving : kStarving);
+  return ctx_.env->wall() - job.record.submitted > (job.is_gang() ? kGangStarvingS : kStarvingS);
 }
 
 std::map<int, const Job*> PlacementRules::quota_saved_for() const {
@@ -102,17 +104,17 @@
 }
 
 double PlacementRules::age_bonus(const Job& job, double wall) {
-  return std::clamp((wall - job.record.submitted - kAgeFrom) / kAgeWeight, 0.0, 4.0);
+  return std::clamp((wall - job.record.submitted - kAgeFromS) / kAgeUnitS, 0.0, 4.0);
 }
 
 bool PlacementRules::is_preemptible(const Job& job) const {
   if (job.spec().urgency != Urgency::kBestEffort) return false;
   const bool begun = job.placed > 0 || !job.done.empty() || job.delegated_open() > 0;
-  return begun || ctx_.env->wall() - job.record.submitted < kPromoteAfter;
+  return begun || ctx_.env->wall() - job.record.submitted < kPromoteAfterS;
 }
 
 bool PlacementRules::long_unplaced(const Job& job) const {
-  return ctx_.env->now() - job.idle_since > kOverlooked;
+  return ctx_.env->now() - job.idle_since > kLongUnplacedS;
 }
 
 bool PlacementRules::waits_for_room(const Job& job) const {
@@ -120,39 +122,43 @@
          !job.at_fault() && within_quota(job);
 }
 
-bool PlacementRules::reserves_for_large(const Machine& machine) const {
-  const double cores = ctx_.types->at(machine.type).cores;
-  int small_tasks = 0;
-  Resources small_demand{};
-  bool large = false;
-  int small_urgency = 0;
-  int large_urgency = -1;
-  bool large_starves = false;
+// Waiting tasks of this shard, but for best-effort work.
+void PlacementRules::add_waiting_here(const Machine& machine, WaitingBySize& out) const {
   for (const auto& [ref, job] : model_.jobs()) {
     if (job->waiting.empty() || job->over() || is_preemptible(*job)) continue;
     const int urgency = static_cast<int>(job->spec().urgency);
     if (needs_type(job->least_cores, machine.type)) {
       if (!fits(job->demand, machine.capacity) || !allowed_on(*job, machine)) continue;
-      const bool hungry = starving(*job);
-      if (!hungry && !within_quota(*job)) continue;
-      large = true;
-      large_starves |= hungry;
-      large_urgency = std::max(large_urgency, urgency);
+      const bool starves = starving(*job);
+      if (!starves && !within_quota(*job)) continue;
+      out.large = true;
+      out.large_starves |= starves;
+      out.large_urgency = std::max(out.large_urgency, urgency);
     } else if (flexible(*job)) {
-      small_tasks += job->waiting.size();
-      small_urgency = std::max(small_urgency, urgency);
-      for (std::size_t r = 0; r < 3; r++) small_demand[r] = std::max(small_demand[r], job->demand[r]);
+      out.small_tasks += job->waiting.size();
+      out.small_urgency = std::max(out.small_urgency, urgency);
+      for (std::size_t r = 0; r < out.small_demand.size(); r++)
+        out.small_demand[r] = std::max(out.small_demand[r], job->demand[r]);
     }
   }
+}
+
+// Large tasks that wait at other shards.
+void PlacementRules::add_waiting_elsewhere(const Machine& machine, WaitingBySize& out) const {
   for (const WaitingHint& hint : model_.demand_elsewhere()) {
     if (machine.record.spot && !hint.allows_spot) continue;
     if (!fits(hint.demand, machine.capacity) || !needs_type(hint.least_cores, machine.type)) continue;
-    large = true;
-    large_urgency = std::max(large_urgency, hint.urgency);
-    large_starves |= hint.starving;
+    out.large = true;
+    out.large_urgency = std::max(out.large_urgency, hint.urgency);
+    out.large_starves |= hint.starving;
   }
-  if (small_tasks == 0) return large;
-  if (large && (large_urgency >= small_urgency || large_starves)) return true;
+}
+
+// How many tasks of this demand the machines of smaller types have room for now.
+int PlacementRules::slots_on_smaller_types(const Machine& machine, const Resources& demand) const {
+  constexpr double kMostSlots = 1e6;       // on one machine, where the demand is nothing
+  constexpr double kRoundingSlack = 1e-6;  // of a slot
+  const double cores = ctx_.types->at(machine.type).cores;
   const double now = ctx_.env->now();
   int slots = 0;
   for (const auto& [name, other] : model_.machines()) {
@@ -160,13 +166,22 @@
         ctx_.types->at(other->type).cores >= cores)
       continue;
     if (now - other->last_heard > ctx_.report_freshness_s() || now < other->no_fill_until) continue;
-    double most = 1e6;
-    for (std::size_t r = 0; r < 3; r++) {
-      if (small_demand[r] > 0) most = std::min(most, other->room[r] / small_demand[r] + 1e-6);
+    double slots_here = kMostSlots;
+    for (std::size_t r = 0; r < demand.size(); r++) {
+      if (demand[r] > 0) slots_here = std::min(slots_here, other->room[r] / demand[r] + kRoundingSlack);
     }
-    slots += std::max(0, static_cast<int>(most));
+    slots += std::max(0, static_cast<int>(slots_here));
   }
-  return slots >= small_tasks;
+  return slots;
+}
+
+bool PlacementRules::reserves_for_large(const Machine& machine) const {
+  WaitingBySize waiting;
+  add_waiting_here(machine, waiting);
+  add_waiting_elsewhere(machine, waiting);
+  if (waiting.small_tasks == 0) return waiting.large;
+  if (waiting.large && (waiting.large_urgency >= waiting.small_urgency || waiting.large_starves)) return true;
+  return slots_on_smaller_types(machine, waiting.small_demand) >= waiting.small_tasks;
 }
 
 }  // namespace mothslip
--- a/src/coordination/shard/placement_rules.hpp
+++ b/src/coordination/shard/placement_rules.hpp
@@ -13,10 +13,11 @@
 
 class PlacementRules {
  public:
-  // A class of urgency weighs as much as half the pressure of a deadline.
+  // In units of preference: a class of urgency weighs as much as half the pressure of a deadline.
   static constexpr double kUrgencyBonus = 0.5;
 
   PlacementRules(const ShardContext& context, ShardModel& model);
+  // Of the operators' settings, with resources scaled by the largest machine type.
   [[nodiscard]] const PreferenceWeights& weights() const { return weights_; }
 
   // Its tasks could as well go to a smaller machine.
@@ -33,10 +34,10 @@
   // for ever.
   [[nodiscard]] bool starving(const Job& job) const;
   // Teams whose quota share is saved up, and for which job: the one that has waited longest of those that one
-  // of our machines can hold.
+  // of the shard's machines can hold.
   [[nodiscard]] std::map<int, const Job*> quota_saved_for() const;
   // What has waited long comes first in the end, however the rest compares: no class, team or size is
-  // starved.
+  // starved. In units of preference; `wall` in seconds since the epoch.
   [[nodiscard]] static double age_bonus(const Job& job, double wall);
   // Best-effort work, which is stopped for other work. What has waited long for its first task is not.
   [[nodiscard]] bool is_preemptible(const Job& job) const;
@@ -46,16 +47,27 @@
   [[nodiscard]] bool long_unplaced(const Job& job) const;
   // Waits for nothing but room: under its team's limit, and not at fault.
   [[nodiscard]] bool waits_for_room(const Job& job) const;
-  // Greedy filling of freed slices keeps room for large tasks from gathering (DESIGN names it for gangs;
-  // large tasks suffer the same). A machine takes no small tasks that could go elsewhere while a large one
-  // waits that no smaller type can hold and that is at least as urgent, or while smaller machines have room
-  // for all of them.
+  // Greedy filling of freed slices keeps room for large tasks from gathering (as it does for gangs). A
+  // machine takes no small tasks that could go elsewhere while a large one waits that no smaller type can
+  // hold and that is at least as urgent, or while smaller machines have room for all of them.
   [[nodiscard]] bool reserves_for_large(const Machine& machine) const;
 
  private:
-  [[nodiscard]] bool needs_type(double least, int type) const;
+  // Waiting tasks by whether they need a machine of a certain type or could as well go to a smaller one.
+  struct WaitingBySize {
+    bool large = false;  // any
+    int large_urgency = -1;
+    bool large_starves = false;
+    int small_tasks = 0;
+    int small_urgency = 0;
+    Resources small_demand{};  // of each resource the most that one of them needs
+  };
+  [[nodiscard]] bool needs_type(double least_cores, int type) const;
   [[nodiscard]] static bool flexible(const Job& job);
   [[nodiscard]] bool avoids(const Job& job, const Machine& machine) const;
+  void add_waiting_here(const Machine& machine, WaitingBySize& out) const;
+  void add_waiting_elsewhere(const Machine& machine, WaitingBySize& out) const;
+  [[nodiscard]] int slots_on_smaller_types(const Machine& machine, const Resources& demand) const;
 
   const ShardContext& ctx_;
   ShardModel& model_;
