--- a/src/coordination/shard/worker_commands.cpp
+++ b/src/coordination/shard/worker_commands.cpp
@@ -10,11 +10,11 @@
 namespace mothslip {
 
 namespace {
-constexpr double kDirectSeconds = 3.0;
-constexpr int kAnnouncementsAtOnce = 16;
-constexpr double kAnnouncementInterval = 3.5;
-// The machine will be taken away: what can save does so now and goes on elsewhere.
-bool saves_before_it_is_killed(const Machine& machine, const Placement& placement) {
+constexpr double kDirectTimeoutS = 3.0;         // of a direct command
+constexpr int kAnnouncementsAtOnce = 16;        // of the fencing token
+constexpr double kAnnouncementIntervalS = 3.5;  // to one machine
+// The machine will be taken away: what can checkpoint does so now and goes on elsewhere.
+bool checkpoints_before_eviction(const Machine& machine, const Placement& placement) {
   const bool goes = machine.evicted_at || (machine.draining && machine.faulty);
   // (A gang is stopped as a whole.)
   return goes && placement.phase == TaskPhase::kRunning && placement.job->spec().can_checkpoint() &&
@@ -30,7 +30,8 @@
   if (machine.answer.answered()) return;
   machine.held = false;
   if (!ctx_.may_renew()) {
-    // Somebody may have replaced us and confirmed cancellations: we do not keep alive what may be cancelled.
+    // Another leader may be in charge and have confirmed cancellations: what may be cancelled is not kept
+    // alive.
     machine.answer.send(503, R"({"error":"perhaps no longer the owner"})", 1);
     machine.answer = Responder();
     return;
@@ -43,87 +44,105 @@
 
 std::vector<Order> WorkerCommands::orders_for(Machine& machine) {
   std::vector<Order> orders;
-  // A cancellation can have been promised by another owner since our lease ran out. And a report that does
-  // not show our token may be a late copy from before we owned the shard: orders would be wasted on it.
-  const bool may_launch = ctx_.exclusive_owner() && machine.token_acknowledged;
-  bool again = false;
+  // A cancellation can have been promised by another leader since this one's lease ran out. And a report that
+  // does not show this leader's token may be a late copy from before it led the shard: orders would be wasted
+  // on it.
+  const bool may_launch = ctx_.exclusive_owner() && machine.token_acknowledged && machine.schedulable();
+  bool relaunched = false;
   for (Placement& placement : machine.placements) {
     if (placement.stage != Placement::Stage::kRecorded) continue;
-    const Job& job = *placement.job;
-    const std::string task = task_name(job.spec().ref, placement.index);
-    const bool unwanted =
-        job.cancel_requested() || job.done.contains(placement.index) || gangs_.attempt_over(job);
     if (placement.seen_sequence == machine.sequence && machine.sequence != 0) {
-      auto grace = stop_wanted(placement);
-      if (!grace && !placement.preempted && saves_before_it_is_killed(machine, placement))
-        grace = stop_grace_s(job.spec());
-      if (grace) orders.push_back({Order::Verb::kStop, task, placement.attempt, *grace});
-    } else if (!unwanted && !placement.preempted && may_launch && machine.schedulable() &&
-               gangs_.gang_may_be_launched(job)) {
+      add_stop_order(machine, placement, orders);
+    } else if (may_launch && launch_wanted(placement)) {
       if (placement.sent_sequence != 0) {
         model_.counters().relaunches++;
-        if (!again) machine.ineffective_launches++;
-        again = true;
+        if (!relaunched) machine.ineffective_launches++;
+        relaunched = true;
       }
       placement.sent_sequence = machine.sequence;
       model_.counters().launches++;
-      orders.push_back({Order::Verb::kLaunch, task, placement.attempt, 0});
+      orders.push_back({Order::Verb::kLaunch, task_name(placement.job->spec().ref, placement.index),
+                        placement.attempt, 0});
     }
   }
   for (const TaskReport& unmatched_task : machine.unmatched) {
-    const std::string task = task_name(unmatched_task.ref, unmatched_task.index);
-    const JobPtr job = model_.find_task(unmatched_task.ref, unmatched_task.index);
-    if (unmatched_task.phase == TaskPhase::kExited) {
-      const bool held = std::any_of(
-          machine.placements.begin(), machine.placements.end(), [&unmatched_task](const Placement& p) {
-            return p.attempt == unmatched_task.attempt && p.index == unmatched_task.index;
-          });
-      const bool lost_if_acknowledged = unmatched_task.cause == ExitCause::kDone && job != nullptr &&
-                                        !job->record.aborted && !job->durable(unmatched_task.index);
-      if (!held && !lost_if_acknowledged) {
-        orders.push_back({Order::Verb::kAcknowledgeExit, task, unmatched_task.attempt, 0});
-      }
-    } else {
-      orders.push_back({Order::Verb::kStop, task, unmatched_task.attempt, 0});
-    }
+    if (const auto order = order_for_unmatched(machine, unmatched_task)) orders.push_back(*order);
   }
   return orders;
 }
 
-void WorkerCommands::send_direct(Machine& machine, const std::vector<Order>& orders, bool raise) {
+// For a task that the machine has just shown.
+void WorkerCommands::add_stop_order(const Machine& machine, const Placement& placement,
+                                    std::vector<Order>& orders) {
+  const JobSpec& spec = placement.job->spec();
+  auto grace_s = stop_wanted(placement);
+  if (!grace_s && !placement.preempted && checkpoints_before_eviction(machine, placement))
+    grace_s = stop_grace_s(spec);
+  if (grace_s)
+    orders.push_back({Order::Verb::kStop, task_name(spec.ref, placement.index), placement.attempt, *grace_s});
+}
+
+bool WorkerCommands::launch_wanted(const Placement& placement) const {
+  const Job& job = *placement.job;
+  const bool unwanted =
+      job.cancel_requested() || job.done.contains(placement.index) || gangs_.attempt_over(job);
+  return !unwanted && !placement.preempted && gangs_.gang_may_be_launched(job);
+}
+
+// For a task that the machine shows and that is not placed there: it is stopped, or, once it has exited, its
+// exit is acknowledged, unless its completion would be lost with that.
+std::optional<Order> WorkerCommands::order_for_unmatched(const Machine& machine,
+                                                         const TaskReport& task) const {
+  const std::string name = task_name(task.ref, task.index);
+  if (task.phase != TaskPhase::kExited) return Order{Order::Verb::kStop, name, task.attempt, 0};
+  const JobPtr job = model_.find_task(task.ref, task.index);
+  const bool held =
+      std::any_of(machine.placements.begin(), machine.placements.end(), [&task](const Placement& placement) {
+        return placement.attempt == task.attempt && placement.index == task.index;
+      });
+  const bool lost_if_acknowledged =
+      task.cause == ExitCause::kDone && job != nullptr && !job->record.aborted && !job->durable(task.index);
+  if (held || lost_if_acknowledged) return std::nullopt;
+  return Order{Order::Verb::kAcknowledgeExit, name, task.attempt, 0};
+}
+
+void WorkerCommands::send_direct(Machine& machine, const std::vector<Order>& orders, bool announces_token) {
   if (machine.direct_inflight) return;
   machine.direct_inflight = true;
-  announcing_ += raise ? 1 : 0;
+  announcing_ += announces_token ? 1 : 0;
   HttpCall call{machine.record.address, "POST", "/commands",
-                orders_body(ctx_.fencing_token, machine.record.worker_incarnation, orders), kDirectSeconds};
+                orders_body(ctx_.fencing_token, machine.record.worker_incarnation, orders), kDirectTimeoutS};
   call.keep_alive = false;
-  ctx_.env->call(std::move(call), alive_([this, name = machine.name, raise](const HttpReply& reply) {
-                   if (raise) {
+  ctx_.env->call(std::move(call),
+                 alive_([this, name = machine.name, announces_token](const HttpReply& reply) {
+                   if (announces_token) {
                      announcing_--;
                      announce_fencing_token();
                    }
                    const auto it = model_.machines().find(name);
-                   if (it == model_.machines().end()) return;
-                   Machine& found = *it->second;
-                   found.direct_inflight = false;
-                   if (found.stops_due) send_stops(found);
-                   if (reply.status != 200 && reply.status != 409) return;
-                   auto report = parse_report(parse_json(reply.body));
-                   if (!report || report->machine_name != name) return;
-                   if (report->fencing_token > ctx_.fencing_token) {
-                     ctx_.deposed(report->fencing_token);
-                     return;
-                   }
-                   if (liveness_.apply_heartbeat(found, *report, true)) committer_.send_due_writes();
+                   if (it != model_.machines().end()) on_direct_answer(*it->second, reply);
                  }));
 }
 
+void WorkerCommands::on_direct_answer(Machine& machine, const HttpReply& reply) {
+  machine.direct_inflight = false;
+  if (machine.stops_due) send_stops(machine);
+  if (reply.status != 200 && reply.status != 409) return;
+  auto report = parse_report(parse_json(reply.body));
+  if (!report || report->machine_name != machine.name) return;
+  if (report->fencing_token > ctx_.fencing_token) {
+    ctx_.deposed(report->fencing_token);
+    return;
+  }
+  if (liveness_.apply_heartbeat(machine, *report, true)) committer_.send_due_writes();
+}
+
 void WorkerCommands::announce_fencing_token() {
   if (!model_.active() || announcing_ >= kAnnouncementsAtOnce) return;
   const double now = ctx_.env->now();
   std::vector<Machine*> due;
   for (auto& [name, machine] : model_.machines()) {
-    const bool tried = machine->raise_tried != 0 && now - machine->raise_tried < kAnnouncementInterval;
+    const bool tried = machine->raise_tried != 0 && now - machine->raise_tried < kAnnouncementIntervalS;
     if (machine->token_acknowledged || machine->placements.empty() || machine->direct_inflight || tried)
       continue;
     due.push_back(machine.get());
@@ -138,12 +157,12 @@
   }
 }
 
-// With which grace period the task is to be stopped, if it is.
+// With which grace period, in seconds, the task is to be stopped, if it is.
 std::optional<double> WorkerCommands::stop_wanted(const Placement& placement) {
   const Job& job = *placement.job;
   if (job.cancel_requested() || job.done.contains(placement.index) || job.attempt.failed) return 0;
   const bool gracefully = placement.preempted || (job.attempt.stopping && job.attempt.stop_recorded);
-  // (Whether a second stop ends a task that is saving already is not said.)
+  // (Whether a second stop ends a task that is checkpointing already is not said.)
   if (!gracefully || placement.phase == TaskPhase::kCheckpointing) return std::nullopt;
   return stop_grace_s(job.spec());
 }
--- a/src/coordination/shard/worker_commands.hpp
+++ b/src/coordination/shard/worker_commands.hpp
@@ -22,17 +22,24 @@
 
   // Answers the report that the machine waits with, if any.
   void answer(Machine& machine);
-  // Shows our token to machines with placements, a few at a time: a node that has taken over has leases to
-  // renew and users to answer meanwhile. Machines that report go first; silent ones are tried now and then.
+  // Shows the leader's fencing token to machines with placements, a few at a time: a node that has taken over
+  // has leases to renew and users to answer meanwhile. Machines that report go first; silent ones are tried
+  // now and then.
   void announce_fencing_token();
   // Tells all machines with tasks of the job to stop them.
   void stop_directly(const JobPtr& job);
-  // For all on it that is cancelled or preempted; once the direct command that is under way is over.
+  // Tells the machine to stop all on it that is cancelled or preempted; where a direct command is under way,
+  // once that is over.
   void send_stops(Machine& machine);
 
  private:
   std::vector<Order> orders_for(Machine& machine);
-  void send_direct(Machine& machine, const std::vector<Order>& orders, bool raise = false);
+  static void add_stop_order(const Machine& machine, const Placement& placement, std::vector<Order>& orders);
+  [[nodiscard]] bool launch_wanted(const Placement& placement) const;
+  [[nodiscard]] std::optional<Order> order_for_unmatched(const Machine& machine,
+                                                         const TaskReport& task) const;
+  void on_direct_answer(Machine& machine, const HttpReply& reply);
+  void send_direct(Machine& machine, const std::vector<Order>& orders, bool announces_token = false);
   [[nodiscard]] static std::optional<double> stop_wanted(const Placement& placement);
 
   const ShardContext& ctx_;
