--- a/src/coordination/shard/shard_loader.cpp
+++ b/src/coordination/shard/shard_loader.cpp
@@ -15,10 +15,10 @@
 namespace mothslip {
 
 namespace {
-constexpr double kLoadRetry = 0.2;  // seconds
+constexpr double kLoadRetryS = 0.2;
 // A watch whose answer is lost tells nothing until it is over: not for long.
-constexpr double kWatch = 8.0;
-constexpr double kWatchGap = 0.25;  // seconds at the least from one answer to the next
+constexpr double kWatchS = 8.0;
+constexpr double kWatchGapS = 0.25;  // at the least from one answer to the next
 }  // namespace
 
 ShardLoader::ShardLoader(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -42,7 +42,7 @@
 }
 
 void ShardLoader::retry_load(void (ShardLoader::*step)()) {
-  ctx_.env->after(kLoadRetry, alive_([this, step] { (this->*step)(); }));
+  ctx_.env->after(kLoadRetryS, alive_([this, step] { (this->*step)(); }));
 }
 
 void ShardLoader::load_unaccounted() {
@@ -112,37 +112,40 @@
 }
 
 void ShardLoader::load_delegations() {
-  ctx_.state->list(
-      RequestPriority::kLease, keys::kDelegations,
-      alive_([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
-        if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_delegations);
-        const std::string own = keys::kDelegations + std::to_string(ctx_.shard) + "/";
-        for (StateItem& item : items) {
-          auto record = DelegationRecord::from_json(item.data);
-          if (!record) {
-            spdlog::error("record {} cannot be read", item.key);
-            continue;
-          }
-          if (record->home_shard == ctx_.shard) {
-            const auto it = model_.jobs().find(record->job.spec.ref);
-            if (it == model_.jobs().end()) continue;
-            Job& job = *it->second;
-            job.delegated[item.key] = {record->range, record->done, item.revision, record->job.aborted};
-            job.waiting.erase(record->range);
-            job.done.insert(record->done);
-          } else if (item.key.compare(0, own.size(), own) == 0) {
-            delegation_.add_delegated_job(item.key, std::move(*record), item.revision);
-          }
-        }
-        std::set<int> homes;
-        for (const auto& [name, job] : model_.jobs()) {
-          if (job->delegated_here()) homes.insert(job->home_shard);
-        }
-        check_delegated(std::move(homes));
-      }));
+  ctx_.state->list(RequestPriority::kLease, keys::kDelegations,
+                   alive_([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
+                     if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_delegations);
+                     for (const StateItem& item : items) load_delegation_record(item);
+                     std::set<int> homes;
+                     for (const auto& [name, job] : model_.jobs()) {
+                       if (job->delegated_here()) homes.insert(job->home_shard);
+                     }
+                     check_delegated(std::move(homes));
+                   }));
 }
 
-// A job can have been cancelled while nobody owned this shard. One list a home: asked for one by one, a
+// A delegation of tasks of this shard's jobs, or to this shard; others are of no concern.
+void ShardLoader::load_delegation_record(const StateItem& item) {
+  auto record = DelegationRecord::from_json(item.data);
+  if (!record) {
+    spdlog::error("record {} cannot be read", item.key);
+    return;
+  }
+  if (record->home_shard == ctx_.shard) {
+    const auto it = model_.jobs().find(record->job.spec.ref);
+    if (it == model_.jobs().end()) return;
+    Job& job = *it->second;
+    job.delegated[item.key] = {record->range, record->done, item.revision, record->job.aborted};
+    job.waiting.erase(record->range);
+    job.done.insert(record->done);
+    return;
+  }
+  const std::string own = keys::kDelegations + std::to_string(ctx_.shard) + "/";
+  if (item.key.compare(0, own.size(), own) == 0)
+    delegation_.add_delegated_job(item.key, std::move(*record), item.revision);
+}
+
+// A job can have been cancelled while this shard had no leader. One list a home: asked for one by one, a
 // hundred delegations kept a shard from becoming active for 15 s while the state service was slow.
 void ShardLoader::check_delegated(std::set<int> homes) {
   if (homes.empty()) {
@@ -155,7 +158,7 @@
       alive_([this, home, homes = std::move(homes)](Outcome outcome, const std::vector<StateItem>& items,
                                                     std::uint64_t) mutable {
         if (outcome != Outcome::kOk) {
-          ctx_.env->after(kLoadRetry, alive_([this, homes = std::move(homes)]() mutable {
+          ctx_.env->after(kLoadRetryS, alive_([this, homes = std::move(homes)]() mutable {
                             check_delegated(std::move(homes));
                           }));
           return;
@@ -187,25 +190,30 @@
   ctx_.state->list(RequestPriority::kLease, keys::segments(ctx_.shard),
                    alive_([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
                      if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_segments);
-                     std::vector<std::pair<int, SegmentRecord>> read;
-                     for (StateItem& item : items) {
-                       const int number = std::atoi(item.key.c_str() + keys::segments(ctx_.shard).size());
-                       auto record = SegmentRecord::from_json(item.data);
-                       if (!record) {
-                         // What runs is not known then: nothing may be placed, the rest is still answered.
-                         spdlog::error("record {} cannot be read", item.key);
-                         return;
-                       }
-                       journal_.add_loaded_segment(number, item.revision, dump_json(item.data).size());
-                       read.emplace_back(number, std::move(*record));
-                     }
-                     // Completions first: what is done is placed nowhere, whatever a segment still says.
-                     for (const auto& [number, record] : read) load_completions(number, record);
-                     for (const auto& [number, record] : read) load_placements(number, record);
-                     on_loaded_();
+                     if (load_segment_records(items)) on_loaded_();
                    }));
 }
 
+// False: a record cannot be read. What runs is not known then: nothing may be placed, the rest is still
+// answered.
+bool ShardLoader::load_segment_records(const std::vector<StateItem>& items) {
+  std::vector<std::pair<int, SegmentRecord>> read;  // with their numbers
+  for (const StateItem& item : items) {
+    const int number = std::atoi(item.key.c_str() + keys::segments(ctx_.shard).size());
+    auto record = SegmentRecord::from_json(item.data);
+    if (!record) {
+      spdlog::error("record {} cannot be read", item.key);
+      return false;
+    }
+    journal_.add_loaded_segment(number, item.revision, dump_json(item.data).size());
+    read.emplace_back(number, std::move(*record));
+  }
+  // Completions first: what is done is placed nowhere, whatever a segment still says.
+  for (const auto& [number, record] : read) load_completions(number, record);
+  for (const auto& [number, record] : read) load_placements(number, record);
+  return true;
+}
+
 void ShardLoader::load_completions(int number, const SegmentRecord& record) {
   for (const auto& [name, text] : record.done) {
     const auto it = model_.jobs().find(name);
@@ -255,7 +263,7 @@
 
 void ShardLoader::watch() {
   const double asked = ctx_.env->now();
-  ctx_.state->watch(keys::kWatched, model_.watched(), kWatch, alive_([this, asked](const StateReply& reply) {
+  ctx_.state->watch(keys::kWatched, model_.watched(), kWatchS, alive_([this, asked](const StateReply& reply) {
                       const double took = ctx_.env->now() - asked;
                       double wait = took < 1 ? 0.3 : 0.0;
                       if (reply.ok()) {
@@ -264,7 +272,7 @@
                           for (const Json& event : *events) on_event(event);
                         }
                         model_.watched_up_to(reply.revision());
-                        wait = std::max(0.0, kWatchGap - took);
+                        wait = std::max(0.0, kWatchGapS - took);
                         committer_.send_due_writes();
                       } else if (reply.outcome == Outcome::kGone) {
                         ctx_.restart_shard("watch too old");
@@ -292,7 +300,7 @@
   const std::string own = keys::job_records(ctx_.shard);
   const std::string ref = key.substr(key.rfind('/') + 1);
   if (key.compare(0, own.size(), own) != 0) {
-    // A job of another shard: what was delegated to us of it is unwanted once it is cancelled.
+    // A job of another shard: what was delegated to this shard of it is unwanted once it is cancelled.
     const bool over = !put || (event.contains("data") && event["data"].value("phase", "") == "aborted");
     if (!over) return;
     const std::string prefix = keys::delegations(ctx_.shard, ref);
--- a/src/coordination/shard/shard_loader.hpp
+++ b/src/coordination/shard/shard_loader.hpp
@@ -4,6 +4,7 @@
 #include <functional>
 #include <set>
 #include <string>
+#include <vector>
 
 #include "coordination/shard/shard_context.hpp"
 #include "coordination/shard/shard_model.hpp"
@@ -28,8 +29,8 @@
   // The state service tells what changed: jobs, delegations and quota shares. Every shard hears of every
   // change, so with many shards the calls add up: changes that follow closely are asked for together.
   void watch();
-  // The answer may come late. What the watch, or loading, has covered by then we know already, whatever
-  // became of it since: the job may have run and ended.
+  // A job that this node has recorded at this revision; the answer may come late. What the watch, or loading,
+  // has covered by then is known already, whatever became of it since: the job may have run and ended.
   void admit(JobRecord job_record, std::uint64_t revision);
 
  private:
@@ -39,9 +40,11 @@
   void load_progress();
   void load_progress_record(const StateItem& item);
   void load_delegations();
+  void load_delegation_record(const StateItem& item);
   void check_delegated(std::set<int> homes);
   void load_teams();
   void load_segments();
+  bool load_segment_records(const std::vector<StateItem>& items);
   void load_completions(int number, const SegmentRecord& record);
   void load_placements(int number, const SegmentRecord& record);
   void on_event(const Json& event);
