--- a/src/coordination/shard/shard_loader.cpp
+++ b/src/coordination/shard/shard_loader.cpp
@@ -113,7 +113,7 @@
 
 void ShardLoader::load_delegations() {
   ctx_.state->list(RequestPriority::kLease, keys::kDelegations,
-                   alive_([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
+                   alive_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
                      if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_delegations);
                      for (const StateItem& item : items) load_delegation_record(item);
                      std::set<int> homes;
@@ -188,7 +188,7 @@
 
 void ShardLoader::load_segments() {
   ctx_.state->list(RequestPriority::kLease, keys::segments(ctx_.shard),
-                   alive_([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t) {
+                   alive_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
                      if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_segments);
                      if (load_segment_records(items)) on_loaded_();
                    }));
--- a/src/coordination/shard/summary_builder.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -46,6 +46,7 @@
     for (std::size_t r = 0; r < room.size(); r++) room[r] += placement.job->demand[r];
   }
   std::vector<FleetRoom> out;
+  out.reserve(rooms.size() + yielding.size());
   for (const auto& [bucket, room] : rooms) out.push_back({bucket * kBucketS, room, false});
   for (const auto& [bucket, room] : yielding) out.push_back({bucket * kBucketS, room, true});
   std::stable_sort(out.begin(), out.end(),
