--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -11,7 +11,6 @@
 #include <functional>
 #include <vector>
 
-#include "transport/callback_guard.hpp"
 #include "coordination/fleet/cloud_client.hpp"
 #include "coordination/fleet/demand_estimate.hpp"
 #include "coordination/fleet/fleet_view.hpp"
@@ -25,6 +24,7 @@
 #include "coordination/fleet/shard_summary.hpp"
 #include "coordination/state/state_client.hpp"
 #include "protocol/names.hpp"
+#include "transport/callback_guard.hpp"
 
 namespace mothslip {
 
--- a/src/coordination/fleet/machine_inventory.hpp
+++ b/src/coordination/fleet/machine_inventory.hpp
@@ -6,11 +6,11 @@
 #include <set>
 #include <string>
 
-#include "transport/callback_guard.hpp"
 #include "coordination/fleet/cloud_client.hpp"
 #include "coordination/fleet/cloud_messages.hpp"
 #include "coordination/fleet/shard_summary.hpp"
 #include "protocol/names.hpp"
+#include "transport/callback_guard.hpp"
 
 namespace mothslip {
 
--- a/src/coordination/fleet/machine_returns.cpp
+++ b/src/coordination/fleet/machine_returns.cpp
@@ -18,8 +18,8 @@
   if (machine_names.empty()) return;
   call_open_ = true;
   cloud_.give_back(machine_names, callbacks_([this, machine_names](const CloudReply& reply) {
-    on_reply(machine_names, reply);
-  }));
+                     on_reply(machine_names, reply);
+                   }));
 }
 
 std::vector<std::string> MachineReturns::ready_to_return() const {
--- a/src/coordination/fleet/machine_returns.hpp
+++ b/src/coordination/fleet/machine_returns.hpp
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
-#include "transport/callback_guard.hpp"
 #include "coordination/fleet/cloud_client.hpp"
 #include "coordination/fleet/machine_inventory.hpp"
 #include "coordination/fleet/shard_reports.hpp"
+#include "transport/callback_guard.hpp"
 
 namespace mothslip {
 
--- a/src/coordination/fleet/rental_ledger.cpp
+++ b/src/coordination/fleet/rental_ledger.cpp
@@ -111,8 +111,8 @@
     return;
   }
   services_.cloud.rent(request, callbacks_([this, name, request](const CloudReply& reply) {
-    on_reply(name, request, reply);
-  }));
+                         on_reply(name, request, reply);
+                       }));
 }
 
 void RentalLedger::on_reply(const std::string& name, const RentalRequest& request, const CloudReply& reply) {
--- a/src/coordination/fleet/rental_ledger.hpp
+++ b/src/coordination/fleet/rental_ledger.hpp
@@ -12,13 +12,13 @@
 #include <tuple>
 #include <vector>
 
-#include "transport/callback_guard.hpp"
 #include "coordination/fleet/cloud_client.hpp"
 #include "coordination/fleet/cloud_messages.hpp"
 #include "coordination/fleet/machine_inventory.hpp"
 #include "coordination/state/state_client.hpp"
 #include "protocol/names.hpp"
 #include "scheduling/sizing.hpp"
+#include "transport/callback_guard.hpp"
 
 namespace mothslip {
 
