--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -81,44 +81,54 @@
 }
 
 void TaskDelegation::on_delegation_event(const Json& event) {
-  const bool put = event.contains("put");
-  const std::string key = event.value(put ? "put" : "delete", "");
-  const auto revision = event.value("stamp", std::uint64_t{0});
+  const std::string key = event.value(event.contains("put") ? "put" : "delete", "");
   const std::string own = keys::kDelegations + std::to_string(ctx_.shard) + "/";
   if (key.compare(0, own.size(), own) == 0) {
-    const auto it = model_.jobs().find(key);
-    if (put && it == model_.jobs().end()) {
-      if (model_.is_over_ahead_of_watch(key)) return;
-      auto record = DelegationRecord::from_json(event["data"]);
-      if (!record || record->complete()) return;
-      model_.counters().tasks_received += static_cast<std::uint64_t>(record->range.size());
-      add_delegated_job(key, std::move(*record), revision);
-    } else if (!put && it != model_.jobs().end() && revision > it->second->delegation_revision) {
-      // Deleted by its home: every task in it is done.
-      if (it->second->placed == 0) model_.forget(key);
-    }
-    return;
+    on_received_delegation(key, event);
+  } else {
+    on_sent_delegation(key, event);
+  }
+}
+
+// Delegate: tasks were delegated to this shard, or the home shard has deleted the delegation.
+void TaskDelegation::on_received_delegation(const std::string& key, const Json& event) {
+  const bool put = event.contains("put");
+  const auto revision = event.value("stamp", std::uint64_t{0});
+  const auto it = model_.jobs().find(key);
+  if (put && it == model_.jobs().end()) {
+    if (model_.is_over_ahead_of_watch(key)) return;
+    auto record = DelegationRecord::from_json(event["data"]);
+    if (!record || record->complete()) return;
+    model_.counters().tasks_received += static_cast<std::uint64_t>(record->range.size());
+    add_delegated_job(key, std::move(*record), revision);
+  } else if (!put && it != model_.jobs().end() && revision > it->second->delegation_revision) {
+    // Deleted by its home: every task in it is done.
+    if (it->second->placed == 0) model_.forget(key);
   }
+}
+
+// Home shard: the delegate has noted completions or given tasks back, or the delegation is gone.
+void TaskDelegation::on_sent_delegation(const std::string& key, const Json& event) {
   const auto slash = key.rfind('/');
   const auto tilde = key.rfind('~');
   if (slash == std::string::npos || tilde == std::string::npos || tilde < slash) return;
   const auto it = model_.jobs().find(key.substr(slash + 1, tilde - slash - 1));
   if (it == model_.jobs().end()) return;
   const JobPtr job = it->second;
+  const auto revision = event.value("stamp", std::uint64_t{0});
   const auto delegated = job->delegated.find(key);
   if (delegated == job->delegated.end() || revision <= delegated->second.revision) return;
   delegated->second.revision = revision;
-  if (put) {
-    const auto record = DelegationRecord::from_json(event["data"]);
-    if (record) {
-      delegated->second.noted = record->job.aborted;
-      job->fails_elsewhere |= record->fails;
-      reclaim_tasks(job, key, record->range, record->done);
-    }
-  } else {
+  if (!event.contains("put")) {
     reclaim_tasks(job, key, {}, {});
     job->delegated.erase(key);
+    return;
   }
+  const auto record = DelegationRecord::from_json(event["data"]);
+  if (!record) return;
+  delegated->second.noted = record->job.aborted;
+  job->fails_elsewhere |= record->fails;
+  reclaim_tasks(job, key, record->range, record->done);
 }
 
 DelegationRecord TaskDelegation::delegation_record(const Job& job) {
--- a/src/coordination/shard/task_delegation.hpp
+++ b/src/coordination/shard/task_delegation.hpp
@@ -62,6 +62,8 @@
     RangeSet done;
     bool erase = false;
   };
+  void on_received_delegation(const std::string& key, const Json& event);
+  void on_sent_delegation(const std::string& key, const Json& event);
   [[nodiscard]] bool others_wait() const;
   [[nodiscard]] DelegationPlanner::FreeRooms free_rooms(bool for_others) const;
   void use_rooms(DelegationPlanner::FreeRooms& rooms, bool for_others) const;
