--- a/src/bookkeeping/ledger.hpp
+++ b/src/bookkeeping/ledger.hpp
@@ -1,4 +1,5 @@
-// What a shard knows in memory of its jobs and machines, and what each team uses.
+// What the leader of a shard knows in memory of its jobs and machines, and what each team uses. Times are in
+// seconds of the steady clock, unless a comment says otherwise.
 #pragma once
 
 #include <algorithm>
@@ -46,7 +47,7 @@
   bool failure_told = false;  // its tasks were told to stop
 };
 
-// A job at its home shard, or a delegation of one of which tasks were delegated to this shard.
+// A job at its home shard, or tasks of another shard's job that are delegated to this one.
 struct Job {
   JobRecord record;
   std::uint64_t job_revision = 0;
@@ -93,11 +94,11 @@
   };
   std::vector<CancelWaiter> cancel_waiters;
   // Cancelled durably. Nobody is told before every shard that may hold tasks of it has taken note.
-  double aborted_at = 0;      // when we knew of it, by our clock
+  double aborted_at = 0;      // when this leader knew of it
   std::set<int> unaware;      // home: shards that have not taken note yet
   std::set<int> asking;       // home: of these, a question is under way
   bool confirmed = false;     // home: users may be told
-  bool acknowledged = false;  // delegate: the home has heard from us
+  bool acknowledged = false;  // delegate: the home shard knows that it has taken note
   bool note_written = false;  // delegate: or can read it in the delegation's record
 
   int error_streak = 0;
@@ -118,8 +119,8 @@
 
   [[nodiscard]] const JobSpec& spec() const { return record.spec; }
   [[nodiscard]] bool over() const { return record.aborted || complete(); }
-  // Its user has asked to cancel it. (The write may have been carried out without our knowing, and others may
-  // say so: its tasks are stopped from the moment the write is sent.)
+  // Its user has asked to cancel it. (The write may have been carried out without this leader knowing, and
+  // others may say so: its tasks are stopped from the moment the write is sent.)
   [[nodiscard]] bool cancel_requested() const { return record.aborted || cancelling; }
   // Its tasks may not be placed without regard to each other.
   [[nodiscard]] bool bound() const { return record.spec.gang || record.spec.together || record.spec.scatter; }
@@ -208,8 +209,8 @@
 
   std::uint64_t sequence = 0;       // of the last heartbeat
   bool heard = false;               // reported to this owner
-  bool token_acknowledged = false;  // acknowledged our fencing token
-  double last_answer = 0;           // last time our answer may have renewed its lease
+  bool token_acknowledged = false;  // the worker has shown this leader's fencing token
+  double last_answer = 0;           // last time an answer may have renewed its lease
   double last_heard = 0;
   double first_heard = 0;
   double busy_at = 0;  // last time it had a placement
@@ -219,13 +220,13 @@
   bool keeping = false;   // for large tasks, when last looked
   bool cordoned = false;  // takes nothing new, for now
   bool faulty = false;
-  // Its reports come, our answers do not reach it: seen by launches without effect, or by a lease that ran
-  // out while we heard it all along. Nothing is started there until an incarnation outlasts the lease: it
-  // hears us again.
+  // Its reports come, but no answer reaches it: seen by launches without effect, or by a lease that expired
+  // while reports came all along. Nothing is started there until an incarnation outlasts the lease: it is
+  // reachable again.
   bool inbound_unreachable = false;
   double inbound_unreachable_since = 0;
   int ineffective_launches = 0;  // launches in a row that had no effect
-  int expired_incarnations = 0;  // in a row that ended although we had answered
+  int expired_incarnations = 0;  // in a row that ended although they were answered
   double incarnation_since = 0;  // first report of this incarnation
   double steady_since = 0;       // its reports have come without a gap since
   int error_streak = 0;
@@ -241,7 +242,7 @@
   JobPtr reserved_for;         // a gang that waits for its room
   bool direct_inflight = false;
   bool stops_due = false;  // a job was cancelled while a direct command was under way
-  double raise_tried = 0;  // last time a direct command showed it our token
+  double raise_tried = 0;  // last time a direct command showed it the fencing token
 
   // May anything new be started here?
   [[nodiscard]] bool schedulable() const {
--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -18,7 +18,7 @@
 constexpr double kCancellationRetry = 0.25;
 // Machines that can be reached have stopped the tasks by then; the others do so within their leases.
 constexpr double kStopPatience = 1.2;
-constexpr double kWriteNote = 3.0;  // a home that has not asked by then may not reach us
+constexpr double kWriteNote = 3.0;  // a home that has not asked by then may not reach this leader
 }  // namespace
 
 Cancellation::Cancellation(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -64,7 +64,7 @@
     if (job->delegated_here() || job->cancel_waiters.empty() || job->finishing || job->cancelling ||
         job->record.aborted)
       continue;
-    if (job->complete()) continue;  // commit_dones ends it
+    if (job->complete()) continue;  // its ending is written instead
     job->cancelling = true;
     JobRecord job_record = job->record;
     job_record.aborted = true;
--- a/src/coordination/shard/cancellation.hpp
+++ b/src/coordination/shard/cancellation.hpp
@@ -2,10 +2,10 @@
 // taken note: a delegate that the state service refuses would otherwise go on renewing the leases of machines
 // that run cancelled tasks, and so it did, through an outage longer than cancel_s.
 //
-// Taken note has a delegate whose owner has answered our message while its lease was valid, or whose key
-// showed that very owner, or no owner, or a later one, after the cancellation: who owns the shard later loads
-// its records later. One that shrank, completed or deleted its delegation, or wrote the cancellation into it,
-// has shown it too. (Owners that were deposed before are bounded by Ownership::may_renew.)
+// Taken note has a delegate whose owner has answered the home's message while its lease was valid, or whose
+// key showed that very owner, or no owner, or a later one, after the cancellation: who owns the shard later
+// loads its records later. One that shrank, completed or deleted its delegation, or wrote the cancellation
+// into it, has shown it too. (Owners that were deposed before are bounded by Ownership::may_renew.)
 #pragma once
 
 #include <string>
@@ -33,14 +33,14 @@
   void cancel(const std::string& ref, Responder responder);
   // Writes the next cancellation that a user has asked for; false: there is none.
   bool commit_cancels();
-  // At home: it is durable now, or was when we loaded it.
+  // At home: it is durable now, or was when it was loaded.
   void on_cancellation_durable(const JobPtr& job);
   // Looks at every cancellation that is not confirmed yet.
   void retry_cancellations();
   void confirm(const JobPtr& job);
   // Delegate: the home's owner says that a job is cancelled.
   CancellationReply on_job_cancelled(const CancellationNotice& notice);
-  // Delegate: where the home does not reach us, it reads that we know. (A delegation without tasks on
+  // Delegate: where the home cannot reach this leader, it reads that it knows. (A delegation without tasks on
   // machines is deleted instead.)
   bool record_seen_cancellations();
 
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -115,7 +115,7 @@
   GangAttempt& attempt = job->attempt;
   if (attempt.number == 0) {
     // Larger than that of any attempt before, also at another shard: what ended that one, and brought the
-    // gang here, are revisions that we know.
+    // gang here, are revisions that are known here.
     const std::uint64_t revision =
         std::max({ctx_.fencing_token, model_.watched(), job->job_revision, job->delegation_revision});
     attempt.number = (revision << kAttemptShift) + model_.next_count();
@@ -265,8 +265,8 @@
   reserved_at_ = ctx_.env->now();
 }
 
-// Where our machines could not hold a gang even if they were empty, another shard's may: it is delegated to a
-// shard that says so, and that shard reserves machines for it.
+// Where this shard's machines could not hold a gang even if they were empty, another shard's may: it is
+// delegated to a shard that says so, and that shard reserves machines for it.
 void GangScheduler::request_capacity() {
   const double now = ctx_.env->now();
   if (ctx_.shard_count < 2 || now < next_seek_ || seeking_ || committer_.state_silent() ||
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -86,7 +86,7 @@
   for (std::size_t r = 0; r < 3; r++) more[r] = std::max(more[r], job.demand[r] * job.waiting.size());
 }
 
-// What the team's waiting tasks would take of the room that our machines have.
+// What the team's waiting tasks would take of the room that the shard's machines have.
 Resources QuotaShares::startable_demand(int team) const {
   Resources room{};
   for (const auto& [name, machine] : model_.machines()) {
--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -146,7 +146,7 @@
 }
 
 // Its answer is lost: the revision is read from the first of its puts that is still there. A delegation that
-// it put and that is gone was complete, which only we can have written, and its home has deleted it.
+// it put and that is gone was complete, which only this leader can have written, and its home has deleted it.
 void RecordCommitter::find_revision(const std::shared_ptr<Write>& write, std::size_t at,
                                     std::uint64_t revision) {
   if (at == write->effects.size()) return settle(*write, revision);
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -65,7 +65,7 @@
 }
 
 // A terminal write whose answer has not come may be durable already, and others may have read and told it. So
-// from the moment it is sent until its outcome is certain our memory does not tell whether the job is open.
+// from the moment it is sent until its outcome is certain memory does not tell whether the job is open.
 JobFinding ShardLeader::find(const std::string& ref) const {
   const auto it = model_.jobs().find(ref);
   if (it == model_.jobs().end()) return {JobFinding::Kind::kUnknownJob, {}};
@@ -93,7 +93,7 @@
   }
   model_.counters().reports++;
   if (report.fencing_token > ctx_.fencing_token) {
-    // The worker obeys a newer owner: we were deposed and have not heard it yet.
+    // The worker obeys a newer leader: this one was deposed and has not heard of it yet.
     responder.send(503, R"({"error":"not the owner"})", 1);
     ctx_.deposed(report.fencing_token);
     return;
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -72,8 +72,8 @@
   if (job->record.aborted) return;
   job->record.aborted = true;
   job->aborted_at = ctx_.env->now();
-  // (While we load, the waiting tasks tell which placements of the segments still count: what runs on a
-  // machine that we cannot ask uses its team's limit, cancelled or not.)
+  // (While records are loaded, the waiting tasks tell which placements of the segments still count: what runs
+  // on a machine that cannot be asked uses its team's limit, cancelled or not.)
   if (!model_.active()) return;
   job->waiting.clear();
   job->backoff.clear();
--- a/src/coordination/shard/task_delegation.hpp
+++ b/src/coordination/shard/task_delegation.hpp
@@ -48,10 +48,10 @@
   // Another shard offers room: delegates tasks for which this shard's own machines have none. Throws
   // MalformedMessage.
   TaskReply on_task_request(TaskRequest request);
-  // One conditional write a delegation: it holds while we own the home, the delegate owns its shard, and the
-  // job is open. It rides in the journal's next write: a copy of that write which comes late finds the active
-  // segment changed and fails. (Its own key would not tell: a delegation that was made, given back and
-  // deleted left no trace, and a late copy brought it back while its tasks ran elsewhere.)
+  // One conditional write a delegation: it holds while this leader owns the home shard, the delegate its
+  // shard, and the job is open. It rides in the journal's next write: a copy of that write which comes late
+  // finds the active segment changed and fails. (Its own key would not tell: a delegation that was made,
+  // given back and deleted left no trace, and a late copy brought it back while its tasks ran elsewhere.)
   void delegate_tasks(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count);
 
  private:
--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -114,8 +114,8 @@
   placement.phase = task.phase;
 }
 
-// (a) the task is missing from a report that shows our token. It is given up where no launch of it can still
-// be on its way and nobody wants it launched again.
+// (a) the task is missing from a report that shows this leader's fencing token. It is given up where no
+// launch of it can still be on its way and nobody wants it launched again.
 void WorkerLiveness::free_if_missing(const Machine& machine, Placement& placement, const Report& report,
                                      bool direct) {
   if (placement.stage != Placement::Stage::kRecorded) return;
@@ -162,9 +162,9 @@
   if (freed > 0)
     spdlog::info("{} is in incarnation {}: {} placements freed", machine.name, worker_incarnation, freed);
   model_.counters().freed_by_incarnation += freed;
-  // Its lease ran out although we had answered it. Once, that is a cut or a hang; while its reports came all
-  // the time, or once more, the answers do not arrive. (A worker without answers goes from node to node: we
-  // hear it seldom.)
+  // Its lease expired although it was answered. Once, that is a cut or a hang; while its reports came all
+  // the time, or once more, the answers do not arrive. (A worker without answers goes from node to node: it
+  // is heard seldom.)
   // Reports that a cut held back come all at once when it ends: they show nothing of the kind.
   const bool answered = machine.last_answer >= machine.incarnation_since;
   const bool lasted = now - machine.incarnation_since > ctx_.settings->lease_s / 2;
--- a/src/coordination/shard/worker_liveness.hpp
+++ b/src/coordination/shard/worker_liveness.hpp
@@ -1,9 +1,8 @@
 // Heartbeats of workers: what a report shows of tasks, leases and reachability, and which placements it
 // proves to be over. A placement is freed only on evidence:
-//  (a) a report that shows our fencing token lacks the task, and no launch of it can still be on its way;
-//  (b) the worker is in a later incarnation;
-//  (c) the worker obeyed only this leader, and its lease has expired;
-//  (d) the cloud has confirmed that the machine is gone (ShardModel::remove_machine).
+//  (a) a report that shows the leader's fencing token lacks the task, and no launch of it can still be on its
+//  way; (b) the worker is in a later incarnation; (c) the worker obeyed only this leader, and its lease has
+//  expired; (d) the cloud has confirmed that the machine is gone (ShardModel::remove_machine).
 #pragma once
 
 #include <cstdint>
@@ -25,7 +24,7 @@
   void expire_lease(Machine& machine);
 
   // Works a report into the books. `direct`: it answered /commands, so a launch in the answer to an ordinary
-  // report may still be on its way, and what is missing proves nothing about launches we sent.
+  // report may still be on its way, and what is missing proves nothing about launches that were sent.
   bool apply_heartbeat(Machine& machine, const Report& report, bool direct);
 
  private:
--- a/src/coordination/state/incarnation.hpp
+++ b/src/coordination/state/incarnation.hpp
@@ -48,7 +48,7 @@
 
   [[nodiscard]] const Incarnation& incarnation() const { return incarnation_; }
   // The key, or prefix of keys, under which the state service holds it. An absolute key ("/e/0/job-1") names
-  // what the service holds without a prefix of ours.
+  // what the service holds without the prefix of an incarnation.
   [[nodiscard]] std::string stored_key(const std::string& key) const;
   // Where the ending of a job may be: in this incarnation, then in those before, as absolute keys.
   [[nodiscard]] std::vector<std::string> ending_keys(int shard, const std::string& ref) const;
