--- a/src/coordination/state/incarnation.hpp
+++ b/src/coordination/state/incarnation.hpp
@@ -3,8 +3,7 @@
 // When the service has lost recent records, the rebuilt ones begin a new incarnation: their keys have a
 // prefix that no earlier key had, and every revision counts `token_offset` more than the service says. So
 //  * transactions from before the loss, however late, touch keys that nobody reads any more;
-//  * fencing tokens, attempt numbers and rental names, which all come from revisions, are larger than any
-//  before,
+//  * fencing tokens, attempt numbers and rental names come from revisions: all are larger than any before,
 //    although the service gives its revisions out anew.
 // Everything above StateClient works with own keys and offset revisions; KeySpace translates.
 #pragma once
