--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -240,15 +240,6 @@
 
 Json QuotaSplitRecord::to_json() const { return {{"c", cores}, {"g", gpus}}; }
 
-std::optional<QuotaSplitRecord> QuotaSplitRecord::from_json(const Json& value) {
-  try {
-    return QuotaSplitRecord{value.at("c").get<std::vector<double>>(),
-                            value.at("g").get<std::vector<double>>()};
-  } catch (const Json::exception&) {
-    return std::nullopt;
-  }
-}
-
 // ---------------------------------------------------------------- jobs that could not be accounted for
 
 RangeSet UnaccountedRecord::held_of(int task_count) const {
--- a/src/bookkeeping/records.hpp
+++ b/src/bookkeeping/records.hpp
@@ -235,7 +235,6 @@
   std::vector<double> gpus;   // by shard
 
   [[nodiscard]] Json to_json() const;
-  static std::optional<QuotaSplitRecord> from_json(const Json& value);
 };
 
 // A job that could not be accounted for when lost records were rebuilt: whether its held tasks completed is
--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -177,11 +177,13 @@
 }
 
 CancellationReply Cancellation::on_job_cancelled(const CancellationNotice& notice) {
+  const std::string prefix = keys::delegations(ctx_.shard, notice.ref);
   bool noted = true;
-  for (const auto& [key, job] : model_.delegations_of(notice.ref)) {
-    delegation_.drop_delegated(job);
-    noted = noted && tasks_stopped(*job);
-    job->acknowledged = true;
+  for (auto it = model_.jobs().lower_bound(prefix);
+       it != model_.jobs().end() && it->first.rfind(prefix, 0) == 0; ++it) {
+    delegation_.drop_delegated(it->second);
+    noted = noted && tasks_stopped(*it->second);
+    it->second->acknowledged = true;
   }
   committer_.send_due_writes();
   return {noted, ctx_.exclusive_owner(), ctx_.fencing_token};
--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -4,6 +4,11 @@
 
 namespace mothslip {
 
+namespace {
+// The time that a task of the job may take, by its estimate; estimates are often too low.
+constexpr double kEstimateMargin = 1.3;
+}  // namespace
+
 bool take_room(Resources& room, const Resources& demand) {
   if (!fits(demand, room)) return false;
   for (std::size_t r = 0; r < room.size(); r++) room[r] -= demand[r];
@@ -58,7 +63,7 @@
   out.bonus = PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) + rules_.age_bonus(job, wall);
   if (spec.deadline_s) {
     out.pressure = deadline_pressure(job.record.submitted + *spec.deadline_s - wall,
-                                     PlacementRules::kEstimateMargin * std::max(1.0, spec.estimated_s));
+                                     kEstimateMargin * std::max(1.0, spec.estimated_s));
   }
   return out;
 }
--- a/src/coordination/shard/placement_rules.hpp
+++ b/src/coordination/shard/placement_rules.hpp
@@ -15,8 +15,6 @@
  public:
   // In units of preference: a class of urgency weighs as much as half the pressure of a deadline.
   static constexpr double kUrgencyBonus = 0.5;
-  // The time that a task may take, in multiples of its estimate; estimates are often too low.
-  static constexpr double kEstimateMargin = 1.3;
 
   PlacementRules(const ShardContext& context, ShardModel& model);
   // Of the operators' settings, with resources scaled by the largest machine type.
--- a/src/coordination/shard/progress_records.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -12,6 +12,8 @@
 namespace {
 constexpr std::size_t kMergeDelegations = 3;  // completed delegations worth a transaction of their own
 constexpr double kProgressFill = 0.85;        // of the value size
+// Tasks that a further record covers: however scattered, their text takes less than 1 KiB.
+constexpr int kTasksPerChunk = 512;
 }  // namespace
 
 ProgressRecords::ProgressRecords(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -29,10 +31,10 @@
 int ProgressRecords::longest_chunk(const Job& job, const RangeSet& main) {
   int longest = 0;
   std::size_t longest_ranges = 0;
-  const int count = (job.spec().task_count + kTasksPerProgressChunk - 1) / kTasksPerProgressChunk;
+  const int count = (job.spec().task_count + kTasksPerChunk - 1) / kTasksPerChunk;
   for (int number = 0; number < count; number++) {
     const std::size_t ranges =
-        main.slice(number * kTasksPerProgressChunk, (number + 1) * kTasksPerProgressChunk).range_count();
+        main.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk).range_count();
     if (ranges <= longest_ranges) continue;
     longest_ranges = ranges;
     longest = number;
@@ -53,7 +55,7 @@
     return {ProgressWrite::kMain, job.done};
   }
   const int number = longest_chunk(job, main);
-  RangeSet slice = job.done.slice(number * kTasksPerProgressChunk, (number + 1) * kTasksPerProgressChunk);
+  RangeSet slice = job.done.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk);
   const auto known = job.progress_chunks.find(number);
   txn.guard(keys::progress_chunk(ctx_.shard, ref, number),
             known == job.progress_chunks.end() ? 0 : known->second.revision);
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -31,12 +31,12 @@
   }
 }
 
-QuotaSplitRecord QuotaShares::even_split(int team) const {
+QuotaSplit QuotaShares::even_split(int team) const {
   const Team& limits = ctx_.settings->teams[static_cast<std::size_t>(team)];
   const double cores = grains(limits.cpus_max / ctx_.shard_count);
   const double gpus = grains(limits.gpus_max / ctx_.shard_count);
   const int others = ctx_.shard_count - 1;
-  QuotaSplitRecord out;
+  QuotaSplit out;
   out.cores.assign(static_cast<std::size_t>(ctx_.shard_count), cores);
   out.gpus.assign(static_cast<std::size_t>(ctx_.shard_count), gpus);
   // The first shard has what does not divide evenly.
@@ -45,7 +45,7 @@
   return out;
 }
 
-void QuotaShares::set_split(int team, const QuotaSplitRecord& split, std::uint64_t revision) {
+void QuotaShares::set_split(int team, const QuotaSplit& split, std::uint64_t revision) {
   const auto at = static_cast<std::size_t>(ctx_.shard);
   if (at >= split.cores.size() || at >= split.gpus.size()) {
     spdlog::error("record {} cannot be read", keys::team(team));
@@ -56,12 +56,11 @@
 }
 
 void QuotaShares::read_split(int team, const Json& record, std::uint64_t revision) {
-  const auto split = QuotaSplitRecord::from_json(record);
-  if (!split) {
+  try {
+    set_split(team, QuotaSplit::from_json(record), revision);
+  } catch (const MalformedMessage&) {
     spdlog::error("record {} cannot be read", keys::team(team));
-    return;
   }
-  set_split(team, *split, revision);
 }
 
 void QuotaShares::on_quota_event(const Json& event) {
@@ -166,7 +165,7 @@
   const double give_cores = grains(std::clamp(cores, 0.0, std::max(0.0, spare.cores)));
   const double give_gpus = grains(std::clamp(gpus, 0.0, std::max(0.0, spare.gpus)));
   if (give_cores <= 0 && give_gpus <= 0) return false;
-  QuotaSplitRecord split = splits_.at(team);
+  QuotaSplit split = splits_.at(team);
   const auto from_at = static_cast<std::size_t>(ctx_.shard);
   const auto to_at = static_cast<std::size_t>(to);
   if (to_at >= split.cores.size() || to_at >= split.gpus.size()) return false;
@@ -185,8 +184,7 @@
   return true;
 }
 
-void QuotaShares::commit_quota(int team, const std::shared_ptr<std::string>& body,
-                               const QuotaSplitRecord& split) {
+void QuotaShares::commit_quota(int team, const std::shared_ptr<std::string>& body, const QuotaSplit& split) {
   ctx_.state->commit_body(
       RequestPriority::kRest, *body, 1, alive_([this, team, body, split](const StateReply& reply) {
         if (reply.ok()) {
--- a/src/coordination/shard/quota_shares.hpp
+++ b/src/coordination/shard/quota_shares.hpp
@@ -27,7 +27,7 @@
   void load(const std::vector<StateItem>& items);
 
   // The split of a team's limits among the shards as long as nothing has moved.
-  [[nodiscard]] QuotaSplitRecord even_split(int team) const;
+  [[nodiscard]] QuotaSplit even_split(int team) const;
   // The record of a team's split has changed.
   void on_quota_event(const Json& event);
   // A waiting task of the job does not fit into the team's quota share.
@@ -41,12 +41,12 @@
   bool transfer_quota(int team, int to, double cores, double gpus, bool keep_own = true);
 
  private:
-  void set_split(int team, const QuotaSplitRecord& split, std::uint64_t revision);
+  void set_split(int team, const QuotaSplit& split, std::uint64_t revision);
   // The record of a split; a malformed one is logged and changes nothing.
   void read_split(int team, const Json& record, std::uint64_t revision);
   [[nodiscard]] SpareQuota transferable(int team, int to, bool keep_own) const;
   [[nodiscard]] Resources startable_demand(int team) const;
-  void commit_quota(int team, const std::shared_ptr<std::string>& body, const QuotaSplitRecord& split);
+  void commit_quota(int team, const std::shared_ptr<std::string>& body, const QuotaSplit& split);
   void reload_team(int team);
 
   const ShardContext& ctx_;
@@ -54,11 +54,11 @@
   RecordCommitter& committer_;
   PlacementRules& rules_;
   CallbackGuard alive_;
-  std::set<int> starving_teams_;            // their quota share is saved up for a job that starves
-  std::map<int, Resources> short_of_;       // by team: what a waiting task needs and the quota share lacks
-  std::map<int, QuotaSplitRecord> splits_;  // by team: its record
-  std::set<int> moving_;                    // teams of which a part of the quota share is being given away
-  int asked_for_quota_ = 0;                 // the shard asked last
+  std::set<int> starving_teams_;       // their quota share is saved up for a job that starves
+  std::map<int, Resources> short_of_;  // by team: what a waiting task needs and the quota share lacks
+  std::map<int, QuotaSplit> splits_;   // by team: its record
+  std::set<int> moving_;               // teams of which a part of the quota share is being given away
+  int asked_for_quota_ = 0;            // the shard asked last
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/shard_loader.cpp
+++ b/src/coordination/shard/shard_loader.cpp
@@ -303,7 +303,11 @@
     // A job of another shard: what was delegated to this shard of it is unwanted once it is cancelled.
     const bool over = !put || (event.contains("data") && event["data"].value("phase", "") == "aborted");
     if (!over) return;
-    for (const auto& [name, job] : model_.delegations_of(ref)) delegation_.drop_delegated(job);
+    const std::string prefix = keys::delegations(ctx_.shard, ref);
+    for (auto it = model_.jobs().lower_bound(prefix);
+         it != model_.jobs().end() && it->first.rfind(prefix, 0) == 0; ++it) {
+      delegation_.drop_delegated(it->second);
+    }
     return;
   }
   if (!put || !event.contains("data")) return;
--- a/src/coordination/shard/shard_messages.cpp
+++ b/src/coordination/shard/shard_messages.cpp
@@ -170,4 +170,12 @@
                            value.value("baton", std::uint64_t{0})};
 }
 
+Json QuotaSplit::to_json() const { return {{"c", cores}, {"g", gpus}}; }
+
+QuotaSplit QuotaSplit::from_json(const Json& value) {
+  return read_message("quota split", [&value] {
+    return QuotaSplit{value.at("c").get<std::vector<double>>(), value.at("g").get<std::vector<double>>()};
+  });
+}
+
 }  // namespace mothslip
--- a/src/coordination/shard/shard_messages.hpp
+++ b/src/coordination/shard/shard_messages.hpp
@@ -123,4 +123,12 @@
   static std::optional<CancellationReply> from_json(const Json& value);
 };
 
+// How a team's limits are split among the shards: a record of the state service, by shard.
+struct QuotaSplit {
+  std::vector<double> cores;
+  std::vector<double> gpus;
+  [[nodiscard]] Json to_json() const;
+  static QuotaSplit from_json(const Json& value);
+};
+
 }  // namespace mothslip
--- a/src/coordination/shard/shard_model.cpp
+++ b/src/coordination/shard/shard_model.cpp
@@ -22,20 +22,13 @@
 JobPtr ShardModel::find_task(const std::string& ref, int index) const {
   const auto home = jobs_.find(ref);
   if (home != jobs_.end()) return home->second;
-  for (const auto& [key, job] : delegations_of(ref)) {
-    if (job->range.contains(index)) return job;
+  const std::string prefix = keys::delegations(ctx_.shard, ref);
+  for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it) {
+    if (it->second->range.contains(index)) return it->second;
   }
   return nullptr;
 }
 
-std::ranges::subrange<ShardModel::Jobs::const_iterator> ShardModel::delegations_of(
-    const std::string& ref) const {
-  const std::string first = keys::delegations(ctx_.shard, ref);  // of all their keys the common prefix
-  std::string behind = first;
-  behind.back()++;
-  return {jobs_.lower_bound(first), jobs_.lower_bound(behind)};
-}
-
 JobPtr ShardModel::make_job(JobRecord job_record, std::uint64_t revision) {
   auto job = std::make_shared<Job>();
   job->record = std::move(job_record);
@@ -205,11 +198,13 @@
 
 bool ShardModel::failed_on_one(const std::string& ref) const {
   std::set<std::string> on;
+  const std::string prefix = keys::delegations(ctx_.shard, ref);
   const auto add = [&on](const Job& job) {
     for (const auto& [name, failing] : job.failing) on.insert(name);
   };
   if (const auto home = jobs_.find(ref); home != jobs_.end()) add(*home->second);
-  for (const auto& [key, job] : delegations_of(ref)) add(*job);
+  for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it)
+    add(*it->second);
   return on.size() == 1;
 }
 
--- a/src/coordination/shard/shard_model.hpp
+++ b/src/coordination/shard/shard_model.hpp
@@ -9,7 +9,6 @@
 #include <map>
 #include <memory>
 #include <optional>
-#include <ranges>
 #include <set>
 #include <string>
 #include <utility>
@@ -63,8 +62,6 @@
 
   // The job, or the delegation to this shard, that a task on one of the shard's machines belongs to.
   [[nodiscard]] JobPtr find_task(const std::string& ref, int index) const;
-  // Tasks of this job that are delegated to this shard: entries of jobs().
-  [[nodiscard]] std::ranges::subrange<Jobs::const_iterator> delegations_of(const std::string& ref) const;
   // A job of this shard that is not among the open ones yet.
   [[nodiscard]] JobPtr make_job(JobRecord job_record, std::uint64_t revision);
   void add_job(JobRecord job_record, std::uint64_t revision);
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 constexpr double kLeastCores = 0.01;     // less is no room at all
+constexpr double kEstimateMargin = 1.3;  // estimates are often too low
 constexpr double kAnswerPatience = 1.2;  // workers drop answers after 4 s; committing rarely takes this long
 constexpr double kGuaranteeBonus = 0.5;
 }  // namespace
@@ -105,8 +106,8 @@
   const double fetch_s = out.local ? 0 : fetch_seconds(spec, ctx_.types->at(machine.type));
   if (spec.deadline_s) {
     const double time_left_s = job.record.submitted + *spec.deadline_s - ctx_.env->wall();
-    out.pressure = deadline_pressure(
-        time_left_s, PlacementRules::kEstimateMargin * std::max(1.0, spec.estimated_s) + fetch_s);
+    out.pressure =
+        deadline_pressure(time_left_s, kEstimateMargin * std::max(1.0, spec.estimated_s) + fetch_s);
   }
   return out;
 }
