--- a/src/bookkeeping/ledger.hpp
+++ b/src/bookkeeping/ledger.hpp
@@ -123,8 +123,10 @@
   // others may say so: its tasks are stopped from the moment the write is sent.)
   [[nodiscard]] bool cancel_requested() const { return record.aborted || cancelling; }
   // Its tasks may not be placed without regard to each other.
-  [[nodiscard]] bool bound() const { return record.spec.gang || record.spec.together || record.spec.scatter; }
-  [[nodiscard]] bool is_gang() const { return record.spec.gang; }
+  [[nodiscard]] bool bound() const {
+    return record.spec.is_gang || record.spec.must_share_zone || record.spec.must_spread_zones;
+  }
+  [[nodiscard]] bool is_gang() const { return record.spec.is_gang; }
   // What has to be free at once for anything of it to start: of a gang all that waits, else one task.
   [[nodiscard]] Resources start_demand() const {
     Resources out = demand;
--- a/src/coordination/fleet/fleet_view.cpp
+++ b/src/coordination/fleet/fleet_view.cpp
@@ -37,7 +37,7 @@
     const MachineType& type = all[t];
     FleetType out;
     out.capacity = {type.cores, type.memory_gb, type.accelerators};
-    out.hourly = type.hourly;
+    out.hourly = type.hourly_price;
     out.spot_price = type.spot_price;
     out.boot_s = type.boot_s;
     out.fetch_gb_per_s = type.fetch_gb_per_s;
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -88,7 +88,7 @@
   GangOffer out;
   out.rent = {type, zone, spot, std::min(count, kMaxGangRent)};
   out.missing = missing;
-  out.price = (spot ? machine_type.spot_price : machine_type.hourly) * count;
+  out.price = (spot ? machine_type.spot_price : machine_type.hourly_price) * count;
   return out;
 }
 
--- a/src/coordination/node/request_router.hpp
+++ b/src/coordination/node/request_router.hpp
@@ -22,7 +22,7 @@
     kCancel,  // /v2/runs/REF/cancel
   };
   Kind kind = Kind::kAll;
-  std::string ref;  // not checked (valid_ref); empty for kAll
+  std::string ref;  // not checked (is_valid_ref); empty for kAll
 };
 // Nothing where it is no such path.
 [[nodiscard]] std::optional<RunsPath> parse_runs_path(const std::string& path);
--- a/src/coordination/node/user_api.cpp
+++ b/src/coordination/node/user_api.cpp
@@ -88,7 +88,7 @@
 void UserApi::refuse(const std::string& ref, int status, const std::string& why, const Responder& responder) {
   const std::string body = dump_json({{"error", why}});
   spdlog::info("submission of {} refused with {}: {}", ref, status, why);
-  if (!valid_ref(ref)) {
+  if (!is_valid_ref(ref)) {
     responder.send(status, body);
     return;
   }
@@ -114,7 +114,7 @@
   }
   std::string bad_field;
   auto spec = parse_job(json, bad_field);
-  if (spec && spec->gang && !ctx_.gangs) {
+  if (spec && spec->is_gang && !ctx_.gangs) {
     spec.reset();
     bad_field = "shape";
   }
@@ -140,7 +140,7 @@
     send_starting(responder);
     return;
   }
-  if (const std::string never = never_runs(spec, *ctx_.settings, *ctx_.types); !never.empty()) {
+  if (const std::string never = unschedulable_reason(spec, *ctx_.settings, *ctx_.types); !never.empty()) {
     refuse(spec.ref, 422, never, responder);
     return;
   }
@@ -148,7 +148,7 @@
     responder.send(429, R"({"error":"too many submissions"})", kRetryWhenLessBusy);
     return;
   }
-  if (spec.gang) {
+  if (spec.is_gang) {
     accept_gang(spec, responder);
   } else {
     accept(spec, responder);
@@ -182,7 +182,7 @@
   // A long list of machine types, most of them unknown here, must not keep the job from being recorded.
   const auto bytes = static_cast<double>(dump_json(record.to_json()).size());
   const double most_bytes = kJobRecordFill * ctx_.settings->value_kb * 1024;
-  if (bytes > most_bytes) keep_known_machine_types(record.spec, *ctx_.types);
+  if (bytes > most_bytes) remove_unknown_machine_types(record.spec, *ctx_.types);
   return record;
 }
 
@@ -198,7 +198,7 @@
   if (records_were_lost && !acceptance.unaccounted) txn.guard(keys::unaccounted(shard, spec.ref), 0);
   if (ctx_.settings->tuning.recovery) txn.guard(keys::kMeta, ctx_.ownership->meta_revision());
   txn.put(keys::job_record(shard, spec.ref), acceptance.record.to_json());
-  const bool first_gang = spec.gang && !gangs_accepted_;
+  const bool first_gang = spec.is_gang && !gangs_accepted_;
   if (first_gang) txn.put(keys::kGangs, {{"accepted", true}});
   return txn;
 }
@@ -226,7 +226,7 @@
   const JobRecord& record = acceptance.record;
   const std::string& ref = record.spec.ref;
   spdlog::info("{} accepted", ref);
-  gangs_accepted_ |= record.spec.gang;
+  gangs_accepted_ |= record.spec.is_gang;
   note_accepted(record);
   if (ShardLeader* leader = ctx_.shard(acceptance.shard); leader != nullptr) leader->admit(record, revision);
   if (acceptance.unaccounted) {
@@ -251,7 +251,7 @@
 // ---------------------------------------------------------------- polls
 
 void UserApi::poll(const std::string& ref, bool forwarded, const Responder& responder) {
-  if (!valid_ref(ref)) {
+  if (!is_valid_ref(ref)) {
     send_unknown(responder);
     return;
   }
@@ -306,7 +306,7 @@
 // ---------------------------------------------------------------- cancellations
 
 void UserApi::cancel(const std::string& ref, bool forwarded, const Responder& responder) {
-  if (!valid_ref(ref)) {
+  if (!is_valid_ref(ref)) {
     send_unknown(responder);
     return;
   }
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -77,8 +77,8 @@
   GangNeeds out;
   out.demand = job.demand;
   out.tasks = job.waiting.size();
-  out.together = job.spec().together;
-  if (job.spec().scatter) out.most_in_zone = (job.spec().task_count + 1) / 2;
+  out.together = job.spec().must_share_zone;
+  if (job.spec().must_spread_zones) out.most_in_zone = (job.spec().task_count + 1) / 2;
   out.placed_in_zone = job.placed_by_zone;
   return out;
 }
@@ -95,7 +95,7 @@
 
 double GangScheduler::fetch_s(const Job& job, const Machine& machine) const {
   if (machine.has_image(job.image)) return 0;
-  return fetch_seconds(job.spec(), ctx_.types->at(machine.type));
+  return image_fetch_s(job.spec(), ctx_.types->at(machine.type));
 }
 
 bool GangScheduler::place_gang(const JobPtr& job) {
@@ -356,7 +356,7 @@
                       !(offer.only_large && rules_.fits_smaller_type(job, type));
     const bool local =
         std::find(offer.images.begin(), offer.images.end(), job.spec().image) != offer.images.end();
-    const double fetch = local || type < 0 ? 0 : fetch_seconds(job.spec(), ctx_.types->at(type));
+    const double fetch = local || type < 0 ? 0 : image_fetch_s(job.spec(), ctx_.types->at(type));
     machines.push_back({open ? rooms[i] : Resources{}, ctx_.zones->intern(offer.zone), fetch});
   }
   return find_gang_places(gang_needs(job), machines);
--- a/src/coordination/shard/placement_rules.cpp
+++ b/src/coordination/shard/placement_rules.cpp
@@ -45,7 +45,8 @@
 // Could go to any machine that is large enough.
 bool PlacementRules::flexible(const Job& job) {
   const JobSpec& spec = job.spec();
-  return spec.allows_spot && !spec.zone && !spec.machine_types && !spec.together && !spec.scatter;
+  return spec.allows_spot && !spec.zone && !spec.machine_types && !spec.must_share_zone &&
+         !spec.must_spread_zones;
 }
 
 bool PlacementRules::allows_machine(const JobSpec& spec, const std::string& machine_type,
@@ -72,8 +73,8 @@
   const auto in_zone = job.placed_by_zone.find(machine.zone);
   const int here = in_zone == job.placed_by_zone.end() ? 0 : in_zone->second;
   if (job.bound() && job.delegated_open() > 0) return false;  // another shard holds what is placed of it
-  if (spec.together && job.placed > here) return false;
-  return !spec.scatter || here + 1 <= (spec.task_count + 1) / 2;
+  if (spec.must_share_zone && job.placed > here) return false;
+  return !spec.must_spread_zones || here + 1 <= (spec.task_count + 1) / 2;
 }
 
 bool PlacementRules::within_quota(const Job& job) const {
--- a/src/coordination/shard/shard_messages.cpp
+++ b/src/coordination/shard/shard_messages.cpp
@@ -136,7 +136,7 @@
     std::string bad_field;
     const auto spec = parse_job(value.at("job"), bad_field);
     if (!spec) throw MalformedMessage("gang capacity request: " + bad_field);
-    if (!spec->gang) throw MalformedMessage("gang capacity request: no gang");
+    if (!spec->is_gang) throw MalformedMessage("gang capacity request: no gang");
     return GangCapacityRequest{*spec};
   });
 }
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -103,7 +103,7 @@
   Request out;
   out.demand = job.demand;
   out.local = machine.has_image(job.image);
-  const double fetch_s = out.local ? 0 : fetch_seconds(spec, ctx_.types->at(machine.type));
+  const double fetch_s = out.local ? 0 : image_fetch_s(spec, ctx_.types->at(machine.type));
   if (spec.deadline_s) {
     const double time_left_s = job.record.submitted + *spec.deadline_s - ctx_.env->wall();
     out.pressure =
--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -260,7 +260,7 @@
                  placement.attempt);
   } else if (cause == ExitCause::kGangPeerLost || cause == ExitCause::kGangIncomplete) {
     job->fail_attempt();  // neither the machine's fault nor the job's
-  } else if (cause != ExitCause::kHalted) {
+  } else if (cause != ExitCause::kStopped) {
     spdlog::info("{} refused by {}: cause {}", task_name(job->spec().ref, placement.index), machine.name,
                  static_cast<int>(cause));
     machine.no_fill_until = ctx_.env->now() + 2;
--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -7,9 +7,9 @@
 namespace mothslip {
 
 namespace {
-constexpr int kMaxTasks = 100000;             // of a job; task indices are below
-constexpr std::size_t kMaxMachineTypes = 64;  // that one job may name
-constexpr std::size_t kMaxRefLength = 40;
+constexpr int kMaxTasksPerJob = 100000;             // of a job; task indices are below
+constexpr std::size_t kMaxMachineTypesPerJob = 64;  // that one job may name
+constexpr std::size_t kMaxRefBytes = 40;
 constexpr const char* kArrayShape = "array";
 constexpr const char* kGangShape = "ensemble";
 
@@ -20,20 +20,22 @@
   explicit SubmissionReader(const Json& body) : body_(body) {}
 
   [[nodiscard]] const char* bad_field() const { return bad_field_; }
-  [[nodiscard]] bool has(const char* field) const { return fields::present(body_, field); }
+  [[nodiscard]] bool has(const char* field) const { return fields::is_present(body_, field); }
   [[nodiscard]] const Json& at(const char* field) const { return body_[field]; }
 
   bool text(const char* field, std::string& out) {
     return check(field, fields::read_text(body_, field, out));
   }
-  bool amount(const char* field, double& out) { return check(field, fields::read_amount(body_, field, out)); }
+  bool non_negative(const char* field, double& out) {
+    return check(field, fields::read_non_negative(body_, field, out));
+  }
   bool flag(const char* field, bool& out) { return check(field, fields::read_flag(body_, field, out)); }
   bool count(const char* field, std::uint64_t& out) {
     return check(field, fields::read_count(body_, field, out));
   }
-  bool check(const char* field, bool good) {
-    if (!good) bad_field_ = field;
-    return good;
+  bool check(const char* field, bool is_valid) {
+    if (!is_valid) bad_field_ = field;
+    return is_valid;
   }
 
  private:
@@ -44,8 +46,8 @@
 bool read_shape(SubmissionReader& reader, JobSpec& spec) {
   std::string shape;
   if (!reader.text("shape", shape)) return false;
-  spec.gang = shape == kGangShape;
-  return reader.check("shape", spec.gang || shape == kArrayShape);
+  spec.is_gang = shape == kGangShape;
+  return reader.check("shape", spec.is_gang || shape == kArrayShape);
 }
 
 bool read_urgency(SubmissionReader& reader, JobSpec& spec) {
@@ -60,35 +62,35 @@
 bool read_task_count(SubmissionReader& reader, JobSpec& spec) {
   std::uint64_t task_count = 0;
   if (!reader.count("pieces", task_count)) return false;
-  if (!reader.check("pieces", task_count >= 1 && task_count <= kMaxTasks)) return false;
+  if (!reader.check("pieces", task_count >= 1 && task_count <= kMaxTasksPerJob)) return false;
   spec.task_count = static_cast<int>(task_count);
   return true;
 }
 
 bool read_identity(SubmissionReader& reader, JobSpec& spec) {
-  return reader.text("ref", spec.ref) && reader.check("ref", valid_ref(spec.ref)) &&
+  return reader.text("ref", spec.ref) && reader.check("ref", is_valid_ref(spec.ref)) &&
          reader.text("workload", spec.job_class) && reader.text("owner", spec.team) &&
          read_shape(reader, spec) && read_urgency(reader, spec) && read_task_count(reader, spec);
 }
 
 bool read_demand(SubmissionReader& reader, JobSpec& spec) {
-  if (!reader.amount("cores", spec.cores) || !reader.amount("accelerators", spec.accelerators) ||
-      !reader.amount("memory_gb", spec.memory_gb))
+  if (!reader.non_negative("cores", spec.cores) || !reader.non_negative("accelerators", spec.accelerators) ||
+      !reader.non_negative("memory_gb", spec.memory_gb))
     return false;
-  const bool takes_something = spec.cores > 0 || spec.accelerators > 0 || spec.memory_gb > 0;
-  return reader.check("cores", takes_something) && reader.text("bundle", spec.image) &&
-         reader.amount("pull_gb", spec.image_gb);
+  const bool has_demand = spec.cores > 0 || spec.accelerators > 0 || spec.memory_gb > 0;
+  return reader.check("cores", has_demand) && reader.text("bundle", spec.image) &&
+         reader.non_negative("pull_gb", spec.image_gb);
 }
 
 bool read_machine_types(SubmissionReader& reader, JobSpec& spec) {
   if (!reader.has("flavours")) return true;
   const Json& list = reader.at("flavours");
-  if (!reader.check("flavours", list.is_array() && list.size() <= kMaxMachineTypes)) return false;
+  if (!reader.check("flavours", list.is_array() && list.size() <= kMaxMachineTypesPerJob)) return false;
   std::vector<std::string> machine_types;
   for (const Json& item : list) {
-    const bool good =
-        item.is_string() && item.get_ref<const std::string&>().size() <= fields::kMaxText;  // may be empty
-    if (!reader.check("flavours", good)) return false;
+    const bool is_valid = item.is_string() &&
+                          item.get_ref<const std::string&>().size() <= fields::kMaxTextBytes;  // may be empty
+    if (!reader.check("flavours", is_valid)) return false;
     machine_types.push_back(item.get<std::string>());
   }
   spec.machine_types = std::move(machine_types);
@@ -105,18 +107,18 @@
 
 bool read_constraints(SubmissionReader& reader, JobSpec& spec) {
   return read_machine_types(reader, spec) && read_zone(reader, spec) &&
-         reader.flag("together", spec.together) && reader.flag("scatter", spec.scatter) &&
+         reader.flag("together", spec.must_share_zone) && reader.flag("scatter", spec.must_spread_zones) &&
          reader.flag("loaner", spec.allows_spot);
 }
 
 bool read_times(SubmissionReader& reader, JobSpec& spec) {
-  if (!reader.amount("guess_s", spec.estimated_s) ||
-      !reader.amount("snapshot_every_s", spec.checkpoint_interval_s) ||
-      !reader.amount("snapshot_cost_s", spec.checkpoint_cost_s))
+  if (!reader.non_negative("guess_s", spec.estimated_s) ||
+      !reader.non_negative("snapshot_every_s", spec.checkpoint_interval_s) ||
+      !reader.non_negative("snapshot_cost_s", spec.checkpoint_cost_s))
     return false;
   if (!reader.has("due_s")) return true;
   double deadline_s = 0;
-  if (!reader.amount("due_s", deadline_s)) return false;
+  if (!reader.non_negative("due_s", deadline_s)) return false;
   spec.deadline_s = deadline_s;
   return true;
 }
@@ -144,20 +146,20 @@
   return "normal";
 }
 
-bool valid_ref(const std::string& ref) {
+bool is_valid_ref(const std::string& ref) {
   constexpr std::string_view kPrefix = "job-";
-  if (ref.size() <= kPrefix.size() || ref.size() > kMaxRefLength) return false;
+  if (ref.size() <= kPrefix.size() || ref.size() > kMaxRefBytes) return false;
   if (ref.compare(0, kPrefix.size(), kPrefix) != 0) return false;
   return std::all_of(ref.begin() + kPrefix.size(), ref.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-std::optional<JobSpec> parse_job(const Json& body, std::string& why) {
+std::optional<JobSpec> parse_job(const Json& body, std::string& bad_field) {
   JobSpec spec;
   SubmissionReader reader(body);
-  const bool good = read_identity(reader, spec) && read_demand(reader, spec) &&
-                    read_constraints(reader, spec) && read_times(reader, spec);
-  if (good) return spec;
-  why = reader.bad_field();
+  const bool is_valid = read_identity(reader, spec) && read_demand(reader, spec) &&
+                        read_constraints(reader, spec) && read_times(reader, spec);
+  if (is_valid) return spec;
+  bad_field = reader.bad_field();
   return std::nullopt;
 }
 
@@ -165,7 +167,7 @@
   Json out = {{"ref", spec.ref},
               {"workload", spec.job_class},
               {"owner", spec.team},
-              {"shape", spec.gang ? kGangShape : kArrayShape},
+              {"shape", spec.is_gang ? kGangShape : kArrayShape},
               {"urgency", urgency_name(spec.urgency)},
               {"pieces", spec.task_count},
               {"cores", spec.cores},
@@ -173,8 +175,8 @@
               {"memory_gb", spec.memory_gb},
               {"bundle", spec.image},
               {"pull_gb", spec.image_gb},
-              {"together", spec.together},
-              {"scatter", spec.scatter},
+              {"together", spec.must_share_zone},
+              {"scatter", spec.must_spread_zones},
               {"loaner", spec.allows_spot},
               {"guess_s", spec.estimated_s},
               {"snapshot_every_s", spec.checkpoint_interval_s},
@@ -194,7 +196,7 @@
   const char* first = name.data() + slash + 1;
   const char* last = name.data() + name.size();
   const auto [end, error] = std::from_chars(first, last, index);
-  return error == std::errc() && end == last && index >= 0 && index < kMaxTasks && valid_ref(ref);
+  return error == std::errc() && end == last && index >= 0 && index < kMaxTasksPerJob && is_valid_ref(ref);
 }
 
 }  // namespace mothslip
--- a/src/protocol/job_spec.hpp
+++ b/src/protocol/job_spec.hpp
@@ -17,11 +17,12 @@
 const char* urgency_name(Urgency urgency);
 
 struct JobSpec {
-  std::string ref;        // the job's id (valid_ref), chosen by the user
+  std::string ref;        // the job's id (is_valid_ref), chosen by the user
   std::string job_class;  // for objectives and display
   std::string team;
   Urgency urgency = Urgency::kNormal;
-  bool gang = false;  // all tasks run at the same time, or none does; otherwise an array of independent tasks
+  bool is_gang =
+      false;  // all tasks run at the same time, or none does; otherwise an array of independent tasks
   int task_count = 1;
 
   // What each task takes.
@@ -34,8 +35,8 @@
   // Where tasks may run.
   std::optional<std::vector<std::string>> machine_types;  // only on these; none: on any
   std::optional<std::string> zone;                        // only in this one; none: in any
-  bool together = false;                                  // all in one zone
-  bool scatter = false;                                   // at most half of them in one zone
+  bool must_share_zone = false;                           // all in one zone
+  bool must_spread_zones = false;                         // at most half of them in one zone
   bool allows_spot = false;                               // on spot machines too
 
   // How long tasks run, in seconds.
@@ -49,10 +50,10 @@
 };
 
 // "job-" and digits, 40 characters at the most.
-bool valid_ref(const std::string& ref);
+bool is_valid_ref(const std::string& ref);
 // Nothing when malformed; `why` then names the first field that is missing or malformed. Unknown fields are
 // ignored.
-std::optional<JobSpec> parse_job(const Json& body, std::string& why);
+std::optional<JobSpec> parse_job(const Json& body, std::string& bad_field);
 // What parse_job reads.
 Json job_to_json(const JobSpec& spec);
 
--- a/src/protocol/json.cpp
+++ b/src/protocol/json.cpp
@@ -12,7 +12,7 @@
 
 namespace fields {
 
-bool present(const Json& body, const char* field) {
+bool is_present(const Json& body, const char* field) {
   const auto it = body.find(field);
   return it != body.end() && !it->is_null();
 }
@@ -21,10 +21,10 @@
   const auto it = body.find(field);
   if (it == body.end() || !it->is_string()) return false;
   out = it->get<std::string>();
-  return !out.empty() && out.size() <= kMaxText;
+  return !out.empty() && out.size() <= kMaxTextBytes;
 }
 
-bool read_amount(const Json& body, const char* field, double& out) {
+bool read_non_negative(const Json& body, const char* field, double& out) {
   const auto it = body.find(field);
   if (it == body.end() || !it->is_number()) return false;
   out = it->get<double>();
--- a/src/protocol/json.hpp
+++ b/src/protocol/json.hpp
@@ -19,13 +19,13 @@
 namespace fields {
 
 // A text is malformed if it is empty or longer than this, in bytes.
-inline constexpr std::size_t kMaxText = 256;
+inline constexpr std::size_t kMaxTextBytes = 256;
 
 // The field is there and not null.
-bool present(const Json& body, const char* field);
+bool is_present(const Json& body, const char* field);
 bool read_text(const Json& body, const char* field, std::string& out);
 // A finite number of at least 0.
-bool read_amount(const Json& body, const char* field, double& out);
+bool read_non_negative(const Json& body, const char* field, double& out);
 bool read_flag(const Json& body, const char* field, bool& out);
 // An integer of at least 0.
 bool read_count(const Json& body, const char* field, std::uint64_t& out);
--- a/src/protocol/machine_types.cpp
+++ b/src/protocol/machine_types.cpp
@@ -6,22 +6,22 @@
 namespace mothslip {
 
 namespace {
-constexpr double kLeastFetchRate = 0.01;  // GB a second; a type without a rate must not divide by 0
+constexpr double kMinFetchGbPerSecond = 0.01;  // GB a second; a type without a rate must not divide by 0
 
 // Name, cores and memory are required. Other fields are optional.
 std::optional<MachineType> parse_machine_type(const Json& item) {
   if (!item.is_object()) return std::nullopt;
   MachineType type;
-  if (!fields::read_text(item, "name", type.name) || !fields::read_amount(item, "cores", type.cores) ||
-      !fields::read_amount(item, "memory_gb", type.memory_gb)) {
+  if (!fields::read_text(item, "name", type.name) || !fields::read_non_negative(item, "cores", type.cores) ||
+      !fields::read_non_negative(item, "memory_gb", type.memory_gb)) {
     return std::nullopt;
   }
-  fields::read_amount(item, "accelerators", type.accelerators);
-  fields::read_amount(item, "local_gb", type.cache_gb);
-  fields::read_amount(item, "pull_gb_per_s", type.fetch_gb_per_s);
-  fields::read_amount(item, "hourly", type.hourly);
-  fields::read_amount(item, "spot_price", type.spot_price);
-  fields::read_amount(item, "boot_s", type.boot_s);
+  fields::read_non_negative(item, "accelerators", type.accelerators);
+  fields::read_non_negative(item, "local_gb", type.cache_gb);
+  fields::read_non_negative(item, "pull_gb_per_s", type.fetch_gb_per_s);
+  fields::read_non_negative(item, "hourly", type.hourly_price);
+  fields::read_non_negative(item, "spot_price", type.spot_price);
+  fields::read_non_negative(item, "boot_s", type.boot_s);
   const auto zones = item.find("halls");
   if (zones == item.end() || !zones->is_array()) return type;
   for (const Json& zone : *zones) {
@@ -36,7 +36,7 @@
 }
 
 // A task of the job fits an empty machine of this type, and may run there.
-bool can_hold(const MachineType& type, const JobSpec& spec) {
+bool can_run_task(const MachineType& type, const JobSpec& spec) {
   if (spec.machine_types && !contains(*spec.machine_types, type.name)) return false;
   if (spec.zone && !contains(type.zones, *spec.zone)) return false;
   return spec.cores <= type.cores && spec.accelerators <= type.accelerators &&
@@ -66,7 +66,7 @@
                     {"memory_gb", type.memory_gb},
                     {"local_gb", type.cache_gb},
                     {"pull_gb_per_s", type.fetch_gb_per_s},
-                    {"hourly", type.hourly},
+                    {"hourly", type.hourly_price},
                     {"spot_price", type.spot_price},
                     {"boot_s", type.boot_s},
                     {"halls", type.zones}});
@@ -74,8 +74,8 @@
   return {{"flavours", list}};
 }
 
-double fetch_seconds(const JobSpec& spec, const MachineType& type) {
-  return spec.image_gb / std::max(kLeastFetchRate, type.fetch_gb_per_s);
+double image_fetch_s(const JobSpec& spec, const MachineType& type) {
+  return spec.image_gb / std::max(kMinFetchGbPerSecond, type.fetch_gb_per_s);
 }
 
 int MachineTypes::find(const std::string& name) const {
@@ -85,7 +85,7 @@
   return -1;
 }
 
-void keep_known_machine_types(JobSpec& spec, const MachineTypes& types) {
+void remove_unknown_machine_types(JobSpec& spec, const MachineTypes& types) {
   if (!spec.machine_types) return;
   std::vector<std::string>& names = *spec.machine_types;
   std::erase_if(names, [&types](const std::string& name) { return types.find(name) < 0; });
@@ -93,15 +93,16 @@
   names.erase(std::unique(names.begin(), names.end()), names.end());
 }
 
-std::string never_runs(const JobSpec& spec, const Settings& settings, const MachineTypes& types) {
+std::string unschedulable_reason(const JobSpec& spec, const Settings& settings, const MachineTypes& types) {
   const int team = settings.team_index(spec.team);
   if (team < 0) return "unknown team";
   const Team& limits = settings.teams[static_cast<std::size_t>(team)];
-  const int at_once = spec.gang ? spec.task_count : 1;  // tasks that have to run at the same time
-  if (at_once * spec.cores > limits.cpus_max || at_once * spec.accelerators > limits.gpus_max)
+  const int concurrent_tasks = spec.is_gang ? spec.task_count : 1;  // tasks that have to run at the same time
+  if (concurrent_tasks * spec.cores > limits.cpus_max ||
+      concurrent_tasks * spec.accelerators > limits.gpus_max)
     return "beyond the team's limit";
   const bool fits = std::any_of(types.all().begin(), types.all().end(),
-                                [&spec](const MachineType& type) { return can_hold(type, spec); });
+                                [&spec](const MachineType& type) { return can_run_task(type, spec); });
   return fits ? "" : "fits no allowed machine type";
 }
 
--- a/src/protocol/machine_types.hpp
+++ b/src/protocol/machine_types.hpp
@@ -18,14 +18,14 @@
   double memory_gb = 0;
   double cache_gb = 0;        // of local disk, for images
   double fetch_gb_per_s = 1;  // at which an image is fetched
-  double hourly = 0;          // price of an ordinary machine, an hour
+  double hourly_price = 0;    // price of an ordinary machine, an hour
   double spot_price = 0;      // price of a spot machine, an hour
   double boot_s = 30;         // from the rental until the machine reports, in seconds
   std::vector<std::string> zones;
 };
 
 // How many seconds a machine of the type takes to fetch the job's image, as a rule.
-double fetch_seconds(const JobSpec& spec, const MachineType& type);
+double image_fetch_s(const JobSpec& spec, const MachineType& type);
 
 // All of them, in the cloud's order. Within the process a machine type is known by its place in this list.
 class MachineTypes {
@@ -45,9 +45,9 @@
 };
 
 // Drops the allowed machine types that do not exist, and sorts the rest.
-void keep_known_machine_types(JobSpec& spec, const MachineTypes& types);
+void remove_unknown_machine_types(JobSpec& spec, const MachineTypes& types);
 
 // Empty when the job can run some day; else why it never can, for the user.
-std::string never_runs(const JobSpec& spec, const Settings& settings, const MachineTypes& types);
+std::string unschedulable_reason(const JobSpec& spec, const Settings& settings, const MachineTypes& types);
 
 }  // namespace mothslip
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -16,8 +16,8 @@
   static constexpr int kNone = -1;  // the index of a name that is not in the table
   // The name's index; a new name is added.
   int intern(const std::string& name) {
-    const auto [it, fresh] = index_.try_emplace(name, static_cast<int>(names_.size()));
-    if (fresh) names_.push_back(name);
+    const auto [it, inserted] = index_.try_emplace(name, static_cast<int>(names_.size()));
+    if (inserted) names_.push_back(name);
     return it->second;
   }
   [[nodiscard]] int find(const std::string& name) const {
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -17,13 +17,13 @@
 
 // Reads the fields of one table of the settings file. What is missing or wrong throws SettingsError with the
 // file and the field's path. `otherwise` is what a field that is missing counts as.
-class Reader {
+class TableReader {
  public:
-  Reader(const toml::table& table, std::string file, std::string at)
-      : table_(table), file_(std::move(file)), at_(std::move(at)) {}
+  TableReader(const toml::table& table, std::string file, std::string path)
+      : table_(table), file_(std::move(file)), path_(std::move(path)) {}
 
   [[noreturn]] void fail(const std::string& field, const std::string& what) const {
-    throw SettingsError(file_ + ": " + (at_.empty() ? field : at_ + "." + field) + ": " + what);
+    throw SettingsError(file_ + ": " + (path_.empty() ? field : path_ + "." + field) + ": " + what);
   }
   std::string text(const std::string& field) const {
     const auto value = table_[field].value_exact<std::string>();
@@ -31,36 +31,37 @@
     if (!value || value->empty()) fail(field, "must be a text that is not empty");
     return *value;
   }
-  double number(const std::string& field, double least) const {
+  double number(const std::string& field, double min_value) const {
     if (!table_.contains(field)) fail(field, "missing");
     const auto node = table_[field];
     if (!node.is_number()) fail(field, "must be a number");
     const double value = *node.value<double>();
-    if (!std::isfinite(value) || value < least) fail(field, "must be at least " + std::to_string(least));
+    if (!std::isfinite(value) || value < min_value)
+      fail(field, "must be at least " + std::to_string(min_value));
     return value;
   }
-  double number_or(const std::string& field, double least, double otherwise) const {
-    return table_.contains(field) ? number(field, least) : otherwise;
+  double number_or(const std::string& field, double min_value, double default_value) const {
+    return table_.contains(field) ? number(field, min_value) : default_value;
   }
   std::string address(const std::string& field) const {
     std::string value = text(field);
     const auto colon = value.rfind(':');
-    bool good =
+    bool is_valid =
         colon != std::string::npos && colon > 0 && colon + 1 < value.size() && value.size() - colon <= 6;
-    for (std::size_t i = 0; good && i < value.size(); i++) {
+    for (std::size_t i = 0; is_valid && i < value.size(); i++) {
       if (i == colon) continue;
-      good = (value[i] >= '0' && value[i] <= '9') || (i < colon && value[i] == '.');
+      is_valid = (value[i] >= '0' && value[i] <= '9') || (i < colon && value[i] == '.');
     }
-    if (!good) fail(field, "must be a numeric IPv4 address with a port");
+    if (!is_valid) fail(field, "must be a numeric IPv4 address with a port");
     return value;
   }
-  Reader sub(const std::string& field) const {
+  TableReader subtable(const std::string& field) const {
     const toml::table* table = table_[field].as_table();
     if (table == nullptr) fail(field, table_.contains(field) ? "must be a table" : "missing");
-    return Reader(*table, file_, at_.empty() ? field : at_ + "." + field);
+    return TableReader(*table, file_, path_.empty() ? field : path_ + "." + field);
   }
-  std::vector<Reader> tables(const std::string& field) const {
-    std::vector<Reader> out;
+  std::vector<TableReader> tables(const std::string& field) const {
+    std::vector<TableReader> out;
     if (!table_.contains(field)) return out;
     const toml::array* list = table_[field].as_array();
     if (list == nullptr) fail(field, "must be a list of tables");
@@ -68,7 +69,7 @@
       const std::string name = field + "[" + std::to_string(i) + "]";
       const toml::table* table = list->get(i)->as_table();
       if (table == nullptr) fail(name, "must be a table");
-      out.emplace_back(*table, file_, at_.empty() ? name : at_ + "." + name);
+      out.emplace_back(*table, file_, path_.empty() ? name : path_ + "." + name);
     }
     return out;
   }
@@ -89,7 +90,7 @@
  private:
   const toml::table& table_;
   std::string file_;
-  std::string at_;  // the table's path; empty: the whole file
+  std::string path_;  // the table's path; empty: the whole file
 };
 
 // (A guest team has neither guarantee nor limit, both 0. Taken for a limit of nothing, all its jobs were
@@ -105,8 +106,8 @@
 }
 
 // A guarantee or limit that is missing counts as 0, but each team states its limit of cores.
-void read_teams(const Reader& settings, Settings& out) {
-  for (const Reader& item : settings.tables("teams")) {
+void read_teams(const TableReader& settings, Settings& out) {
+  for (const TableReader& item : settings.tables("teams")) {
     Team team;
     team.name = item.text("name");
     team.cpus = item.number_or("cpus", 0, 0);
@@ -117,8 +118,8 @@
   }
 }
 
-void read_objectives(const Reader& settings, Settings& out) {
-  for (const Reader& item : settings.tables("objectives")) {
+void read_objectives(const TableReader& settings, Settings& out) {
+  for (const TableReader& item : settings.tables("objectives")) {
     Objective objective;
     objective.kind = item.text("kind");
     objective.job_class = item.has("class") ? item.text("class") : "";
@@ -128,7 +129,7 @@
   }
 }
 
-void read_workers(const Reader& workers, Settings& out) {
+void read_workers(const TableReader& workers, Settings& out) {
   out.report_s = workers.number("report_s", 0.01);
   out.lease_s = workers.number("lease_s", 0.1);
   out.cancel_s = workers.number("cancel_s", 0.1);
@@ -137,25 +138,25 @@
 }
 
 // `next` announces what the limits may become.
-void read_state_limits(const Reader& state, Settings& out) {
+void read_state_limits(const TableReader& state, Settings& out) {
   out.state_rps = out.next_state_rps = state.number("rps", 1);
   out.state_write_rps = out.next_write_rps = state.number("write_rps", 1);
   out.value_kb = state.number("value_kb", 1);
   out.txn_ops = static_cast<int>(state.number("txn_ops", 4));
   if (!state.has("next")) return;
-  const Reader next = state.sub("next");
+  const TableReader next = state.subtable("next");
   out.next_state_rps = std::min(out.state_rps, next.number_or("rps", 1, out.state_rps));
   out.next_write_rps = std::min(out.state_write_rps, next.number_or("write_rps", 1, out.state_write_rps));
   out.value_kb = std::min(out.value_kb, next.number_or("value_kb", 1, out.value_kb));
   out.txn_ops = std::min(out.txn_ops, static_cast<int>(next.number_or("txn_ops", 4, out.txn_ops)));
 }
 
-void read_cloud_limits(const Reader& cloud, Settings& out) {
+void read_cloud_limits(const TableReader& cloud, Settings& out) {
   out.cloud_rps = cloud.number("rps", 0.1);
   out.list_lag_s = cloud.number("list_lag_s", 0);
 }
 
-void read_machine_limits(const Reader& limits, Settings& out) {
+void read_machine_limits(const TableReader& limits, Settings& out) {
   out.cpu_share = limits.number_or("cpu_share", 0, 1);
   out.mem_mb = limits.number_or("mem_mb", 0, 0);
   out.max_sockets = static_cast<int>(limits.number_or("max_sockets", 0, 0));
@@ -207,26 +208,26 @@
 
 Settings parse_settings(const std::string& text, const std::string& name) {
   const toml::table table = parse_toml(text, name);
-  const Reader root(table, name, "");
+  const TableReader root(table, name, "");
   Settings out;
   out.node = root.text("node");
   out.area = root.text("area");
   out.client_address = root.address("front");
   out.peer_address = root.address("back");
-  for (const Reader& item : root.tables("members"))
+  for (const TableReader& item : root.tables("members"))
     out.members.push_back({item.text("node"), item.text("area"), item.address("address")});
-  const Reader outside = root.sub("outside");
+  const TableReader outside = root.subtable("outside");
   out.cloud = outside.address("cloud");
   out.state = outside.address("state");
-  const Reader settings = root.sub("settings");
+  const TableReader settings = root.subtable("settings");
   out.zones = settings.texts("zones");
   out.skew_s = settings.number_or("skew_ms", 0, 0) / 1000;
   read_teams(settings, out);
   read_objectives(settings, out);
-  read_workers(settings.sub("workers"), out);
-  read_state_limits(settings.sub("state"), out);
-  read_cloud_limits(settings.sub("cloud"), out);
-  if (settings.has("machine_limits")) read_machine_limits(settings.sub("machine_limits"), out);
+  read_workers(settings.subtable("workers"), out);
+  read_state_limits(settings.subtable("state"), out);
+  read_cloud_limits(settings.subtable("cloud"), out);
+  if (settings.has("machine_limits")) read_machine_limits(settings.subtable("machine_limits"), out);
   return out;
 }
 
@@ -235,10 +236,10 @@
   if (ini.ParseError() != 0)
     throw SettingsError(name + ": line " + std::to_string(ini.ParseError()) + ": not INI");
   for (const TuningField& field : kTuningFields) {
-    const std::string given = ini.Get(field.section, field.name, "");
-    if (given.empty()) continue;
+    const std::string raw_value = ini.Get(field.section, field.name, "");
+    if (raw_value.empty()) continue;
     char* end = nullptr;
-    const double value = std::strtod(given.c_str(), &end);
+    const double value = std::strtod(raw_value.c_str(), &end);
     if (*end != '\0' || !std::isfinite(value) || value < 0) {
       std::string what = name;
       what.append(": ").append(field.section).append(".").append(field.name);
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -13,11 +13,11 @@
 };
 constexpr NamedCause kCauses[] = {
     {"done", ExitCause::kDone},
-    {"halted", ExitCause::kHalted},
+    {"halted", ExitCause::kStopped},
     {"error", ExitCause::kError},
     {"no_room", ExitCause::kNoRoom},
-    {"in_use", ExitCause::kInUse},
-    {"no_such", ExitCause::kNoSuch},
+    {"in_use", ExitCause::kOtherAttemptOnMachine},
+    {"no_such", ExitCause::kUnknownJob},
     {"mates_gone", ExitCause::kGangPeerLost},
     {"alone", ExitCause::kGangIncomplete},
 };
@@ -26,8 +26,8 @@
   const auto it = item.find("exit_cause");
   if (it == item.end() || !it->is_string()) return ExitCause::kOther;
   const auto& text = it->get_ref<const std::string&>();
-  for (const NamedCause& known : kCauses) {
-    if (text == known.name) return known.cause;
+  for (const NamedCause& named : kCauses) {
+    if (text == named.name) return named.cause;
   }
   return ExitCause::kOther;
 }
@@ -68,7 +68,7 @@
   }
   // The name becomes part of keys and of names of tasks.
   if (out.machine_name.find_first_of(" /") != std::string::npos) return false;
-  if (!fields::present(body, "warning_s")) return true;
+  if (!fields::is_present(body, "warning_s")) return true;
   const Json& notice = body["warning_s"];
   if (!notice.is_number()) return false;
   out.eviction_notice_s = notice.get<double>();
@@ -97,7 +97,7 @@
   if (!body.is_object()) return std::nullopt;
   Report out;
   if (!read_machine(body, out)) return std::nullopt;
-  if (!fields::present(body, "pieces")) return out;
+  if (!fields::is_present(body, "pieces")) return out;
   const Json& list = body["pieces"];
   if (!list.is_array()) return std::nullopt;
   out.tasks.reserve(list.size());
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -20,16 +20,16 @@
 
 // Why a task is no longer there.
 enum class ExitCause {
-  kNone,            // it has not exited
-  kDone,            // completed
-  kHalted,          // stopped by an order
-  kError,           // failed by itself
-  kNoRoom,          // refused: the worker had no room for it
-  kInUse,           // refused: another attempt of the task is on that machine
-  kNoSuch,          // refused: the worker knows no such job
-  kGangPeerLost,    // another task of the gang was lost
-  kGangIncomplete,  // the gang was not complete in time
-  kOther,           // not known to this version
+  kNone,                   // it has not exited
+  kDone,                   // completed
+  kStopped,                // stopped by an order
+  kError,                  // failed by itself
+  kNoRoom,                 // refused: the worker had no room for it
+  kOtherAttemptOnMachine,  // refused: another attempt of the task is on that machine
+  kUnknownJob,             // refused: the worker knows no such job
+  kGangPeerLost,           // another task of the gang was lost
+  kGangIncomplete,         // the gang was not complete in time
+  kOther,                  // not known to this version
 };
 
 // One task of a report.
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -196,7 +196,7 @@
   out.held = out.may_have_ended ? all_tasks(*job.record) : delegated_unheard(job, scope) | job.held;
   out.held -= out.done;
   for (const auto& [task, placement] : out.placements) out.held.remove(static_cast<std::uint32_t>(task));
-  if (job.record->spec.gang && !out.held.isEmpty()) {
+  if (job.record->spec.is_gang && !out.held.isEmpty()) {
     // The tasks of a gang complete together, or none does.
     out.held = all_tasks(*job.record);
     out.placements.clear();
--- a/src/recovery/evidence_json.cpp
+++ b/src/recovery/evidence_json.cpp
@@ -115,7 +115,7 @@
     const Json job_map = value.value("jobs", Json::object());
     for (const auto& [ref, job] : job_map.items()) {
       auto evidence = job_of(job);
-      if (!evidence || !valid_ref(ref)) return std::nullopt;
+      if (!evidence || !is_valid_ref(ref)) return std::nullopt;
       out.jobs.emplace(ref, std::move(*evidence));
     }
   } catch (const std::exception&) {  // of the JSON library, or a shard that is no number
--- a/src/recovery/messages.cpp
+++ b/src/recovery/messages.cpp
@@ -68,7 +68,7 @@
   for (const DecisionName& each : kDecisions) {
     if (value["as"] != each.name) continue;
     out.what = each.what;
-    return valid_ref(out.ref) ? std::optional(out) : std::nullopt;
+    return is_valid_ref(out.ref) ? std::optional(out) : std::nullopt;
   }
   return std::nullopt;
 }
--- a/src/recovery/rebuilt_records.cpp
+++ b/src/recovery/rebuilt_records.cpp
@@ -143,7 +143,7 @@
       if (shard != home) delegated_here[shard].insert(task);
     }
     for (auto& [shard, tasks] : delegated_here) {
-      if (job_record.spec.gang || job_record.spec.together || job_record.spec.scatter)
+      if (job_record.spec.is_gang || job_record.spec.must_share_zone || job_record.spec.must_spread_zones)
         tasks = undone(job_record, outcome);
       DelegationRecord record;
       record.home_shard = home;
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -534,14 +534,14 @@
   array.fail_attempt();
   EXPECT_FALSE(array.attempt.failed);
   Job gang;
-  gang.record.spec.gang = true;
+  gang.record.spec.is_gang = true;
   gang.fail_attempt();
   EXPECT_TRUE(gang.attempt.failed);
 }
 
 TEST(GangAdmission, ItsTasksTogetherStayWithinTheTeamsLimit) {
   JobSpec spec;
-  spec.gang = true;
+  spec.is_gang = true;
   spec.team = "red";
   spec.task_count = 6;
   spec.cores = 8;
@@ -549,14 +549,14 @@
   settings.teams = {{"red", 20, 47, 0, kUnlimited}};
   const MachineTypes types =
       *MachineTypes::parse(parse_json(R"({"flavours":[{"name":"c16","cores":16,"memory_gb":64}]})"));
-  EXPECT_EQ(never_runs(spec, settings, types), "beyond the team's limit");
+  EXPECT_EQ(unschedulable_reason(spec, settings, types), "beyond the team's limit");
   settings.teams[0].cpus_max = 48;
-  EXPECT_EQ(never_runs(spec, settings, types), "");
+  EXPECT_EQ(unschedulable_reason(spec, settings, types), "");
   settings.teams[0].cpus_max = kUnlimited;
-  EXPECT_EQ(never_runs(spec, settings, types), "");
-  spec.gang = false;
+  EXPECT_EQ(unschedulable_reason(spec, settings, types), "");
+  spec.is_gang = false;
   settings.teams[0].cpus_max = 8;
-  EXPECT_EQ(never_runs(spec, settings, types), "");
+  EXPECT_EQ(unschedulable_reason(spec, settings, types), "");
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Gang, ::testing::Range(1, 1 + seeds()));
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -260,7 +260,7 @@
   MachineTypes types =
       *MachineTypes::parse(parse_json(R"({"flavours":[{"name":"c4","cores":4,"memory_gb":16}]})"));
   spec.machine_types = std::vector<std::string>{"none", "c4", "neither", "c4"};
-  keep_known_machine_types(spec, types);
+  remove_unknown_machine_types(spec, types);
   EXPECT_EQ(*spec.machine_types, std::vector<std::string>{"c4"});
 }
 
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -180,7 +180,7 @@
     Json job = good_job();
     job[field] = value;
     std::string why;
-    return never_runs(parse_job(job, why).value(), settings, *types);
+    return unschedulable_reason(parse_job(job, why).value(), settings, *types);
   };
   EXPECT_EQ(verdict("cores", 8), "");
   EXPECT_EQ(verdict("owner", "nobody"), "unknown team");
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -88,7 +88,7 @@
     const auto job_record = JobRecord::from_json(value);
     ASSERT_TRUE(job_record.has_value()) << value;
     EXPECT_EQ(job_record->to_json(), value);
-    EXPECT_FALSE(job_record->spec.gang);
+    EXPECT_FALSE(job_record->spec.is_gang);
   }
   for (const Json& value : records["w/b"]) {
     const auto delegation = DelegationRecord::from_json(value);
