--- a/src/protocol/job_spec.cpp
+++ b/src/protocol/job_spec.cpp
@@ -7,14 +7,14 @@
 namespace mothslip {
 
 namespace {
-constexpr int kMaxTasksPerJob = 100000;             // of a job; task indices are below
-constexpr std::size_t kMaxMachineTypesPerJob = 64;  // that one job may name
+constexpr int kMaxTasksPerJob = 100000;  // task indices are below this
+constexpr std::size_t kMaxMachineTypesPerJob = 64;
 constexpr std::size_t kMaxRefBytes = 40;
 constexpr const char* kArrayShape = "array";
 constexpr const char* kGangShape = "ensemble";
 
-// Reads the fields of a submission. Each reader is true when the field is good; the first that was not is
-// remembered.
+// Reads the fields of a submission. Each reading function returns whether the field is valid. bad_field() is
+// the field that last failed; callers stop at the first failure.
 class SubmissionReader {
  public:
   explicit SubmissionReader(const Json& body) : body_(body) {}
@@ -88,8 +88,9 @@
   if (!reader.check("flavours", list.is_array() && list.size() <= kMaxMachineTypesPerJob)) return false;
   std::vector<std::string> machine_types;
   for (const Json& item : list) {
-    const bool is_valid = item.is_string() &&
-                          item.get_ref<const std::string&>().size() <= fields::kMaxTextBytes;  // may be empty
+    // Unlike other texts, the name of a machine type may be empty here.
+    const bool is_valid =
+        item.is_string() && item.get_ref<const std::string&>().size() <= fields::kMaxTextBytes;
     if (!reader.check("flavours", is_valid)) return false;
     machine_types.push_back(item.get<std::string>());
   }
--- a/src/protocol/job_spec.hpp
+++ b/src/protocol/job_spec.hpp
@@ -1,4 +1,4 @@
-// A job as its user describes it: the body of a submission, which is also kept in the job's record.
+// JobSpec is a job as its user describes it: the body of a submission. The job's record contains it as well.
 #pragma once
 
 #include <optional>
@@ -9,57 +9,58 @@
 
 namespace mothslip {
 
-// In rising order.
+// The values are in ascending order of urgency.
 enum class Urgency { kBestEffort = 0, kNormal = 1, kUrgent = 2, kCritical = 3 };
-// By its name on the wire; nothing where there is none of this name.
+// Returns the urgency with this name on the wire, or nullopt if no urgency has this name.
 std::optional<Urgency> parse_urgency(const std::string& text);
-// The name on the wire.
+// Returns the name on the wire.
 const char* urgency_name(Urgency urgency);
 
 struct JobSpec {
-  std::string ref;        // the job's id (is_valid_ref), chosen by the user
-  std::string job_class;  // for objectives and display
+  std::string ref;        // the job's id, chosen by the user; see is_valid_ref
+  std::string job_class;  // used for objectives and for display
   std::string team;
   Urgency urgency = Urgency::kNormal;
-  bool is_gang =
-      false;  // all tasks run at the same time, or none does; otherwise an array of independent tasks
+  // In a gang, all tasks run at the same time or none runs. Any other job is an array of independent tasks.
+  bool is_gang = false;
   int task_count = 1;
 
-  // What each task takes.
+  // Resources that each task needs.
   double cores = 0;
   double accelerators = 0;
   double memory_gb = 0;
   std::string image;
-  double image_gb = 0;  // size of the image that a machine has to fetch
+  double image_gb = 0;  // size of the image that a machine has to fetch before it can run a task
 
-  // Where tasks may run.
-  std::optional<std::vector<std::string>> machine_types;  // only on these; none: on any
-  std::optional<std::string> zone;                        // only in this one; none: in any
-  bool must_share_zone = false;                           // all in one zone
-  bool must_spread_zones = false;                         // at most half of them in one zone
-  bool allows_spot = false;                               // on spot machines too
+  // Placement constraints.
+  std::optional<std::vector<std::string>> machine_types;  // the only types allowed; nullopt: any
+  std::optional<std::string> zone;                        // the only zone allowed; nullopt: any
+  bool must_share_zone = false;                           // all tasks run in one zone
+  bool must_spread_zones = false;                         // at most half of the tasks run in one zone
+  bool allows_spot = false;                               // tasks may also run on spot machines
 
-  // How long tasks run, in seconds.
-  double estimated_s = 0;            // the user's estimate for one task
-  double checkpoint_interval_s = 0;  // 0: a task keeps nothing when it is stopped
-  double checkpoint_cost_s = 0;      // for one checkpoint
-  std::optional<double> deadline_s;  // from the submission on
+  // Run time, checkpoints and deadline.
+  double estimated_s = 0;            // the user's estimate of one task's run time
+  double checkpoint_interval_s = 0;  // 0: a task that is stopped loses its progress
+  double checkpoint_cost_s = 0;      // time that one checkpoint takes
+  std::optional<double> deadline_s;  // counted from the submission
 
-  // Whether a task that is stopped can keep what it has done.
+  // Returns whether a task that is stopped can resume from a checkpoint instead of losing its progress.
   [[nodiscard]] bool can_checkpoint() const { return checkpoint_interval_s > 0; }
 };
 
-// "job-" and digits, 40 characters at the most.
+// A valid ref is "job-" followed by at least one digit, with at most 40 characters in all.
 bool is_valid_ref(const std::string& ref);
-// Nothing when malformed; `why` then names the first field that is missing or malformed. Unknown fields are
-// ignored.
+// Returns nullopt if the body is malformed; `bad_field` is then the name of the first field that is missing
+// or malformed. Unknown fields are ignored.
 std::optional<JobSpec> parse_job(const Json& body, std::string& bad_field);
-// What parse_job reads.
+// Returns the JSON object that parse_job reads.
 Json job_to_json(const JobSpec& spec);
 
-// A task's name on the wire: "REF/INDEX".
+// Returns a task's name on the wire: "REF/INDEX".
 std::string task_name(const std::string& ref, int index);
-// The reverse; false where it is no such name.
+// Splits a task name into ref and index. Returns false if `name` is not a valid task name; the outputs
+// may then have been changed.
 bool parse_task_name(const std::string& name, std::string& ref, int& index);
 
 }  // namespace mothslip
--- a/src/protocol/machine_types.cpp
+++ b/src/protocol/machine_types.cpp
@@ -6,9 +6,9 @@
 namespace mothslip {
 
 namespace {
-constexpr double kMinFetchGbPerSecond = 0.01;  // GB a second; a type without a rate must not divide by 0
+constexpr double kMinFetchGbPerSecond = 0.01;  // prevents a division by 0 for a type without a rate
 
-// Name, cores and memory are required. Other fields are optional.
+// The name, cores and memory are required. Other fields are optional.
 std::optional<MachineType> parse_machine_type(const Json& item) {
   if (!item.is_object()) return std::nullopt;
   MachineType type;
@@ -35,7 +35,7 @@
   return std::find(list.begin(), list.end(), value) != list.end();
 }
 
-// A task of the job fits an empty machine of this type, and may run there.
+// Returns whether a task of the job fits an empty machine of this type and may run there.
 bool can_run_task(const MachineType& type, const JobSpec& spec) {
   if (spec.machine_types && !contains(*spec.machine_types, type.name)) return false;
   if (spec.zone && !contains(type.zones, *spec.zone)) return false;
@@ -97,7 +97,7 @@
   const int team = settings.team_index(spec.team);
   if (team < 0) return "unknown team";
   const Team& limits = settings.teams[static_cast<std::size_t>(team)];
-  const int concurrent_tasks = spec.is_gang ? spec.task_count : 1;  // tasks that have to run at the same time
+  const int concurrent_tasks = spec.is_gang ? spec.task_count : 1;
   if (concurrent_tasks * spec.cores > limits.cpus_max ||
       concurrent_tasks * spec.accelerators > limits.gpus_max)
     return "beyond the team's limit";
--- a/src/protocol/machine_types.hpp
+++ b/src/protocol/machine_types.hpp
@@ -1,4 +1,4 @@
-// The machine types that the cloud rents out.
+// The machine types that the cloud offers for rent.
 #pragma once
 
 #include <optional>
@@ -16,25 +16,26 @@
   double cores = 0;
   double accelerators = 0;
   double memory_gb = 0;
-  double cache_gb = 0;        // of local disk, for images
-  double fetch_gb_per_s = 1;  // at which an image is fetched
-  double hourly_price = 0;    // price of an ordinary machine, an hour
-  double spot_price = 0;      // price of a spot machine, an hour
-  double boot_s = 30;         // from the rental until the machine reports, in seconds
+  double cache_gb = 0;        // local disk space that caches images
+  double fetch_gb_per_s = 1;  // rate at which the machine fetches an image
+  double hourly_price = 0;    // price of an ordinary machine per hour
+  double spot_price = 0;      // price of a spot machine per hour
+  double boot_s = 30;         // time from the rental to the worker's first report
   std::vector<std::string> zones;
 };
 
-// How many seconds a machine of the type takes to fetch the job's image, as a rule.
+// Returns the expected time that a machine of the type takes to fetch the job's image.
 double image_fetch_s(const JobSpec& spec, const MachineType& type);
 
-// All of them, in the cloud's order. Within the process a machine type is known by its place in this list.
+// All machine types, in the order in which the cloud lists them. Within the process, the index in this list
+// identifies a machine type.
 class MachineTypes {
  public:
-  // Nothing when the cloud's answer cannot be understood, or is empty.
+  // Returns nullopt if the cloud's answer is malformed or lists no types.
   static std::optional<MachineTypes> parse(const Json& body);
-  // What `parse` reads.
+  // Returns the JSON object that `parse` reads.
   [[nodiscard]] Json to_json() const;
-  // The place in the list; -1: there is no type of this name.
+  // Returns the index in the list, or -1 if no type has this name.
   [[nodiscard]] int find(const std::string& name) const;
   [[nodiscard]] const std::vector<MachineType>& all() const { return types_; }
   [[nodiscard]] const MachineType& at(int index) const { return types_[static_cast<std::size_t>(index)]; }
@@ -44,10 +45,10 @@
   std::vector<MachineType> types_;
 };
 
-// Drops the allowed machine types that do not exist, and sorts the rest.
+// Removes unknown machine types and duplicates from the types that the job allows, and sorts the rest.
 void remove_unknown_machine_types(JobSpec& spec, const MachineTypes& types);
 
-// Empty when the job can run some day; else why it never can, for the user.
+// Returns the reason why the job can never run, as the user sees it; empty if it can run at some time.
 std::string unschedulable_reason(const JobSpec& spec, const Settings& settings, const MachineTypes& types);
 
 }  // namespace mothslip
--- a/src/protocol/messages.hpp
+++ b/src/protocol/messages.hpp
@@ -1,5 +1,5 @@
-// All messages of users, workers and the cloud: how they are parsed, validated and written. Their wire names
-// stand in these modules alone; the rest of the program goes by the terms of the field.
+// Includes all modules that parse, validate and write the messages of users, workers and the cloud. Only
+// these modules contain the names on the wire; the rest of the program uses the usual terms of schedulers.
 #pragma once
 
 #include "protocol/job_spec.hpp"
--- a/src/protocol/names.hpp
+++ b/src/protocol/names.hpp
@@ -1,4 +1,4 @@
-// Names: their dense indices within a process, and the shards that they hash to.
+// Maps names to dense indices within a process, and to the shards that they hash to.
 #pragma once
 
 #include <cstdint>
@@ -9,12 +9,12 @@
 
 namespace mothslip {
 
-// Gives each name a dense index, 0 upwards, as long as the process runs: where names arrive they are replaced
-// by indices, and inside only indices are passed on.
+// Assigns each name a dense index, starting at 0, which is valid as long as the process runs. Names are
+// replaced by indices where they enter the process; inside, only indices are passed.
 class NameTable {
  public:
   static constexpr int kNone = -1;  // the index of a name that is not in the table
-  // The name's index; a new name is added.
+  // Returns the name's index. A new name is added first.
   int intern(const std::string& name) {
     const auto [it, inserted] = index_.try_emplace(name, static_cast<int>(names_.size()));
     if (inserted) names_.push_back(name);
@@ -32,7 +32,7 @@
   std::vector<std::string> names_;
 };
 
-// FNV-1a, 64 bits: the same on every node and in every build, unlike std::hash.
+// 64-bit FNV-1a. Unlike std::hash, it gives the same value on every node and in every build.
 inline std::uint64_t stable_hash(std::string_view text) {
   std::uint64_t hash = 1469598103934665603ULL;
   for (const char c : text) {
@@ -42,10 +42,11 @@
   return hash;
 }
 
-// The shard of a job or a machine, 0 up to `shard_count` - 1. The same for good: stored keys contain it.
+// Returns the shard of a job or a machine, from 0 to `shard_count` - 1. The mapping must never change,
+// because stored keys contain the shard.
 inline int shard_of(std::string_view name, int shard_count) {
   std::uint64_t hash = stable_hash(name);
-  hash ^= hash >> 33;  // the low bits of FNV of numbered names are poor
+  hash ^= hash >> 33;  // for numbered names, the low bits of FNV are poorly distributed
   hash *= 0xff51afd7ed558ccdULL;
   hash ^= hash >> 33;
   return static_cast<int>(hash % static_cast<std::uint64_t>(shard_count));
--- a/src/protocol/paths.hpp
+++ b/src/protocol/paths.hpp
@@ -1,19 +1,19 @@
-// Paths of the client address: what users and workers call. (Those between controllers:
-// coordination/node/peer_messages.hpp.)
+// HTTP paths that users and workers call at the client address. coordination/node/peer_messages.hpp has the
+// paths that controllers call.
 #pragma once
 
 #include <string>
 
 namespace mothslip::paths {
 
-inline constexpr const char* kReport = "/hello";         // POST, workers: a Report
-inline constexpr const char* kReady = "/ready";          // GET, health checks
-inline constexpr const char* kJobs = "/v2/runs";         // POST, users: submits a job
-inline constexpr const char* kCancelSuffix = "/cancel";  // POST, after the path of a job
+inline constexpr const char* kReport = "/hello";         // POST, called by workers with a Report
+inline constexpr const char* kReady = "/ready";          // GET, called by health checks
+inline constexpr const char* kJobs = "/v2/runs";         // POST, called by users to submit a job
+inline constexpr const char* kCancelSuffix = "/cancel";  // follows the path of a job
 
-// GET, users: polls the job.
+// GET, called by users to poll the job.
 inline std::string job(const std::string& ref) { return std::string(kJobs) + "/" + ref; }
-// POST, users: cancels the job.
+// POST, called by users to cancel the job.
 inline std::string cancel(const std::string& ref) { return job(ref) + kCancelSuffix; }
 
 }  // namespace mothslip::paths
--- a/src/protocol/settings.cpp
+++ b/src/protocol/settings.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// Reads the fields of one table of the settings file. What is missing or wrong throws SettingsError with the
-// file and the field's path. `otherwise` is what a field that is missing counts as.
+// Reads the fields of one table of the settings file. A missing or invalid field throws SettingsError with
+// the file and the field's path. `default_value` is the value of an optional field that is missing.
 class TableReader {
  public:
   TableReader(const toml::table& table, std::string file, std::string path)
@@ -28,7 +28,7 @@
   std::string text(const std::string& field) const {
     const auto value = table_[field].value_exact<std::string>();
     if (!table_.contains(field)) fail(field, "missing");
-    if (!value || value->empty()) fail(field, "must be a text that is not empty");
+    if (!value || value->empty()) fail(field, "must be a non-empty string");
     return *value;
   }
   double number(const std::string& field, double min_value) const {
@@ -77,10 +77,10 @@
     std::vector<std::string> out;
     if (!table_.contains(field)) return out;
     const toml::array* list = table_[field].as_array();
-    if (list == nullptr) fail(field, "must be a list of texts");
+    if (list == nullptr) fail(field, "must be a list of strings");
     for (const auto& item : *list) {
       const auto value = item.value_exact<std::string>();
-      if (!value) fail(field, "must be a list of texts");
+      if (!value) fail(field, "must be a list of strings");
       out.push_back(*value);
     }
     return out;
@@ -90,11 +90,11 @@
  private:
   const toml::table& table_;
   std::string file_;
-  std::string path_;  // the table's path; empty: the whole file
+  std::string path_;  // the table's path; empty for the whole file
 };
 
-// (A guest team has neither guarantee nor limit, both 0. Taken for a limit of nothing, all its jobs were
-// refused with 422.)
+// A guest team has neither a guarantee nor a limit, and both are 0 in the file. When that 0 was read as a
+// limit of nothing, all jobs of such a team were refused with status 422.
 double limit_or_unlimited(double limit) { return limit > 0 ? limit : kUnlimited; }
 
 std::string read_file(const std::string& file) {
@@ -105,7 +105,7 @@
   return out.str();
 }
 
-// A guarantee or limit that is missing counts as 0, but each team states its limit of cores.
+// A missing guarantee or limit counts as 0, except that each team must state its limit of cores.
 void read_teams(const TableReader& settings, Settings& out) {
   for (const TableReader& item : settings.tables("teams")) {
     Team team;
@@ -137,7 +137,7 @@
   out.gang_peer_s = workers.number_or("gang_peer_s", 0.1, out.gang_peer_s);
 }
 
-// `next` announces what the limits may become.
+// The table `next` announces the values that the limits may change to.
 void read_state_limits(const TableReader& state, Settings& out) {
   out.state_rps = out.next_state_rps = state.number("rps", 1);
   out.state_write_rps = out.next_write_rps = state.number("write_rps", 1);
@@ -171,13 +171,13 @@
   }
 }
 
-// A number in the operators' file.
+// A numeric field of the operators' file.
 struct TuningField {
   const char* section;
   const char* name;
   double Tuning::*value;
 };
-// In the order in which they are checked.
+// The fields are listed in the order in which they are checked.
 constexpr TuningField kTuningFields[] = {
     {"fleet", "headroom", &Tuning::headroom},
     {"fleet", "headroom_spread", &Tuning::headroom_spread},
@@ -234,7 +234,7 @@
 void parse_tuning(const std::string& text, const std::string& name, Tuning& tuning) {
   const INIReader ini(text.c_str(), text.size());
   if (ini.ParseError() != 0)
-    throw SettingsError(name + ": line " + std::to_string(ini.ParseError()) + ": not INI");
+    throw SettingsError(name + ": line " + std::to_string(ini.ParseError()) + ": invalid INI syntax");
   for (const TuningField& field : kTuningFields) {
     const std::string raw_value = ini.Get(field.section, field.name, "");
     if (raw_value.empty()) continue;
--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -1,7 +1,7 @@
-// The settings file that the platform hands over (TOML), and the operators' own optional one (INI).
+// Settings from the file that the platform provides (TOML), and from the operators' optional file (INI).
 //
-// Units: seconds, GB, cores, and calls a second, unless a name says otherwise. The member functions and the
-// names of the fields in both files stand in settings.cpp.
+// The units are seconds, GB, cores and calls per second, unless a name says otherwise. settings.cpp has the
+// member functions and the field names of both files.
 #pragma once
 
 #include <stdexcept>
@@ -10,97 +10,102 @@
 
 namespace mothslip {
 
-// Another controller.
+// A controller other than this one.
 struct Member {
   std::string node;
-  std::string area;     // the zone that it runs in
-  std::string address;  // its peer address
+  std::string area;     // zone that the controller runs in
+  std::string address;  // peer address of the controller
 };
 
-// A limit that is 0 in the settings file means that there is none: parsed, it is this much.
+// A limit of 0 in the settings file means that there is no limit. It is parsed as this value.
 inline constexpr double kUnlimited = 1e9;
 
 struct Team {
   std::string name;
-  double cpus = 0;      // guaranteed cores; 0: nothing is
-  double cpus_max = 0;  // at no time may its tasks use more cores
-  double gpus = 0;      // guaranteed accelerators
-  double gpus_max = 0;  // at no time may its tasks use more accelerators
+  double cpus = 0;      // guaranteed cores; 0: no guarantee
+  double cpus_max = 0;  // the team's tasks may never use more cores than this
+  double gpus = 0;      // guaranteed accelerators; 0: no guarantee
+  double gpus_max = 0;  // the team's tasks may never use more accelerators than this
 };
 
-// A service-level objective: `share` of what `kind` names is to be reached within so many seconds.
+// A service-level objective: the fraction `share` of the events that `kind` names must happen within
+// `within_s`.
 struct Objective {
   std::string kind;
-  std::string job_class;  // empty: for all
-  double share = 0;       // 0..1
+  std::string job_class;  // empty: the objective applies to all classes
+  double share = 0;       // a fraction from 0 to 1
   double within_s = 0;
 };
 
-// What operators may change in `mothslip.ini` beside the settings file; every value has a default.
+// Parameters that operators may change in `mothslip.ini`, in addition to the settings file. Every value has a
+// default.
 struct Tuning {
-  double idle_return_s = 55.0;    // a spot machine idle this long may be returned
-  double idle_ordinary_s = 15.0;  // an ordinary one
-  double headroom = 0.8;          // idle spot capacity kept, as a share of recent use, at the most
-  double headroom_spread = 1.5;   // and in times of what use varies by
-  // Weights of the preference by which a machine's next task is chosen (scheduling/preference.hpp).
-  double weight_fitness = 0.2;    // HaSTE-A
-  double weight_urgency = 0.2;    // HaSTE-A
-  double weight_alignment = 0.6;  // HaSTE-A
-  double weight_slack = 1.0;      // not in the paper: deadline pressure
-  double weight_locality = 0.8;   // not in the paper: the image is on the machine already
-  bool recovery = false;          // lost state is noticed and rebuilt (src/recovery)
+  double idle_return_s = 55.0;    // a spot machine that has been idle this long may be returned
+  double idle_ordinary_s = 15.0;  // an ordinary machine that has been idle this long may be returned
+  double headroom = 0.8;          // the idle capacity kept is at most this fraction of recent use
+  double headroom_spread = 1.5;   // and at most this multiple of the variation of use
+  // Weights of the terms of the preference that selects a machine's next task (scheduling/preference.hpp).
+  double weight_fitness = 0.2;    // from the HaSTE-A paper
+  double weight_urgency = 0.2;    // from the HaSTE-A paper
+  double weight_alignment = 0.6;  // from the HaSTE-A paper
+  double weight_slack = 1.0;      // not in the paper: favours tasks under deadline pressure
+  double weight_locality = 0.8;   // not in the paper: favours tasks whose image is on the machine
+  bool recovery = false;          // whether lost state is detected and rebuilt (src/recovery)
 };
 
-// Addresses are numeric IPv4 with a port.
+// Addresses are numeric IPv4 addresses with a port.
 struct Settings {
-  std::string node;             // the name of this controller
-  std::string area;             // the zone that it runs in
-  std::string client_address;   // where it listens for users and workers
-  std::string peer_address;     // where it listens for other controllers and operators
+  std::string node;             // name of this controller
+  std::string area;             // zone that this controller runs in
+  std::string client_address;   // address where this controller listens for users and workers
+  std::string peer_address;     // address where it listens for other controllers and operators
   std::vector<Member> members;  // the other controllers
   std::string cloud;            // address of the cloud
   std::string state;            // address of the state service
   std::vector<std::string> zones;
-  double skew_s = 0;  // clocks differ by at most this
+  double skew_s = 0;  // maximum difference between two clocks
   std::vector<Team> teams;
   std::vector<Objective> objectives;
 
   // Workers.
-  double report_s = 2;      // between two heartbeats
-  double lease_s = 15;      // a worker's lease, from when the heartbeat was sent that renewed it
-  double cancel_s = 40;     // within this time after the confirmation all tasks of a cancelled job are gone
-  double gang_wait_s = 30;  // a gang task waits this long for the others of its attempt
-  double gang_peer_s = 4;   // within this time the others notice that one is gone, or is being stopped
-
-  // Limits of the state service, for all controllers together.
-  double state_rps = 50;        // calls a second
-  double state_write_rps = 15;  // changes a second
-  // What the rates may fall to at any moment, without notice; the same as above where nothing is announced.
+  double report_s = 2;  // interval between two reports of a worker
+  double lease_s = 15;  // duration of a worker's lease, counted from when the worker sent the renewing report
+  double cancel_s =
+      40;  // maximum time from the confirmation of a cancellation to the end of all tasks of the job
+  double gang_wait_s = 30;  // time that a gang task waits for the other tasks of its attempt
+  double gang_peer_s = 4;   // maximum time until gang tasks detect that another one is gone or being stopped
+
+  // Limits of the state service, shared by all controllers.
+  double state_rps = 50;        // calls per second
+  double state_write_rps = 15;  // changes per second
+  // The rates may fall to these values at any time without notice. They equal the rates above if the settings
+  // file announces no lower ones.
   double next_state_rps = 50;
   double next_write_rps = 15;
-  // Sizes are bounded by the smaller of the present and the announced limit, from the start: what is written
-  // must stay writable.
-  double value_kb = 8;  // of a value, in KiB
-  int txn_ops = 12;     // conditions and changes of a transaction
+  // From the start, sizes are bounded by the smaller of the current and the announced limit, because a record
+  // that has been written must remain writable.
+  double value_kb = 8;  // maximum size of a value, in KiB
+  int txn_ops = 12;     // maximum number of conditions and changes in a transaction
 
-  // Limits of the cloud, for all controllers together.
-  double cloud_rps = 2;   // calls a second
-  double list_lag_s = 3;  // the list of machines may be this old
+  // Limits of the cloud, shared by all controllers.
+  double cloud_rps = 2;   // calls per second
+  double list_lag_s = 3;  // maximum age of the list of machines
 
-  // Limits of the machine that this process runs on.
-  double cpu_share = 1;  // of a core
-  double mem_mb = 0;     // 0: not known
-  int max_sockets = 0;   // 0: no bound
+  // Limits of the machine that runs this process.
+  double cpu_share = 1;  // share of a core
+  double mem_mb = 0;     // 0: unknown
+  int max_sockets = 0;   // 0: no limit
 
   Tuning tuning;
 
-  // The place of the team in `teams`; -1: there is none of this name.
+  // Returns the team's index in `teams`, or -1 if no team has this name.
   [[nodiscard]] int team_index(const std::string& name) const;
-  // The peer address of another controller; empty where it is no member.
+  // Returns the peer address of another controller, or an empty string if it is not a member.
   [[nodiscard]] std::string member_address(const std::string& member) const;
 };
 
-// A file that cannot be read, or a field that is missing or wrong. One line that names file and field.
+// Thrown if a file cannot be read, or if a field is missing or invalid. The message is one line that names
+// the file and the field.
 class SettingsError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -108,9 +113,11 @@
 
 // Reads the settings file, and the operators' file unless `ini` is empty. Throws SettingsError.
 Settings load_settings(const std::string& file, const std::string& ini);
-// The same of texts; `name` is the file's, for errors. Fields that are not known are ignored.
+// Parses the text of a settings file. Errors refer to the file as `name`. Unknown fields are ignored. Throws
+// SettingsError.
 Settings parse_settings(const std::string& text, const std::string& name);
-// Changes the values that are given. Throws SettingsError.
+// Parses the text of the operators' file and changes the numbers in `tuning` that it contains. `recovery`
+// becomes false unless the text enables it. Errors refer to the file as `name`. Throws SettingsError.
 void parse_tuning(const std::string& text, const std::string& name, Tuning& tuning);
 
 }  // namespace mothslip
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 struct NamedCause {
-  const char* name;  // on the wire
+  const char* wire_name;
   ExitCause cause;
 };
 constexpr NamedCause kCauses[] = {
@@ -26,13 +26,13 @@
   const auto it = item.find("exit_cause");
   if (it == item.end() || !it->is_string()) return ExitCause::kOther;
   const auto& text = it->get_ref<const std::string&>();
-  for (const NamedCause& named : kCauses) {
-    if (text == named.name) return named.cause;
+  for (const NamedCause& entry : kCauses) {
+    if (text == entry.wire_name) return entry.cause;
   }
   return ExitCause::kOther;
 }
 
-// A phase that this version does not know counts as running: the task takes its room.
+// A phase that this version does not know counts as running, because the task occupies room on the machine.
 TaskPhase parse_phase(const std::string& text) {
   if (text == "pulling") return TaskPhase::kFetchingImage;
   if (text == "waiting") return TaskPhase::kWaiting;
@@ -55,7 +55,7 @@
   return task;
 }
 
-// Everything but the tasks.
+// Reads all fields of a report except the tasks.
 bool read_machine(const Json& body, Report& out) {
   if (!fields::read_text(body, "host", out.machine_name) ||
       !fields::read_text(body, "address", out.address) ||
@@ -66,7 +66,7 @@
       !fields::read_count(body, "baton", out.fencing_token)) {
     return false;
   }
-  // The name becomes part of keys and of names of tasks.
+  // The machine name becomes part of keys and of task names.
   if (out.machine_name.find_first_of(" /") != std::string::npos) return false;
   if (!fields::is_present(body, "warning_s")) return true;
   const Json& notice = body["warning_s"];
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -1,4 +1,4 @@
-// What workers report and the orders that they are answered with.
+// The reports that workers send, and the orders in the answers to them.
 #pragma once
 
 #include <cstdint>
@@ -12,67 +12,67 @@
 
 enum class TaskPhase {
   kFetchingImage,
-  kWaiting,  // has its image, and waits for the other tasks of its gang
+  kWaiting,  // the machine has the image; the task waits for the other tasks of its gang
   kRunning,
   kCheckpointing,
   kExited,
 };
 
-// Why a task is no longer there.
+// The reason why a task is no longer on its machine.
 enum class ExitCause {
-  kNone,                   // it has not exited
-  kDone,                   // completed
-  kStopped,                // stopped by an order
-  kError,                  // failed by itself
-  kNoRoom,                 // refused: the worker had no room for it
-  kOtherAttemptOnMachine,  // refused: another attempt of the task is on that machine
-  kUnknownJob,             // refused: the worker knows no such job
+  kNone,                   // the task has not exited
+  kDone,                   // the task completed
+  kStopped,                // an order stopped the task
+  kError,                  // the task failed
+  kNoRoom,                 // the worker refused the task: it had no room for it
+  kOtherAttemptOnMachine,  // the worker refused the task: another attempt of it is on the machine
+  kUnknownJob,             // the worker refused the task: it does not know the job
   kGangPeerLost,           // another task of the gang was lost
-  kGangIncomplete,         // the gang was not complete in time
-  kOther,                  // not known to this version
+  kGangIncomplete,         // the gang was not complete within gang_wait_s
+  kOther,                  // this version does not know the cause
 };
 
-// One task of a report.
+// One task in a report.
 struct TaskReport {
-  std::string ref;  // of its job
+  std::string ref;  // the ref of the task's job
   int index = 0;
   std::uint64_t attempt = 0;
   TaskPhase phase = TaskPhase::kRunning;
   ExitCause cause = ExitCause::kNone;
 };
 
-// A worker's heartbeat: the machine, and all tasks that are on it.
+// A worker's heartbeat: it describes the machine and all tasks on it.
 struct Report {
   std::string machine_name;
-  std::string address;  // where the worker takes direct commands
+  std::string address;  // address where the worker accepts direct commands
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  std::uint64_t worker_incarnation = 0;     // rises when the worker starts anew or gives up all it held
-  std::uint64_t sequence = 0;               // of the heartbeat, rising within an incarnation
-  std::uint64_t fencing_token = 0;          // the highest that the worker has seen
-  std::optional<double> eviction_notice_s;  // the cloud takes the machine away in so many seconds
+  std::uint64_t worker_incarnation = 0;     // rises when the worker restarts or gives up all its tasks
+  std::uint64_t sequence = 0;               // number of the report, rising within an incarnation
+  std::uint64_t fencing_token = 0;          // the highest token that the worker has seen
+  std::optional<double> eviction_notice_s;  // time until the cloud takes the machine back
   std::vector<TaskReport> tasks;
 };
 
-// Nothing when anything in it is malformed: a report is believed whole or not at all.
+// Returns nullopt if any part of the report is malformed: a report is accepted in full or not at all.
 std::optional<Report> parse_report(const Json& body);
 
-// What a worker is told to do about one task.
+// An order to a worker about one task.
 struct Order {
   enum class Verb {
     kLaunch,
-    kStop,             // within the grace period
-    kAcknowledgeExit,  // the exit is recorded; the worker need not report it any longer
+    kStop,             // the task must end within the grace period
+    kAcknowledgeExit,  // the exit is recorded, so the worker may stop reporting it
   };
   Verb verb = Verb::kLaunch;
-  std::string task;  // task_name
+  std::string task;  // name of the task, see task_name
   std::uint64_t attempt = 0;
-  double grace_s = 0;  // of kStop: so long the task may go on, to save a checkpoint; in seconds
+  double grace_s = 0;  // for kStop: time that the task may use to save a checkpoint
 };
 
-// The body of an answer to a report, and of a direct command. With an incarnation it counts for this one
-// only.
+// Returns the body of an answer to a report or of a direct command. If an incarnation is given, the orders
+// apply to that incarnation only.
 std::string orders_body(std::uint64_t fencing_token, std::optional<std::uint64_t> worker_incarnation,
                         const std::vector<Order>& orders);
 
