--- a/src/protocol/settings.hpp
+++ b/src/protocol/settings.hpp
@@ -70,8 +70,8 @@
   // Workers.
   double report_s = 2;  // interval between two reports of a worker
   double lease_s = 15;  // duration of a worker's lease, counted from when the worker sent the renewing report
-  double cancel_s =
-      40;  // maximum time from the confirmation of a cancellation to the end of all tasks of the job
+  // All tasks of a cancelled job must be gone within this time after the cancellation is confirmed.
+  double cancel_s = 40;
   double gang_wait_s = 30;  // time that a gang task waits for the other tasks of its attempt
   double gang_peer_s = 4;   // maximum time until gang tasks detect that another one is gone or being stopped
 
