--- a/src/coordination/node/request_router.cpp
+++ b/src/coordination/node/request_router.cpp
@@ -25,12 +25,12 @@
 }  // namespace
 
 std::optional<RunsPath> parse_runs_path(const std::string& path) {
-  constexpr std::string_view kJobs = paths::kJobs;
+  constexpr std::string_view kRuns = paths::kJobs;
   constexpr std::string_view kCancel = paths::kCancelSuffix;
-  if (path == kJobs) return RunsPath{RunsPath::Kind::kAll, ""};
-  if (!starts_with(path, kJobs) || path.size() <= kJobs.size() + 1 || path[kJobs.size()] != '/')
+  if (path == kRuns) return RunsPath{RunsPath::Kind::kAll, ""};
+  if (!starts_with(path, kRuns) || path.size() <= kRuns.size() + 1 || path[kRuns.size()] != '/')
     return std::nullopt;
-  std::string ref = path.substr(kJobs.size() + 1);
+  std::string ref = path.substr(kRuns.size() + 1);
   if (ref.size() > kCancel.size() && ends_with(ref, kCancel)) {
     ref.resize(ref.size() - kCancel.size());
     return RunsPath{RunsPath::Kind::kCancel, ref};
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -12,7 +12,7 @@
 constexpr int kRetryAfterSeconds = 2;
 constexpr int kRetrySoonSeconds = 1;  // for workers and those who ask whether the controller is ready
 constexpr std::string_view kUserApi = "/v2/";
-constexpr std::string_view kJobs = "/v2/runs";
+constexpr std::string_view kRuns = "/v2/runs";
 constexpr std::string_view kCancel = "/cancel";
 
 void send_rebuilding(const Responder& responder, int retry_after_s) {
@@ -32,11 +32,11 @@
 UserQuestion question_of(const HttpRequest& request) {
   UserQuestion out;
   out.cancellation = ends_with(request.path, kCancel);
-  if (request.path == kJobs) {
+  if (request.path == kRuns) {
     const Json body = parse_json(request.body);
     if (body.is_object() && body.value("ref", Json("")).is_string()) out.ref = body.value("ref", "");
-  } else if (request.path.rfind(kJobs, 0) == 0 && request.path.size() > kJobs.size() + 1) {
-    out.ref = request.path.substr(kJobs.size() + 1);
+  } else if (request.path.rfind(kRuns, 0) == 0 && request.path.size() > kRuns.size() + 1) {
+    out.ref = request.path.substr(kRuns.size() + 1);
     if (out.cancellation) out.ref.resize(out.ref.size() - kCancel.size());
   }
   return out;
