--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -32,7 +32,8 @@
   return ExitCause::kOther;
 }
 
-// A phase that this version does not know counts as running, because the task occupies room on the machine.
+// A phase that this version does not recognize counts as running, because the task occupies room on the
+// machine.
 TaskPhase parse_phase(const std::string& text) {
   if (text == "pulling") return TaskPhase::kFetchingImage;
   if (text == "waiting") return TaskPhase::kWaiting;
--- a/src/protocol/worker_messages.hpp
+++ b/src/protocol/worker_messages.hpp
@@ -29,7 +29,7 @@
   kUnknownJob,             // the worker refused the task: it does not know the job
   kGangPeerLost,           // another task of the gang was lost
   kGangIncomplete,         // the gang was not complete within gang_wait_s
-  kOther,                  // this version does not know the cause
+  kOther,                  // this version does not recognize the cause
 };
 
 // One task in a report.
