--- a/src/coordination/node/request_router.cpp
+++ b/src/coordination/node/request_router.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 std::optional<RunsPath> parse_runs_path(const std::string& path) {
-  constexpr std::string_view kRuns = paths::kRuns;
+  constexpr std::string_view kRuns = paths::kJobs;
   constexpr std::string_view kCancel = paths::kCancelSuffix;
   if (path == kRuns) return RunsPath{RunsPath::Kind::kAll, ""};
   if (!starts_with(path, kRuns) || path.size() <= kRuns.size() + 1 || path[kRuns.size()] != '/')
--- a/src/protocol/worker_messages.cpp
+++ b/src/protocol/worker_messages.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 struct NamedCause {
-  const char* name;  // on the wire
+  const char* wire_name;
   ExitCause cause;
 };
 constexpr NamedCause kCauses[] = {
     {"done", ExitCause::kDone},
-    {"halted", ExitCause::kHalted},
+    {"halted", ExitCause::kStopped},
     {"error", ExitCause::kError},
     {"no_room", ExitCause::kNoRoom},
-    {"in_use", ExitCause::kInUse},
-    {"no_such", ExitCause::kNoSuch},
+    {"in_use", ExitCause::kOtherAttemptOnMachine},
+    {"no_such", ExitCause::kUnknownJob},
     {"mates_gone", ExitCause::kGangPeerLost},
     {"alone", ExitCause::kGangIncomplete},
 };
@@ -26,13 +26,14 @@
   const auto it = item.find("exit_cause");
   if (it == item.end() || !it->is_string()) return ExitCause::kOther;
   const auto& text = it->get_ref<const std::string&>();
-  for (const NamedCause& known : kCauses) {
-    if (text == known.name) return known.cause;
+  for (const NamedCause& entry : kCauses) {
+    if (text == entry.wire_name) return entry.cause;
   }
   return ExitCause::kOther;
 }
 
-// A phase that this version does not know counts as running: the task takes its room.
+// A phase that this version does not recognize counts as running, because the task occupies room on the
+// machine.
 TaskPhase parse_phase(const std::string& text) {
   if (text == "pulling") return TaskPhase::kFetchingImage;
   if (text == "waiting") return TaskPhase::kWaiting;
@@ -55,7 +56,7 @@
   return task;
 }
 
-// Everything but the tasks.
+// Reads all fields of a report except the tasks.
 bool read_machine(const Json& body, Report& out) {
   if (!fields::read_text(body, "host", out.machine_name) ||
       !fields::read_text(body, "address", out.address) ||
@@ -66,9 +67,9 @@
       !fields::read_count(body, "baton", out.fencing_token)) {
     return false;
   }
-  // The name becomes part of keys and of names of tasks.
+  // The machine name becomes part of keys and of task names.
   if (out.machine_name.find_first_of(" /") != std::string::npos) return false;
-  if (!fields::present(body, "warning_s")) return true;
+  if (!fields::is_present(body, "warning_s")) return true;
   const Json& notice = body["warning_s"];
   if (!notice.is_number()) return false;
   out.eviction_notice_s = notice.get<double>();
@@ -97,7 +98,7 @@
   if (!body.is_object()) return std::nullopt;
   Report out;
   if (!read_machine(body, out)) return std::nullopt;
-  if (!fields::present(body, "pieces")) return out;
+  if (!fields::is_present(body, "pieces")) return out;
   const Json& list = body["pieces"];
   if (!list.is_array()) return std::nullopt;
   out.tasks.reserve(list.size());
