--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -45,7 +45,7 @@
     if (!sources_.reports.is_recent(report)) continue;
     for (const DemandSummary& demand : report.summary.demands) {
       if (!is_large_gang(demand)) continue;
-      const double waited_s = sources_.env.wall() - demand.submitted;
+      const double waited_s = sources_.env.wall_time() - demand.submitted;
       if (waited_s < kGangAge || !sources_.demand.within_limit(demand)) continue;
       if (oldest == nullptr || demand.submitted < oldest->submitted) oldest = &demand;
     }
--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -55,7 +55,7 @@
 
 Request DelegationPlanner::request_for(const Job& job) const {
   const JobSpec& spec = job.spec();
-  const double wall = ctx_.env->wall();
+  const double wall = ctx_.env->wall_time();
   Request out;
   out.demand = job.demand;
   out.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.task_count;
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -209,7 +209,7 @@
 // kept for one gang at a time, the first in order, so that two do not hold half of their room each.
 void GangScheduler::update_reservation() {
   const double now = ctx_.env->now();
-  const double wall = ctx_.env->wall();
+  const double wall = ctx_.env->wall_time();
   JobPtr first;
   for (const auto& [name, job] : model_.jobs()) {
     const bool waits = gang_waits(*job) && !job->at_fault();
--- a/src/coordination/shard/job_completion.cpp
+++ b/src/coordination/shard/job_completion.cpp
@@ -73,7 +73,7 @@
 
 void JobCompletion::on_ended(const JobPtr& job) {
   const std::string ref = job->spec().ref;
-  spdlog::info("{} done after {:.1f} s", ref, ctx_.env->wall() - job->record.submitted);
+  spdlog::info("{} done after {:.1f} s", ref, ctx_.env->wall_time() - job->record.submitted);
   for (const Job::CancelWaiter& waiter : job->cancel_waiters) {
     waiter.responder.send(200, cancellation_body(ref, JobPhase::kDone));
   }
--- a/src/coordination/shard/placement_rules.cpp
+++ b/src/coordination/shard/placement_rules.cpp
@@ -84,7 +84,7 @@
 bool PlacementRules::starving(const Job& job) const {
   if (job.placed > 0 || !job.done.empty() || job.waiting.empty() || job.delegated_open() > 0) return false;
   if (job.at_fault()) return false;  // it has begun, and failed
-  return ctx_.env->wall() - job.record.submitted > (job.is_gang() ? kGangStarvingS : kStarvingS);
+  return ctx_.env->wall_time() - job.record.submitted > (job.is_gang() ? kGangStarvingS : kStarvingS);
 }
 
 std::map<int, const Job*> PlacementRules::quota_saved_for() const {
@@ -110,7 +110,7 @@
 bool PlacementRules::is_preemptible(const Job& job) const {
   if (job.spec().urgency != Urgency::kBestEffort) return false;
   const bool begun = job.placed > 0 || !job.done.empty() || job.delegated_open() > 0;
-  return begun || ctx_.env->wall() - job.record.submitted < kPromoteAfterS;
+  return begun || ctx_.env->wall_time() - job.record.submitted < kPromoteAfterS;
 }
 
 bool PlacementRules::long_unplaced(const Job& job) const {
--- a/src/coordination/shard/preemptor.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -79,7 +79,7 @@
   if (!breaks_up(job, machine)) return true;
   const bool broken_up = std::any_of(machine.placements.begin(), machine.placements.end(),
                                      [&machine](const Placement& p) { return breaks_up(*p.job, machine); });
-  return broken_up || ctx_.env->wall() - job.record.submitted > kPackingPatience;
+  return broken_up || ctx_.env->wall_time() - job.record.submitted > kPackingPatience;
 }
 
 Preemptor::PreemptibleRoom Preemptor::preemptible_room(Machine& machine) const {
@@ -183,7 +183,7 @@
 
 void Preemptor::preempt() {
   if (!best_effort_here_ || committer_.state_silent() || !ctx_.exclusive_owner()) return;
-  const double wall = ctx_.env->wall();
+  const double wall = ctx_.env->wall_time();
   std::vector<const Job*> waiting;
   for (const auto& [name, job] : model_.jobs()) {
     // (Room for a gang is made where it is reserved.)
--- a/src/coordination/shard/summary_builder.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -118,7 +118,7 @@
   out.shard = ctx_.shard;
   out.fencing_token = ctx_.fencing_token;
   for (const auto& [name, machine] : model_.machines()) out.machines.push_back(summarize(*machine, now));
-  const double wall = ctx_.env->wall();
+  const double wall = ctx_.env->wall_time();
   for (const auto& [name, job] : model_.jobs()) {
     if (job->over()) continue;
     JobTasks tasks;
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -105,7 +105,7 @@
   out.local = machine.has_image(job.image);
   const double fetch_s = out.local ? 0 : fetch_seconds(spec, ctx_.types->at(machine.type));
   if (spec.deadline_s) {
-    const double time_left_s = job.record.submitted + *spec.deadline_s - ctx_.env->wall();
+    const double time_left_s = job.record.submitted + *spec.deadline_s - ctx_.env->wall_time();
     out.pressure =
         deadline_pressure(time_left_s, kEstimateMargin * std::max(1.0, spec.estimated_s) + fetch_s);
   }
@@ -133,7 +133,7 @@
 // Drops the jobs of which nothing may be placed any more, and brings the requests of the others up to date.
 void TaskPlacement::update_requests(const Machine& machine, Candidates& candidates) const {
   auto& [requests, jobs] = candidates;
-  const double wall = ctx_.env->wall();
+  const double wall = ctx_.env->wall_time();
   for (std::size_t i = 0; i < requests.size();) {
     const Job& job = *jobs[i];
     const JobSpec& spec = job.spec();
--- a/src/coordination/state/request_budget.cpp
+++ b/src/coordination/state/request_budget.cpp
@@ -37,11 +37,11 @@
 }
 
 void RequestBudget::apply_share(double now) {
-  const double calls = call_rate_.current() * share_;
+  const double calls = call_rate_.current_rps() * share_;
   calls_.set_rate(calls, std::max(kLeastCallBurst, calls), now);
   // Nodes are seldom busy at once: each may change more than its share, and gives way when the service says
   // 429. Leases are not touched by that, they only count as calls.
-  const double writes = write_rate_.current() * share_;
+  const double writes = write_rate_.current_rps() * share_;
   const double most = kOvercommit * writes;
   writes_.set_rate(most, std::max(kLeastWriteBurst, most), now);
   writes_per_txn_ = std::clamp(static_cast<int>(writes), kLeastTransaction, txn_ops_);
@@ -56,7 +56,7 @@
 // burst is gone, and the rate is cut, though not below what the service has announced.
 void RequestBudget::turned_down(bool write, double now) {
   (write ? writes_ : calls_).drain(now);
-  if ((write ? write_rate_ : call_rate_).turned_down(now)) apply_share(now);
+  if ((write ? write_rate_ : call_rate_).on_refusal(now)) apply_share(now);
 }
 
 void RequestBudget::raise_rates(double now) {
--- a/src/coordination/state/request_budget.hpp
+++ b/src/coordination/state/request_budget.hpp
@@ -38,9 +38,9 @@
   // Changes that one transaction should have at most.
   [[nodiscard]] int writes_per_txn() const { return writes_per_txn_; }
   // Changes a second that the service is taken to serve, for all nodes together.
-  [[nodiscard]] double write_rate() const { return write_rate_.current(); }
+  [[nodiscard]] double write_rate() const { return write_rate_.current_rps(); }
   // How much of the changes that may be made at once is left, 0..1.
-  [[nodiscard]] double writes_left(double now) { return writes_.level(now); }
+  [[nodiscard]] double writes_left(double now) { return writes_.fill_fraction(now); }
 
  private:
   void apply_share(double now);
--- a/src/recovery/scoped_env.hpp
+++ b/src/recovery/scoped_env.hpp
@@ -13,7 +13,7 @@
  public:
   explicit ScopedEnv(Env& outer) : outer_(outer) {}
   [[nodiscard]] double now() const override { return outer_.now(); }
-  [[nodiscard]] double wall() const override { return outer_.wall(); }
+  [[nodiscard]] double wall_time() const override { return outer_.wall_time(); }
   std::uint64_t random() override { return outer_.random(); }
   TimerId after(double delay_s, std::function<void()> action) override {
     return outer_.after(delay_s, [alive = std::weak_ptr<bool>(alive_), action = std::move(action)] {
--- a/src/transport/callback_guard.hpp
+++ b/src/transport/callback_guard.hpp
@@ -16,13 +16,14 @@
 
   template <typename F>
   auto operator()(F callback) const {
-    return [owner = std::weak_ptr<bool>(owner_), callback = std::move(callback)](auto&&... args) mutable {
-      if (!owner.expired()) callback(std::forward<decltype(args)>(args)...);
-    };
+    return
+        [lifetime = std::weak_ptr<bool>(lifetime_), callback = std::move(callback)](auto&&... args) mutable {
+          if (!lifetime.expired()) callback(std::forward<decltype(args)>(args)...);
+        };
   }
 
  private:
-  std::shared_ptr<bool> owner_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> lifetime_ = std::make_shared<bool>(true);
 };
 
 }  // namespace mothslip
--- a/src/transport/env.hpp
+++ b/src/transport/env.hpp
@@ -33,8 +33,8 @@
 class Env {
  public:
   virtual ~Env() = default;
-  [[nodiscard]] virtual double now() const = 0;   // steady clock, seconds
-  [[nodiscard]] virtual double wall() const = 0;  // time of day, seconds since the epoch
+  [[nodiscard]] virtual double now() const = 0;        // steady clock, seconds
+  [[nodiscard]] virtual double wall_time() const = 0;  // time of day, seconds since the epoch
   // Uniform over all 64-bit values.
   virtual std::uint64_t random() = 0;
   // Runs `action` once, after so many seconds, never from within this call.
--- a/src/transport/event_env.cpp
+++ b/src/transport/event_env.cpp
@@ -15,13 +15,14 @@
 
 namespace {
 // For each destination:
-constexpr std::size_t kMaxConnections = 24;
-constexpr std::size_t kMaxQueued = 256;  // calls that wait for a connection; more fail at once
-constexpr std::size_t kMaxIdle = 4;      // connections that are kept for later calls
+constexpr std::size_t kMaxConnectionsPerDestination = 24;
+constexpr std::size_t kMaxQueuedCallsPerDestination =
+    256;  // calls that wait for a connection; more fail at once
+constexpr std::size_t kMaxIdleConnectionsPerDestination = 4;  // connections that are kept for later calls
 
 constexpr std::int64_t kMaxHeaderBytes = std::int64_t{16} * 1024;
 constexpr std::int64_t kMaxBodyBytes = std::int64_t{4} * 1024 * 1024;
-constexpr int kIdleSeconds = 90;  // after which libevent gives a connection up
+constexpr int kIdleTimeoutSeconds = 90;  // after which libevent gives a connection up
 
 timeval to_timeval(double seconds) {
   if (seconds < 0) seconds = 0;
@@ -45,7 +46,7 @@
   evhttp_connection_set_family(connection, AF_INET);
   evhttp_connection_set_max_headers_size(connection, kMaxHeaderBytes);
   evhttp_connection_set_max_body_size(connection, kMaxBodyBytes);
-  evhttp_connection_set_timeout(connection, kIdleSeconds);
+  evhttp_connection_set_timeout(connection, kIdleTimeoutSeconds);
   return connection;
 }
 
@@ -78,8 +79,8 @@
 
 // The other side keeps the connection after the reply.
 bool keeps_connection(evhttp_request* request) {
-  const char* how = evhttp_find_header(evhttp_request_get_input_headers(request), "Connection");
-  return how == nullptr || evutil_ascii_strcasecmp(how, "close") != 0;
+  const char* connection_header = evhttp_find_header(evhttp_request_get_input_headers(request), "Connection");
+  return connection_header == nullptr || evutil_ascii_strcasecmp(connection_header, "close") != 0;
 }
 }  // namespace
 
@@ -105,18 +106,18 @@
   Pool* pool = nullptr;  // null: the call never entered its queue
   HttpCall call;
   ReplyHandler handler;
-  std::unique_ptr<Connection> connection;  // while the call is under way
-  TimerId deadline = 0;                    // the timer; 0: it has run
-  bool over = false;                       // a reply was delivered, or is about to be
-  std::shared_ptr<Exchange> self;          // held while libevent may call back
+  std::unique_ptr<Connection> connection;    // while the call is under way
+  TimerId deadline_timer = 0;                // the timer; 0: it has run
+  bool is_finished = false;                  // a reply was delivered, or is about to be
+  std::shared_ptr<Exchange> self_reference;  // held while libevent may call back
 };
 
 struct EventEnv::Pool {
   std::string host;
   std::uint16_t port = 0;
-  std::size_t busy = 0;  // connections with a call under way
-  std::vector<std::unique_ptr<Connection>> idle;
-  std::deque<std::shared_ptr<Exchange>> waiting;
+  std::size_t busy_connections = 0;  // connections with a call under way
+  std::vector<std::unique_ptr<Connection>> idle_connections;
+  std::deque<std::shared_ptr<Exchange>> queued;
 };
 
 EventEnv::EventEnv() : rng_(std::random_device{}()) {
@@ -144,7 +145,7 @@
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-double EventEnv::wall() const {
+double EventEnv::wall_time() const {
   return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
 }
 
@@ -172,9 +173,9 @@
   EventEnv* env = timer->env;
   auto it = env->timers_.find(timer->id);
   if (it == env->timers_.end()) return;
-  const auto held = std::move(it->second);
+  const auto expired_timer = std::move(it->second);
   env->timers_.erase(it);
-  held->action();
+  expired_timer->action();
 }
 
 void EventEnv::call(HttpCall request, ReplyHandler handler) {
@@ -189,37 +190,37 @@
   exchange->pool = pool.get();
   exchange->call = std::move(request);
   exchange->handler = std::move(handler);
-  if (pool->waiting.size() >= kMaxQueued) {
+  if (pool->queued.size() >= kMaxQueuedCallsPerDestination) {
     exchange->pool = nullptr;
     after(0, [this, exchange] { finish(exchange, {}, false); });
     return;
   }
   // The deadline covers the time in the queue too: a caller's patience starts when it asks.
-  exchange->deadline = after(exchange->call.timeout_s, [this, exchange] {
-    exchange->deadline = 0;
+  exchange->deadline_timer = after(exchange->call.timeout_s, [this, exchange] {
+    exchange->deadline_timer = 0;
     finish(exchange, {}, false);
   });
-  pool->waiting.push_back(std::move(exchange));
+  pool->queued.push_back(std::move(exchange));
   send_queued(*pool);
 }
 
 void EventEnv::send_queued(Pool& pool) {
-  while (!pool.waiting.empty() && pool.busy < kMaxConnections) {
-    auto exchange = pool.waiting.front();
-    pool.waiting.pop_front();
-    if (!exchange->over) start(pool, exchange);
+  while (!pool.queued.empty() && pool.busy_connections < kMaxConnectionsPerDestination) {
+    auto exchange = pool.queued.front();
+    pool.queued.pop_front();
+    if (!exchange->is_finished) start(pool, exchange);
   }
 }
 
 void EventEnv::start(Pool& pool, const std::shared_ptr<Exchange>& exchange) {
-  if (!pool.idle.empty()) {
-    exchange->connection = std::move(pool.idle.back());
-    pool.idle.pop_back();
+  if (!pool.idle_connections.empty()) {
+    exchange->connection = std::move(pool.idle_connections.back());
+    pool.idle_connections.pop_back();
   } else {
     exchange->connection = std::make_unique<Connection>();
     exchange->connection->handle = open_connection(base_, pool.host, pool.port);
   }
-  pool.busy++;
+  pool.busy_connections++;
   evhttp_connection* connection = exchange->connection->handle;
   evhttp_request* request =
       connection == nullptr ? nullptr : evhttp_request_new(&EventEnv::on_reply, exchange.get());
@@ -227,7 +228,7 @@
     after(0, [this, exchange] { finish(exchange, {}, false); });
     return;
   }
-  exchange->self = exchange;
+  exchange->self_reference = exchange;
   const HttpCall& call = exchange->call;
   write_request(call, request);
   if (evhttp_make_request(connection, request, command_of(call), call.path.c_str()) != 0) {
@@ -237,34 +238,35 @@
 }
 
 void EventEnv::on_reply(evhttp_request* request, void* arg) {
-  auto* raw = static_cast<Exchange*>(arg);
-  if (raw->over) return;
-  auto exchange = raw->self;
+  auto* raw_exchange = static_cast<Exchange*>(arg);
+  if (raw_exchange->is_finished) return;
+  auto exchange = raw_exchange->self_reference;
   HttpReply reply = read_reply(request);
   const bool reusable = !reply.unanswered() && keeps_connection(request);
   // The connection must not be freed or reused from inside its own callback.
-  EventEnv* env = raw->env;
+  EventEnv* env = raw_exchange->env;
   env->after(0, [env, exchange, reply = std::move(reply), reusable]() mutable {
     env->finish(exchange, std::move(reply), reusable);
   });
 }
 
 void EventEnv::finish(const std::shared_ptr<Exchange>& exchange, HttpReply reply, bool reusable) {
-  if (exchange->over) return;
-  exchange->over = true;
-  if (exchange->deadline != 0) cancel(exchange->deadline);
-  exchange->self.reset();
+  if (exchange->is_finished) return;
+  exchange->is_finished = true;
+  if (exchange->deadline_timer != 0) cancel(exchange->deadline_timer);
+  exchange->self_reference.reset();
   auto handler = std::move(exchange->handler);
   if (Pool* pool = exchange->pool; pool != nullptr) {
     if (exchange->connection) {
-      pool->busy--;
-      reusable = reusable && exchange->call.keep_alive && pool->idle.size() < kMaxIdle;
-      if (reusable) pool->idle.push_back(std::move(exchange->connection));
+      pool->busy_connections--;
+      reusable = reusable && exchange->call.keep_alive &&
+                 pool->idle_connections.size() < kMaxIdleConnectionsPerDestination;
+      if (reusable) pool->idle_connections.push_back(std::move(exchange->connection));
       exchange->connection.reset();
     }
     send_queued(*pool);
     // Machines come and go by the thousand: nothing is kept of one that was called once.
-    if (pool->busy == 0 && pool->idle.empty() && pool->waiting.empty())
+    if (pool->busy_connections == 0 && pool->idle_connections.empty() && pool->queued.empty())
       pools_.erase(exchange->call.destination);
   }
   handler(std::move(reply));
--- a/src/transport/event_env.hpp
+++ b/src/transport/event_env.hpp
@@ -34,7 +34,7 @@
   void stop();
 
   [[nodiscard]] double now() const override;
-  [[nodiscard]] double wall() const override;
+  [[nodiscard]] double wall_time() const override;
   std::uint64_t random() override { return rng_(); }
   TimerId after(double delay_s, std::function<void()> action) override;
   void cancel(TimerId timer) override;
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -49,9 +49,9 @@
     ~State() { send(HttpAnswer{503, R"({"error":"dropped"})", 1}); }
     void send(const HttpAnswer& answer) {
       if (!sink) return;
-      Sink once;
-      once.swap(sink);
-      once(answer);
+      Sink taken_sink;
+      taken_sink.swap(sink);
+      taken_sink(answer);
     }
     Sink sink;
   };
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr std::size_t kMaxHeaderBytes = std::size_t{8} * 1024;
-constexpr int kIdleSeconds = 45;  // after which a connection is closed
+constexpr int kIdleTimeoutSeconds = 45;  // after which a connection is closed
 constexpr const char* kHealthCheckPath = "/ready";
 constexpr const char* kRetryWhenFullSeconds = "2";
 
@@ -62,17 +62,17 @@
 }
 }  // namespace
 
-HttpServer::HttpServer(event_base* base, const std::string& address, std::size_t max_body,
-                       std::size_t most_connections, HttpHandler handler)
-    : http_(evhttp_new(base)), most_connections_(most_connections), handler_(std::move(handler)) {
+HttpServer::HttpServer(event_base* base, const std::string& address, std::size_t max_body_bytes,
+                       std::size_t max_connections, HttpHandler handler)
+    : http_(evhttp_new(base)), max_connections_(max_connections), handler_(std::move(handler)) {
   const auto colon = address.rfind(':');
   if (http_ == nullptr || colon == std::string::npos)
     throw std::runtime_error("bad listen address " + address);
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_DELETE | EVHTTP_REQ_PUT |
                                         EVHTTP_REQ_HEAD | EVHTTP_REQ_PATCH | EVHTTP_REQ_OPTIONS);
-  evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(max_body));
+  evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(max_body_bytes));
   evhttp_set_max_headers_size(http_, kMaxHeaderBytes);
-  evhttp_set_timeout(http_, kIdleSeconds);
+  evhttp_set_timeout(http_, kIdleTimeoutSeconds);
   evhttp_set_default_content_type(http_, "application/json");
   evhttp_set_gencb(http_, &HttpServer::on_request, this);
   const std::string host = address.substr(0, colon);
@@ -86,24 +86,26 @@
 HttpServer::~HttpServer() { evhttp_free(http_); }
 
 void HttpServer::on_close(evhttp_connection* connection, void* arg) {
-  static_cast<HttpServer*>(arg)->open_.erase(connection);
+  static_cast<HttpServer*>(arg)->open_connections_.erase(connection);
 }
 
-void HttpServer::note_connection(evhttp_request* request) {
+void HttpServer::track_connection(evhttp_request* request) {
   evhttp_connection* connection = evhttp_request_get_connection(request);
   if (connection == nullptr) return;
-  open_.insert(connection);
+  open_connections_.insert(connection);
   evhttp_connection_set_closecb(connection, &HttpServer::on_close, this);
 }
 
-bool HttpServer::over_bound() const { return most_connections_ > 0 && open_.size() > most_connections_; }
+bool HttpServer::is_over_connection_limit() const {
+  return max_connections_ > 0 && open_connections_.size() > max_connections_;
+}
 
 void HttpServer::on_request(evhttp_request* request, void* arg) {
   auto* server = static_cast<HttpServer*>(arg);
-  server->note_connection(request);
+  server->track_connection(request);
   HttpRequest in = read_request(request);
   // The sockets that are left are for the state service, the other nodes and health checks.
-  if (server->over_bound()) {
+  if (server->is_over_connection_limit()) {
     add_header(request, "Connection", "close");
     if (in.path != kHealthCheckPath) {
       add_header(request, "Retry-After", kRetryWhenFullSeconds);
--- a/src/transport/token_bucket.hpp
+++ b/src/transport/token_bucket.hpp
@@ -7,7 +7,8 @@
 
 class TokenBucket {
  public:
-  TokenBucket(double rate, double burst, double now) : rate_(rate), burst_(burst), tokens_(burst), at_(now) {}
+  TokenBucket(double rate, double burst, double now)
+      : rate_(rate), burst_(burst), tokens_(burst), refilled_at_(now) {}
 
   void set_rate(double rate, double burst, double now) {
     refill(now);
@@ -33,7 +34,7 @@
     return missing <= 0 ? 0 : missing / std::max(rate_, 1e-9);
   }
   // How full the bucket is, 0..1.
-  [[nodiscard]] double level(double now) {
+  [[nodiscard]] double fill_fraction(double now) {
     refill(now);
     return std::max(0.0, tokens_) / std::max(burst_, 1e-9);
   }
@@ -45,13 +46,13 @@
 
  private:
   void refill(double now) {
-    if (now > at_) tokens_ = std::min(burst_, tokens_ + rate_ * (now - at_));
-    at_ = std::max(at_, now);
+    if (now > refilled_at_) tokens_ = std::min(burst_, tokens_ + rate_ * (now - refilled_at_));
+    refilled_at_ = std::max(refilled_at_, now);
   }
   double rate_;
   double burst_;
   double tokens_;
-  double at_;
+  double refilled_at_;
 };
 
 }  // namespace mothslip
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -59,19 +59,19 @@
 
 TEST(AdaptiveRate, FollowsRefusalsDownToTheAnnouncedRate) {
   AdaptiveRate rate(30, 21, 0);
-  EXPECT_TRUE(rate.turned_down(5));
-  EXPECT_FALSE(rate.turned_down(5.2));  // the same burst
-  EXPECT_DOUBLE_EQ(rate.current(), 21);
+  EXPECT_TRUE(rate.on_refusal(5));
+  EXPECT_FALSE(rate.on_refusal(5.2));  // the same burst
+  EXPECT_DOUBLE_EQ(rate.current_rps(), 21);
   EXPECT_FALSE(rate.raise(10));  // too early to try again
-  EXPECT_DOUBLE_EQ(rate.current(), 21);
+  EXPECT_DOUBLE_EQ(rate.current_rps(), 21);
   for (double now = 16; now < 60; now += 1) rate.raise(now);
-  EXPECT_DOUBLE_EQ(rate.current(), 30);
+  EXPECT_DOUBLE_EQ(rate.current_rps(), 30);
 }
 
 TEST(AdaptiveRate, StaysWhereNothingIsAnnounced) {
   AdaptiveRate rate(30, 30, 0);
-  EXPECT_FALSE(rate.turned_down(5));
-  EXPECT_DOUBLE_EQ(rate.current(), 30);
+  EXPECT_FALSE(rate.on_refusal(5));
+  EXPECT_DOUBLE_EQ(rate.current_rps(), 30);
 }
 
 // The smaller limits hold from the start, and take effect in the middle of a takeover.
--- a/tests/sim/nodes.cpp
+++ b/tests/sim/nodes.cpp
@@ -55,7 +55,7 @@
 NodeEnv::NodeEnv(World& world, int index, double drift, double skew)
     : world_(world), index_(index), drift_(drift), skew_(skew) {}
 double NodeEnv::now() const { return 1000 + world_.now * drift_; }
-double NodeEnv::wall() const { return 1.7e9 + world_.now + skew_; }
+double NodeEnv::wall_time() const { return 1.7e9 + world_.now + skew_; }
 std::uint64_t NodeEnv::random() { return world_.rng(); }
 
 TimerId NodeEnv::after(double delay_s, std::function<void()> action) {
--- a/tests/sim/nodes.hpp
+++ b/tests/sim/nodes.hpp
@@ -22,7 +22,7 @@
  public:
   NodeEnv(World& world, int index, double drift, double skew);
   [[nodiscard]] double now() const override;
-  [[nodiscard]] double wall() const override;
+  [[nodiscard]] double wall_time() const override;
   std::uint64_t random() override;
   TimerId after(double delay_s, std::function<void()> action) override;
   void cancel(TimerId timer) override { cancelled_.insert(timer); }
--- a/tests/sim/scripted_env.hpp
+++ b/tests/sim/scripted_env.hpp
@@ -16,7 +16,7 @@
     ReplyHandler handler;
   };
   [[nodiscard]] double now() const override { return kNow; }
-  [[nodiscard]] double wall() const override { return 1.7e9 + kNow; }
+  [[nodiscard]] double wall_time() const override { return 1.7e9 + kNow; }
   std::uint64_t random() override { return 1; }
   TimerId after(double, std::function<void()>) override { return ++next_; }
   void cancel(TimerId) override {}
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -98,7 +98,7 @@
   wait_for(2);
   EXPECT_EQ(replies[1].status, 200);
   EXPECT_EQ(held.size(), 2u);
-  while (server->connections() > 2) turn(0.01);
+  while (server->connection_count() > 2) turn(0.01);
   for (const Responder& each : held) each.send(200, "{}");
   wait_for(4);
   call("/hello", "{}");
@@ -115,9 +115,9 @@
   call("/commands", "{}");
   wait_for(1);
   turn(0.05);
-  EXPECT_EQ(server->connections(), 1u);
+  EXPECT_EQ(server->connection_count(), 1u);
   call("/commands", "{}", false);
   wait_for(2);
-  while (server->connections() > 0) turn(0.01);
+  while (server->connection_count() > 0) turn(0.01);
   EXPECT_EQ(replies[1].status, 200);
 }
