--- a/src/transport/adaptive_rate.hpp
+++ b/src/transport/adaptive_rate.hpp
@@ -1,21 +1,21 @@
-// A rate of calls that the service called may lower without notice, down to a known floor.
+// A rate limit for calls to a service that may lower its own limit without notice, down to a known minimum.
 #pragma once
 
 #include <algorithm>
 
 namespace mothslip {
 
-// Cut when the service turns calls down, and raised again slowly, between the two limits. Where both are the
-// same it never moves: being turned down now and then is then only a sign that several callers were busy at
-// once. Times are in seconds, by any one clock.
+// The rate is cut when the service refuses calls and rises again slowly; it stays between `min_rps` and
+// `max_rps`. If the two are equal, the rate is constant: an occasional refusal then only means that several
+// callers were busy at the same time. Times are in seconds, all from the same clock.
 class AdaptiveRate {
  public:
   AdaptiveRate(double max_rps, double min_rps, double now)
       : max_rps_(max_rps), min_rps_(std::min(max_rps, min_rps)), current_rps_(max_rps), raised_at_(now) {}
 
-  // Calls a second.
   [[nodiscard]] double current_rps() const { return current_rps_; }
-  // A call was turned down. True when the rate has changed. Refusals that come together count once.
+  // Records that the service refused a call, and cuts the rate unless it was cut less than
+  // kMinCutIntervalSeconds ago. Returns true if the rate changed.
   bool on_refusal(double now) {
     if (now - cut_at_ < kMinCutIntervalSeconds) return false;
     cut_at_ = raised_at_ = now;
@@ -23,7 +23,8 @@
     current_rps_ = std::max(min_rps_, current_rps_ * kCutFactor);
     return current_rps_ != previous_rps;
   }
-  // To be called now and then. True when the rate has changed.
+  // Raises the rate in proportion to the time since the last call of this function, once kRaiseDelaySeconds
+  // have passed since the last cut. The owner calls it periodically. Returns true if the rate changed.
   bool raise(double now) {
     const double previous_rps = current_rps_;
     if (now - cut_at_ > kRaiseDelaySeconds)
@@ -34,10 +35,10 @@
   }
 
  private:
-  static constexpr double kMinCutIntervalSeconds = 1.0;    // seconds in which refusals count once
-  static constexpr double kCutFactor = 0.7;                // times the present rate
-  static constexpr double kRaiseDelaySeconds = 10.0;       // seconds without a refusal
-  static constexpr double kRaiseFractionPerSecond = 0.02;  // of the highest rate, a second
+  static constexpr double kMinCutIntervalSeconds = 1.0;    // refusals within this time count as one
+  static constexpr double kCutFactor = 0.7;                // multiplies the current rate
+  static constexpr double kRaiseDelaySeconds = 10.0;       // time after a cut before the rate rises
+  static constexpr double kRaiseFractionPerSecond = 0.02;  // the fraction of `max_rps` that is added
   double max_rps_;
   double min_rps_;
   double current_rps_;
--- a/src/transport/callback_guard.hpp
+++ b/src/transport/callback_guard.hpp
@@ -1,4 +1,4 @@
-// Callbacks that may outlive their object: timers and answers that come after it has gone must find nobody.
+// Protects against callbacks (timers, replies to calls) that run after their object has been destroyed.
 #pragma once
 
 #include <memory>
@@ -6,8 +6,8 @@
 
 namespace mothslip {
 
-// A member of the object that owns the callbacks. Wrapped in it, a callback does nothing once the owner is
-// gone.
+// A member of the object that owns the callbacks. A callback that is wrapped by this member does nothing once
+// the member, and with it the owner, has been destroyed.
 class CallbackGuard {
  public:
   CallbackGuard() = default;
--- a/src/transport/env.hpp
+++ b/src/transport/env.hpp
@@ -1,7 +1,7 @@
-// The environment of the program: time, timers, randomness and outgoing HTTP calls.
+// The interface between the program and its environment: time, timers, randomness and outgoing HTTP calls.
 //
-// Everything above this interface is deterministic given its answers, so a test can run whole nodes in
-// simulated time (tests/sim). All of it runs on one thread.
+// For given results of these functions, the code that uses them is deterministic, so tests can run whole
+// nodes in simulated time (tests/sim). All of that code runs on one thread.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace mothslip {
 
-// The answer to a call.
+// The reply to an outgoing request.
 struct HttpReply {
   int status = 0;  // 0: no response; the request may have been executed, or may be executed later
   std::string body;
@@ -21,10 +21,10 @@
 struct HttpCall {
   std::string destination;  // numeric IPv4 address and port: "10.2.0.1:2379"
   std::string method;       // GET, POST or DELETE
-  std::string path;         // with the query, if any
-  std::string body;         // JSON; empty: none
-  double timeout_s = 2.0;   // from the call until the whole answer is there, time in queues included
-  bool keep_alive = true;   // false: the connection is not worth keeping
+  std::string path;         // includes the query, if any
+  std::string body;         // JSON; empty: no body
+  double timeout_s = 2.0;   // from `call` to the complete reply, including time in the queue
+  bool keep_alive = true;   // false: the connection is closed after the reply
 };
 
 using TimerId = std::uint64_t;  // never 0
@@ -33,18 +33,18 @@
 class Env {
  public:
   virtual ~Env() = default;
-  [[nodiscard]] virtual double now() const = 0;        // steady clock, seconds
-  [[nodiscard]] virtual double wall_time() const = 0;  // time of day, seconds since the epoch
-  // Uniform over all 64-bit values.
+  [[nodiscard]] virtual double now() const = 0;        // steady clock, in seconds
+  [[nodiscard]] virtual double wall_time() const = 0;  // system clock, in seconds since the Unix epoch
+  // Returns a random number, uniform over all 64-bit values.
   virtual std::uint64_t random() = 0;
-  // Runs `action` once, after so many seconds, never from within this call.
+  // Runs `action` once, `delay_s` seconds from now, and never before this function returns.
   virtual TimerId after(double delay_s, std::function<void()> action) = 0;
-  // The timer's action is not run any more. A timer that has run, or that never was, is ignored.
+  // Cancels the timer, so that its action does not run. Ignores a timer that has run or does not exist.
   virtual void cancel(TimerId timer) = 0;
-  // Exactly one reply is delivered, never from within this call.
+  // Sends the request. `handler` is called exactly once, and never before this function returns.
   virtual void call(HttpCall request, ReplyHandler handler) = 0;
 
-  // A random number of at least `low` and below `high`.
+  // Returns a random number, uniform over [low, high).
   double uniform(double low, double high) {
     return low + (high - low) * static_cast<double>(random() >> 11) * 0x1.0p-53;
   }
--- a/src/transport/event_env.cpp
+++ b/src/transport/event_env.cpp
@@ -14,15 +14,16 @@
 namespace mothslip {
 
 namespace {
-// For each destination:
 constexpr std::size_t kMaxConnectionsPerDestination = 24;
-constexpr std::size_t kMaxQueuedCallsPerDestination =
-    256;  // calls that wait for a connection; more fail at once
-constexpr std::size_t kMaxIdleConnectionsPerDestination = 4;  // connections that are kept for later calls
+// Calls that wait for a connection. Further calls fail immediately.
+constexpr std::size_t kMaxQueuedCallsPerDestination = 256;
+// Connections that are kept open for later calls.
+constexpr std::size_t kMaxIdleConnectionsPerDestination = 4;
 
 constexpr std::int64_t kMaxHeaderBytes = std::int64_t{16} * 1024;
 constexpr std::int64_t kMaxBodyBytes = std::int64_t{4} * 1024 * 1024;
-constexpr int kIdleTimeoutSeconds = 90;  // after which libevent gives a connection up
+// libevent closes a connection that is inactive for this time.
+constexpr int kIdleTimeoutSeconds = 90;
 
 timeval to_timeval(double seconds) {
   if (seconds < 0) seconds = 0;
@@ -32,14 +33,14 @@
   return tv;
 }
 
-// Of "HOST:PORT"; 0 where there is none.
+// Returns the port of "HOST:PORT", or 0 if there is none.
 std::uint16_t port_of(const std::string& destination) {
   const auto colon = destination.rfind(':');
   if (colon == std::string::npos) return 0;
   return static_cast<std::uint16_t>(std::strtoul(destination.c_str() + colon + 1, nullptr, 10));
 }
 
-// Null when it cannot be created. It connects with its first request.
+// Returns null if the connection object cannot be created. The TCP connection is opened by the first request.
 evhttp_connection* open_connection(event_base* base, const std::string& host, std::uint16_t port) {
   evhttp_connection* connection = evhttp_connection_base_new(base, nullptr, host.c_str(), port);
   if (connection == nullptr) return nullptr;
@@ -56,7 +57,7 @@
   return EVHTTP_REQ_GET;
 }
 
-// Headers and body.
+// Adds the headers and the body of `call` to `request`.
 void write_request(const HttpCall& call, evhttp_request* request) {
   evkeyvalq* headers = evhttp_request_get_output_headers(request);
   evhttp_add_header(headers, "Host", call.destination.c_str());
@@ -65,7 +66,7 @@
   evbuffer_add(evhttp_request_get_output_buffer(request), call.body.data(), call.body.size());
 }
 
-// `request` is null where the connection failed: then there is no response.
+// `request` is null if the connection failed; the reply then has status 0, which means no response.
 HttpReply read_reply(evhttp_request* request) {
   HttpReply reply;
   if (request == nullptr) return reply;
@@ -77,7 +78,7 @@
   return reply;
 }
 
-// The other side keeps the connection after the reply.
+// Returns true if the server keeps the connection open after the reply.
 bool keeps_connection(evhttp_request* request) {
   const char* connection_header = evhttp_find_header(evhttp_request_get_input_headers(request), "Connection");
   return connection_header == nullptr || evutil_ascii_strcasecmp(connection_header, "close") != 0;
@@ -95,7 +96,7 @@
 };
 
 struct EventEnv::Connection {
-  evhttp_connection* handle = nullptr;  // null: could not be created
+  evhttp_connection* handle = nullptr;  // null: it could not be created
   ~Connection() {
     if (handle != nullptr) evhttp_connection_free(handle);
   }
@@ -103,19 +104,19 @@
 
 struct EventEnv::Exchange {
   EventEnv* env = nullptr;
-  Pool* pool = nullptr;  // null: the call never entered its queue
+  Pool* pool = nullptr;  // null: the queue was full, so the call was not queued
   HttpCall call;
   ReplyHandler handler;
-  std::unique_ptr<Connection> connection;    // while the call is under way
-  TimerId deadline_timer = 0;                // the timer; 0: it has run
-  bool is_finished = false;                  // a reply was delivered, or is about to be
-  std::shared_ptr<Exchange> self_reference;  // held while libevent may call back
+  std::unique_ptr<Connection> connection;    // set while the call is in progress
+  TimerId deadline_timer = 0;                // 0: it has run, or none was set
+  bool is_finished = false;                  // a reply has been delivered or is being delivered
+  std::shared_ptr<Exchange> self_reference;  // keeps the exchange alive while libevent may call on_reply
 };
 
 struct EventEnv::Pool {
   std::string host;
   std::uint16_t port = 0;
-  std::size_t busy_connections = 0;  // connections with a call under way
+  std::size_t busy_connections = 0;  // those with a call in progress
   std::vector<std::unique_ptr<Connection>> idle_connections;
   std::deque<std::shared_ptr<Exchange>> queued;
 };
@@ -123,12 +124,13 @@
 EventEnv::EventEnv() : rng_(std::random_device{}()) {
   event_config* config = event_config_new();
   event_config_set_flag(config, EVENT_BASE_FLAG_NOLOCK);
-  // Every answer turns write interest on and off again: gathered, most of these calls to the kernel cancel
-  // out.
+  // Each answer enables and disables the write event of its socket. With a changelist libevent batches these
+  // changes, and most of them cancel each other out before they cost a system call.
   event_config_set_flag(config, EVENT_BASE_FLAG_EPOLL_USE_CHANGELIST);
   base_ = event_base_new_with_config(config);
   event_config_free(config);
-  if (base_ == nullptr) throw std::runtime_error("cannot create the event loop");
+  if (base_ == nullptr)
+    throw std::runtime_error("libevent could not create the event loop; the process cannot run");
 }
 
 EventEnv::~EventEnv() {
@@ -157,7 +159,7 @@
   timer->action = std::move(action);
   timer->handle = evtimer_new(base_, &EventEnv::on_timer, timer.get());
   if (delay_s <= 0) {
-    event_active(timer->handle, EV_TIMEOUT, 1);  // runs in this turn of the loop
+    event_active(timer->handle, EV_TIMEOUT, 1);  // runs in the current iteration of the loop
   } else {
     const timeval tv = to_timeval(delay_s);
     evtimer_add(timer->handle, &tv);
@@ -195,7 +197,7 @@
     after(0, [this, exchange] { finish(exchange, {}, false); });
     return;
   }
-  // The deadline covers the time in the queue too: a caller's patience starts when it asks.
+  // The timeout includes the time in the queue, because the caller waits from the moment of the call.
   exchange->deadline_timer = after(exchange->call.timeout_s, [this, exchange] {
     exchange->deadline_timer = 0;
     finish(exchange, {}, false);
@@ -232,7 +234,7 @@
   const HttpCall& call = exchange->call;
   write_request(call, request);
   if (evhttp_make_request(connection, request, command_of(call), call.path.c_str()) != 0) {
-    // The request is freed by evhttp; no callback is promised.
+    // evhttp has freed the request, and does not guarantee that it calls on_reply.
     after(0, [this, exchange] { finish(exchange, {}, false); });
   }
 }
@@ -243,7 +245,7 @@
   auto exchange = raw_exchange->self_reference;
   HttpReply reply = read_reply(request);
   const bool reusable = !reply.unanswered() && keeps_connection(request);
-  // The connection must not be freed or reused from inside its own callback.
+  // The connection must not be freed or reused inside its own callback, so the call finishes in a timer.
   EventEnv* env = raw_exchange->env;
   env->after(0, [env, exchange, reply = std::move(reply), reusable]() mutable {
     env->finish(exchange, std::move(reply), reusable);
@@ -265,7 +267,8 @@
       exchange->connection.reset();
     }
     send_queued(*pool);
-    // Machines come and go by the thousand: nothing is kept of one that was called once.
+    // Thousands of machines join and leave the cluster. A pool without connections and calls is deleted, so
+    // that a machine that was called only once does not use memory permanently.
     if (pool->busy_connections == 0 && pool->idle_connections.empty() && pool->queued.empty())
       pools_.erase(exchange->call.destination);
   }
--- a/src/transport/event_env.hpp
+++ b/src/transport/event_env.hpp
@@ -1,4 +1,5 @@
-// Env on libevent: one thread, epoll, and evhttp clients with a pool of connections for each destination.
+// An implementation of Env on libevent: one thread, epoll, and evhttp clients with a connection pool for each
+// destination.
 #pragma once
 
 #include <event2/event.h>
@@ -20,17 +21,17 @@
 
 class EventEnv final : public Env {
  public:
-  // Throws std::runtime_error when the event loop cannot be created.
+  // Throws std::runtime_error if the event loop cannot be created.
   EventEnv();
   ~EventEnv() override;
   EventEnv(const EventEnv&) = delete;
   EventEnv& operator=(const EventEnv&) = delete;
 
-  // For listeners that share the loop (HttpServer).
+  // Returns the event loop, for listeners that share it (HttpServer).
   [[nodiscard]] event_base* base() const { return base_; }
-  // Runs the loop until `stop`.
+  // Runs the loop until `stop` is called.
   void run();
-  // Ends `run` once the event that is being handled has been.
+  // Makes `run` return after the event that is being handled.
   void stop();
 
   [[nodiscard]] double now() const override;
@@ -42,14 +43,15 @@
 
  private:
   struct Timer;
-  struct Pool;        // the connections to one destination, and the calls that wait for one
-  struct Exchange;    // one call until its reply is delivered
+  struct Pool;        // the connections to one destination, and the calls that wait for a connection
+  struct Exchange;    // one call, until its reply is delivered
   struct Connection;  // owns an evhttp connection
   static void on_timer(evutil_socket_t, short, void* arg);
   static void on_reply(evhttp_request* request, void* arg);
   void start(Pool& pool, const std::shared_ptr<Exchange>& exchange);
   void send_queued(Pool& pool);
-  // Delivers the reply, unless one was delivered. `reusable`: the connection may serve another call.
+  // Delivers the reply, unless one has already been delivered. `reusable`: the connection may serve another
+  // call.
   void finish(const std::shared_ptr<Exchange>& exchange, HttpReply reply, bool reusable);
 
   event_base* base_ = nullptr;
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -1,4 +1,4 @@
-// An incoming request as handlers see it, and the means to answer it, once.
+// Incoming HTTP requests as handlers receive them, and the object that answers each of them once.
 #pragma once
 
 #include <functional>
@@ -13,23 +13,24 @@
   std::string method;
   std::string path;  // without the query
   std::string body;
-  std::string query = {};  // what follows the question mark, not decoded
+  std::string query = {};  // the part after the question mark, not decoded
 };
 
-// What a request is answered with.
+// The answer to an incoming request.
 struct HttpAnswer {
   int status = 200;
   std::string body = "{}";  // JSON
-  int retry_after_s = 0;    // the header Retry-After, in seconds; 0: no such header
+  int retry_after_s = 0;    // value of the Retry-After header; 0: no such header
 };
 
-// Answers one request, once; a second answer is ignored. Copies share the request. When the last copy is
-// destroyed unanswered it answers 503, so that no caller is left waiting by a code path that forgot to.
+// Answers one request once; a second answer is ignored. Copies share the request. If the last copy is
+// destroyed before an answer was sent, it answers 503, so that a code path that sends no answer does not
+// leave the caller waiting.
 class Responder {
  public:
-  // Sends the answer. Called exactly once.
+  // The function that sends the answer. It is called exactly once.
   using Sink = std::function<void(const HttpAnswer&)>;
-  Responder() = default;  // of no request: answers are ignored
+  Responder() = default;  // belongs to no request: answers are ignored
   explicit Responder(Sink sink) : state_(std::make_shared<State>(std::move(sink))) {}
 
   void send(const HttpAnswer& answer) const {
@@ -38,7 +39,7 @@
   void send(int status, std::string body, int retry_after_s = 0) const {
     send(HttpAnswer{status, std::move(body), retry_after_s});
   }
-  // True also where there is no request.
+  // Also returns true if there is no request.
   [[nodiscard]] bool answered() const { return !state_ || !state_->sink; }
 
  private:
@@ -58,7 +59,7 @@
   std::shared_ptr<State> state_;
 };
 
-// Handles an incoming request, and answers it at once or later.
+// Handles an incoming request, and answers it immediately or later.
 using HttpHandler = std::function<void(HttpRequest, Responder)>;
 
 }  // namespace mothslip
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 constexpr std::size_t kMaxHeaderBytes = std::size_t{8} * 1024;
-constexpr int kIdleTimeoutSeconds = 45;  // after which a connection is closed
+constexpr int kIdleTimeoutSeconds = 45;  // an inactive connection is closed after this time
 constexpr const char* kHealthCheckPath = "/ready";
 constexpr const char* kRetryWhenFullSeconds = "2";
 
@@ -67,7 +67,8 @@
     : http_(evhttp_new(base)), max_connections_(max_connections), handler_(std::move(handler)) {
   const auto colon = address.rfind(':');
   if (http_ == nullptr || colon == std::string::npos)
-    throw std::runtime_error("bad listen address " + address);
+    throw std::runtime_error(
+        "cannot create an HTTP listener, which needs an address of the form IPV4:PORT, for " + address);
   evhttp_set_allowed_methods(http_, EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_DELETE | EVHTTP_REQ_PUT |
                                         EVHTTP_REQ_HEAD | EVHTTP_REQ_PATCH | EVHTTP_REQ_OPTIONS);
   evhttp_set_max_body_size(http_, static_cast<ev_ssize_t>(max_body_bytes));
@@ -104,7 +105,7 @@
   auto* server = static_cast<HttpServer*>(arg);
   server->track_connection(request);
   HttpRequest in = read_request(request);
-  // The sockets that are left are for the state service, the other nodes and health checks.
+  // The remaining sockets are reserved for the state service, the other nodes and health checks.
   if (server->is_over_connection_limit()) {
     add_header(request, "Connection", "close");
     if (in.path != kHealthCheckPath) {
@@ -113,8 +114,8 @@
       return;
     }
   }
-  // When the peer goes away first, libevent detaches the request and frees it on reply: a late answer is
-  // safe.
+  // If the peer closes the connection first, libevent detaches the request and frees it on reply, so a late
+  // answer is safe.
   Responder responder([request](const HttpAnswer& answer) { send_answer(request, answer); });
   server->handler_(std::move(in), std::move(responder));
 }
--- a/src/transport/http_server.hpp
+++ b/src/transport/http_server.hpp
@@ -1,4 +1,5 @@
-// An HTTP listener on libevent (evhttp), with bounds on bodies, headers and connections.
+// An HTTP listener on libevent (evhttp) that limits the sizes of bodies and headers and the number of
+// connections.
 #pragma once
 
 #include <cstddef>
@@ -16,16 +17,17 @@
 
 class HttpServer {
  public:
-  // Listens from now on at `address`, a numeric IPv4 address with a port; throws std::runtime_error when it
-  // cannot. Bodies have at most `max_body` bytes. Requests on connections beyond `most_connections` are
-  // turned away (0: no bound), health checks apart. `base` must outlive the server.
+  // Starts to listen at `address`, a numeric IPv4 address with a port; throws std::runtime_error if that
+  // fails. Requests with a body of more than `max_body_bytes` are refused. While more than `max_connections`
+  // (0: no limit) are open, requests other than health checks are answered 503, and a connection closes after
+  // its next answer. `base` must outlive the server.
   HttpServer(event_base* base, const std::string& address, std::size_t max_body_bytes,
              std::size_t max_connections, HttpHandler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Open connections on which something was asked.
+  // Returns the number of open connections that have carried at least one request.
   [[nodiscard]] std::size_t connection_count() const { return open_connections_.size(); }
 
  private:
@@ -35,8 +37,8 @@
   [[nodiscard]] bool is_over_connection_limit() const;
 
   evhttp* http_;
-  std::size_t max_connections_;                              // 0: no bound
-  std::unordered_set<evhttp_connection*> open_connections_;  // those on which something was asked
+  std::size_t max_connections_;                              // 0: no limit
+  std::unordered_set<evhttp_connection*> open_connections_;  // those that have carried a request
   HttpHandler handler_;
 };
 
--- a/src/transport/token_bucket.hpp
+++ b/src/transport/token_bucket.hpp
@@ -1,4 +1,5 @@
-// A token bucket: `rate` tokens a second, at most `burst` saved up. Times are in seconds, by any one clock.
+// A token bucket that gains `rate` tokens per second and holds at most `burst`. Times are in seconds, all
+// from the same clock.
 #pragma once
 
 #include <algorithm>
@@ -16,29 +17,31 @@
     burst_ = burst;
     tokens_ = std::min(tokens_, burst_);
   }
-  // Whether `cost` tokens are there, and `reserve` more that must be left.
-  // A cost above the burst passes when the bucket is full and leaves a debt: it must not starve forever.
+  // Returns true if the bucket holds `cost` tokens, and `reserve` more that must remain. If the sum is above
+  // the burst, a full bucket is enough: the request would otherwise wait forever. Taking it leaves a negative
+  // balance.
   [[nodiscard]] bool can_take(double cost, double reserve, double now) {
     refill(now);
     return tokens_ >= std::min(cost + reserve, burst_);
   }
-  // Takes them whether or not they are there.
+  // Takes `cost` tokens even if the bucket holds fewer, which leaves a negative balance.
   void take(double cost, double now) {
     refill(now);
     tokens_ -= cost;
   }
-  // Seconds until `can_take` turns true.
+  // Returns the time until `can_take` returns true.
   [[nodiscard]] double wait_s(double cost, double reserve, double now) {
     refill(now);
     const double missing = std::min(cost + reserve, burst_) - tokens_;
     return missing <= 0 ? 0 : missing / std::max(rate_, 1e-9);
   }
-  // How full the bucket is, 0..1.
+  // Returns the balance as a fraction of the burst, 0..1.
   [[nodiscard]] double fill_fraction(double now) {
     refill(now);
     return std::max(0.0, tokens_) / std::max(burst_, 1e-9);
   }
-  // The service called said 429: it has counted more calls than this bucket, which starts from nothing.
+  // Empties the bucket; a negative balance stays. The caller uses this when the service has answered 429,
+  // which means that the service has counted more calls than this bucket has.
   void drain(double now) {
     refill(now);
     tokens_ = std::min(tokens_, 0.0);
