--- a/src/coordination/fleet/demand_estimate.cpp
+++ b/src/coordination/fleet/demand_estimate.cpp
@@ -200,10 +200,10 @@
   out.spot_allowed = wanted.allows_spot;
   if (wanted.urgency == 0) out.spot_only = wanted.allows_spot;
   if (!wanted.machine_types.empty()) {
-    out.types.assign(types_.all().size(), 0);
+    out.allowed_types.assign(types_.all().size(), 0);
     for (const std::string& machine_type : wanted.machine_types) {
       const int type = types_.find(machine_type);
-      if (type >= 0) out.types[static_cast<std::size_t>(type)] = 1;
+      if (type >= 0) out.allowed_types[static_cast<std::size_t>(type)] = 1;
     }
   }
   if (!wanted.zone.empty()) out.zone = zones_.intern(wanted.zone);
--- a/src/coordination/fleet/fleet_view.cpp
+++ b/src/coordination/fleet/fleet_view.cpp
@@ -20,7 +20,7 @@
 
 double FleetView::price_per_core(const FleetMachine& machine) const {
   const FleetType& type = types[static_cast<std::size_t>(machine.type)];
-  return (machine.spot ? type.spot_price : type.hourly) / std::max(1.0, type.capacity[0]);
+  return (machine.spot ? type.spot_price : type.hourly_price) / std::max(1.0, type.capacity[0]);
 }
 
 FleetView FleetViewBuilder::build() const {
@@ -37,7 +37,7 @@
     const MachineType& type = all[t];
     FleetType out;
     out.capacity = {type.cores, type.memory_gb, type.accelerators};
-    out.hourly = type.hourly;
+    out.hourly_price = type.hourly;
     out.spot_price = type.spot_price;
     out.boot_s = type.boot_s;
     out.fetch_gb_per_s = type.fetch_gb_per_s;
@@ -65,7 +65,8 @@
     if (rented.returned) continue;
     FleetMachine out = to_fleet_machine(name, rented, view.types[static_cast<std::size_t>(rented.type)]);
     for (FleetMarket& market : view.markets) {
-      if (market.type == out.type && market.zone == out.zone && market.spot == out.spot) market.rented++;
+      if (market.type == out.type && market.zone == out.zone && market.spot == out.spot)
+        market.rented_machines++;
     }
     view.machines.push_back(std::move(out));
     view.names.push_back(name);
--- a/src/coordination/fleet/rental_ledger.cpp
+++ b/src/coordination/fleet/rental_ledger.cpp
@@ -59,12 +59,12 @@
   return open_calls_ < kMaxOpenCalls && services_.env.now() >= trouble_until_;
 }
 
-void RentalLedger::rent(const std::vector<FleetPlan::Rent>& wanted) {
+void RentalLedger::rent(const std::vector<FleetPlan::NewMachines>& wanted) {
   const std::string name = "r-" + std::to_string(fencing_token_) + "-" + std::to_string(++last_name_);
   Rental rental;
   std::size_t bytes = kRecordFrameBytes;
   const auto most_bytes = static_cast<std::size_t>(services_.settings.value_kb * 1024);
-  for (const FleetPlan::Rent& each : wanted) {
+  for (const FleetPlan::NewMachines& each : wanted) {
     for (int left = each.count; left > 0 && open_calls_ < kMaxOpenCalls; left -= kMaxMachinesPerCall) {
       RentalRequest request = {RentalRecord::request_name(name, rental.requests.size()),
                                services_.types.at(each.type).name, services_.zones.name(each.zone), each.spot,
--- a/src/coordination/fleet/rental_ledger.hpp
+++ b/src/coordination/fleet/rental_ledger.hpp
@@ -50,7 +50,7 @@
   [[nodiscard]] bool accepts_requests() const;
   // Records the requests as one rental, as many as its record holds and may be open at once, then calls the
   // cloud.
-  void rent(const std::vector<FleetPlan::Rent>& wanted);
+  void rent(const std::vector<FleetPlan::NewMachines>& wanted);
   // The market had less than was asked for, and is left alone for a while.
   [[nodiscard]] bool is_refused(int type, int zone, bool spot) const;
   // Calls `visit` for each open request, by name of the rental and in order of the requests.
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -78,7 +78,7 @@
 void ScaleIn::return_idle(const FleetView& view, const FleetPlan& plan) {
   std::vector<std::pair<double, std::size_t>> idle;  // the dearest first
   for (std::size_t m = 0; m < view.names.size(); m++) {
-    if (plan.needed_rooms[m] > 0 || !is_idle(view, m) || is_reserved(view.names[m])) continue;
+    if (plan.planned_tasks[m] > 0 || !is_idle(view, m) || is_reserved(view.names[m])) continue;
     idle.emplace_back(-view.price_per_core(view.machines[m]), m);
   }
   std::sort(idle.begin(), idle.end());
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -27,7 +27,7 @@
 
 void ScaleOut::rent(const FleetPlan& plan) {
   if (!knows_what_there_is()) return;
-  std::vector<FleetPlan::Rent> rents = plan.rents;
+  std::vector<FleetPlan::NewMachines> rents = plan.new_machines;
   const double now = sources_.env.now();
   if (now >= next_gang_rent_at_) {
     next_gang_rent_at_ = now + kGangRentInterval;
@@ -61,7 +61,7 @@
 // A gang that no single machine holds needs several of one shard and, as a rule, of one zone. Which shard a
 // machine falls to shows only when it is rented: where no shard has enough, more are rented in the zone that
 // lacks least, until one has. (What is too much goes back when it is idle.)
-std::optional<FleetPlan::Rent> ScaleOut::rent_for(const DemandSummary& gang) const {
+std::optional<FleetPlan::NewMachines> ScaleOut::rent_for(const DemandSummary& gang) const {
   std::optional<GangOffer> best;
   const std::vector<MachineType>& types = sources_.types.all();
   for (std::size_t t = 0; t < types.size(); t++) {
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -35,7 +35,7 @@
  private:
   // Machines of one market for a gang.
   struct GangOffer {
-    FleetPlan::Rent rent;
+    FleetPlan::NewMachines rent;
     int missing = 0;   // tasks of the gang for which no shard has room in the zone
     double price = 0;  // dollars an hour for all that is missing
     [[nodiscard]] bool better_than(const GangOffer& other) const {
@@ -46,7 +46,7 @@
   [[nodiscard]] bool knows_what_there_is() const;
   [[nodiscard]] const DemandSummary* oldest_large_gang() const;
   [[nodiscard]] bool is_large_gang(const DemandSummary& demand) const;
-  [[nodiscard]] std::optional<FleetPlan::Rent> rent_for(const DemandSummary& gang) const;
+  [[nodiscard]] std::optional<FleetPlan::NewMachines> rent_for(const DemandSummary& gang) const;
   [[nodiscard]] std::optional<GangOffer> offer_for(const DemandSummary& gang, int type, int zone, bool spot,
                                                    int missing) const;
   [[nodiscard]] int missing_slots(const DemandSummary& gang, int zone) const;
--- a/src/coordination/fleet/shard_summary.cpp
+++ b/src/coordination/fleet/shard_summary.cpp
@@ -13,14 +13,14 @@
 }
 
 Json to_list(const FleetRoom& room) {
-  return {room.at_s, room.room[0], room.room[1], room.room[2], room.yields};
+  return {room.available_in_s, room.room[0], room.room[1], room.room[2], room.is_preemptible};
 }
 
 FleetRoom parse_room(const Json& value) {
   FleetRoom out;
-  out.at_s = value.at(0).get<double>();
+  out.available_in_s = value.at(0).get<double>();
   out.room = {value.at(1).get<double>(), value.at(2).get<double>(), value.at(3).get<double>()};
-  out.yields = value.size() > 4 && value.at(4).get<bool>();
+  out.is_preemptible = value.size() > 4 && value.at(4).get<bool>();
   return out;
 }
 
--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -53,10 +53,10 @@
   return left;
 }
 
-Request DelegationPlanner::request_for(const Job& job) const {
+ResourceRequest DelegationPlanner::request_for(const Job& job) const {
   const JobSpec& spec = job.spec();
   const double wall = ctx_.env->wall();
-  Request out;
+  ResourceRequest out;
   out.demand = job.demand;
   out.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.task_count;
   out.nothing_placed = job.placed == 0 && job.done.empty() && job.delegated.empty();
@@ -93,7 +93,7 @@
     const bool unwelcome = offer.no_best_effort || (!offer.spot && spec.allows_spot);
     if (unwelcome && rules_.is_preemptible(job) && !rules_.long_unplaced(job)) continue;
     out.requests.push_back(each.request);
-    out.requests.back().local =
+    out.requests.back().image_is_cached =
         std::find(offer.images.begin(), offer.images.end(), spec.image) != offer.images.end();
     out.jobs.push_back(&each);
   }
@@ -129,7 +129,7 @@
   Resources room = offer.room;
   while (!listed.jobs.empty()) {
     drop_unfit(listed, room, request, lacking);
-    const int best = choose(room, listed.requests, rules_.weights());
+    const int best = choose_request(room, listed.requests, rules_.weights());
     if (best < 0) break;
     SurplusJob& chosen = *listed.jobs[static_cast<std::size_t>(best)];
     const Job& job = *chosen.job;
--- a/src/coordination/shard/delegation_planner.hpp
+++ b/src/coordination/shard/delegation_planner.hpp
@@ -19,7 +19,7 @@
 // A job of which tasks wait that find no room on this shard's machines.
 struct SurplusJob {
   JobPtr job;
-  Request request;
+  ResourceRequest request;
   int surplus = 0;  // tasks without room here
   int chosen = 0;   // of these, to be delegated
 };
@@ -41,13 +41,13 @@
  private:
   // Jobs that compete for one offer.
   struct Competitors {
-    std::vector<Request> requests;
+    std::vector<ResourceRequest> requests;
     std::vector<SurplusJob*> jobs;
   };
   [[nodiscard]] FreeRooms own_rooms() const;
   [[nodiscard]] bool may_be_delegated(const Job& job) const;
   [[nodiscard]] int tasks_without_room(const Job& job, FreeRooms& rooms) const;
-  [[nodiscard]] Request request_for(const Job& job) const;
+  [[nodiscard]] ResourceRequest request_for(const Job& job) const;
   [[nodiscard]] Competitors competitors(const RoomOffer& offer, std::vector<SurplusJob>& jobs) const;
   void drop_unfit(Competitors& competitors, const Resources& room, TaskRequest& request,
                   std::map<int, Resources>& lacking) const;
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -78,8 +78,8 @@
   out.demand = job.demand;
   out.tasks = job.waiting.size();
   out.together = job.spec().together;
-  if (job.spec().scatter) out.most_in_zone = (job.spec().task_count + 1) / 2;
-  out.placed_in_zone = job.placed_by_zone;
+  if (job.spec().scatter) out.max_tasks_per_zone = (job.spec().task_count + 1) / 2;
+  out.placed_by_zone = job.placed_by_zone;
   return out;
 }
 
--- a/src/coordination/shard/summary_builder.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -49,8 +49,9 @@
   out.reserve(rooms.size() + yielding.size());
   for (const auto& [bucket, room] : rooms) out.push_back({bucket * kBucketS, room, false});
   for (const auto& [bucket, room] : yielding) out.push_back({bucket * kBucketS, room, true});
-  std::stable_sort(out.begin(), out.end(),
-                   [](const FleetRoom& a, const FleetRoom& b) { return a.at_s < b.at_s; });
+  std::stable_sort(out.begin(), out.end(), [](const FleetRoom& a, const FleetRoom& b) {
+    return a.available_in_s < b.available_in_s;
+  });
   return out;
 }
 
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -98,12 +98,12 @@
   return !rules_.is_preemptible(job) || preemptor_.open_to_best_effort(job, machine, pass.quiet);
 }
 
-Request TaskPlacement::request_for(const Job& job, const Machine& machine) const {
+ResourceRequest TaskPlacement::request_for(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
-  Request out;
+  ResourceRequest out;
   out.demand = job.demand;
-  out.local = machine.has_image(job.image);
-  const double fetch_s = out.local ? 0 : fetch_seconds(spec, ctx_.types->at(machine.type));
+  out.image_is_cached = machine.has_image(job.image);
+  const double fetch_s = out.image_is_cached ? 0 : fetch_seconds(spec, ctx_.types->at(machine.type));
   if (spec.deadline_s) {
     const double time_left_s = job.record.submitted + *spec.deadline_s - ctx_.env->wall();
     out.pressure =
@@ -145,7 +145,7 @@
       jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(i));
       continue;
     }
-    Request& request = requests[i];
+    ResourceRequest& request = requests[i];
     request.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.task_count;
     for (std::size_t r = 0; r < request.held.size(); r++) request.held[r] = job.demand[r] * job.placed;
     request.nothing_placed = job.placed == 0 && job.done.empty();
@@ -161,7 +161,7 @@
   auto& [requests, jobs] = candidates;
   while (!requests.empty()) {
     update_requests(machine, candidates);
-    const int best = choose(machine.room, requests, rules_.weights());
+    const int best = choose_request(machine.room, requests, rules_.weights());
     if (best < 0) break;
     const JobPtr job = jobs[static_cast<std::size_t>(best)];
     if (!job->is_gang()) {
--- a/src/coordination/shard/task_placement.hpp
+++ b/src/coordination/shard/task_placement.hpp
@@ -34,7 +34,7 @@
 
  private:
   struct Candidates {
-    std::vector<Request> requests;
+    std::vector<ResourceRequest> requests;
     std::vector<JobPtr> jobs;
   };
   // What holds for all jobs while one machine is filled.
@@ -49,7 +49,7 @@
   [[nodiscard]] bool may_start(const Job& job, const Machine& machine) const;
   bool has_quota(const Job& job, const FillPass& pass);
   bool is_candidate(const Job& job, const Machine& machine, const FillPass& pass);
-  [[nodiscard]] Request request_for(const Job& job, const Machine& machine) const;
+  [[nodiscard]] ResourceRequest request_for(const Job& job, const Machine& machine) const;
   void update_requests(const Machine& machine, Candidates& candidates) const;
   void place_greedily(Machine& machine, Candidates& candidates);
 
--- a/src/scheduling/gang.cpp
+++ b/src/scheduling/gang.cpp
@@ -68,11 +68,11 @@
   std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
     return a.fetch_s != b.fetch_s ? a.fetch_s < b.fetch_s : a.slots > b.slots;
   });
-  std::map<int, int> in_zone = needs.placed_in_zone;
+  std::map<int, int> in_zone = needs.placed_by_zone;
   std::vector<GangShare> out;
   int left = needs.tasks;
   for (const Candidate& each : candidates) {
-    const int taken = std::min({left, each.slots, needs.most_in_zone - in_zone[each.zone]});
+    const int taken = std::min({left, each.slots, needs.max_tasks_per_zone - in_zone[each.zone]});
     if (taken <= 0) continue;
     in_zone[each.zone] += taken;
     left -= taken;
@@ -94,14 +94,14 @@
 }
 
 std::vector<GangShare> find_gang_places(const GangNeeds& needs, const std::vector<GangMachine>& machines) {
-  if (needs.together && needs.most_in_zone > 0 && needs.tasks > needs.most_in_zone) return {};
+  if (needs.together && needs.max_tasks_per_zone > 0 && needs.tasks > needs.max_tasks_per_zone) return {};
   std::map<int, std::vector<Candidate>> by_zone;
   for (std::size_t i = 0; i < machines.size(); i++) {
     const int here = slots(machines[i].room, needs.demand);
-    const int zone = needs.together || needs.most_in_zone > 0 ? machines[i].zone : 0;
+    const int zone = needs.together || needs.max_tasks_per_zone > 0 ? machines[i].zone : 0;
     if (here > 0) by_zone[zone].push_back({i, here, machines[i].fetch_s, machines[i].zone});
   }
-  if (!needs.together && needs.most_in_zone > 0) {
+  if (!needs.together && needs.max_tasks_per_zone > 0) {
     std::vector<Candidate> all;
     for (const auto& [zone, candidates] : by_zone)
       all.insert(all.end(), candidates.begin(), candidates.end());
--- a/src/scheduling/gang.hpp
+++ b/src/scheduling/gang.hpp
@@ -21,8 +21,8 @@
   Resources demand{};  // of a task
   int tasks = 0;
   bool together = false;              // all in one zone
-  int most_in_zone = 0;               // at most so many of the gang in a zone; 0: any number
-  std::map<int, int> placed_in_zone;  // tasks of the gang that are placed already
+  int max_tasks_per_zone = 0;         // at most so many of the gang in a zone; 0: any number
+  std::map<int, int> placed_by_zone;  // tasks of the gang that are placed already
 };
 
 // The tasks that one machine gets.
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -5,9 +5,11 @@
 namespace mothslip {
 
 Preemption choose_preemption(const Resources& room, const Resources& needed,
-                             std::vector<PreemptionCandidate> candidates, double most_lost) {
+                             std::vector<PreemptionCandidate> candidates, double max_lost_core_s) {
   std::sort(candidates.begin(), candidates.end(),
-            [](const PreemptionCandidate& a, const PreemptionCandidate& b) { return a.lost < b.lost; });
+            [](const PreemptionCandidate& a, const PreemptionCandidate& b) {
+              return a.lost_core_s < b.lost_core_s;
+            });
   Resources sum = room;
   std::size_t taken = 0;
   while (!fits(needed, sum) && taken < candidates.size()) {
@@ -25,9 +27,9 @@
       continue;
     }
     out.ids.push_back(candidates[i].id);
-    out.lost += candidates[i].lost;
+    out.lost_core_s += candidates[i].lost_core_s;
   }
-  return out.lost <= most_lost ? out : Preemption{};
+  return out.lost_core_s <= max_lost_core_s ? out : Preemption{};
 }
 
 }  // namespace mothslip
--- a/src/scheduling/preference.cpp
+++ b/src/scheduling/preference.cpp
@@ -14,7 +14,7 @@
   return sum;
 }
 
-double urgency(const Request& request, const Resources& weights) {
+double urgency(const ResourceRequest& request, const Resources& weights) {
   double held = 0;
   for (std::size_t r = 0; r < request.held.size(); r++) held += request.held[r] * weights[r];
   return request.assigned_share * held;
@@ -34,7 +34,7 @@
 };
 }  // namespace
 
-std::vector<double> preferences(const Resources& room, const std::vector<Request>& requests,
+std::vector<double> preferences(const Resources& room, const std::vector<ResourceRequest>& requests,
                                 const PreferenceWeights& weights) {
   const std::size_t count = requests.size();
   std::vector<double> out(count, -std::numeric_limits<double>::infinity());
@@ -45,7 +45,7 @@
   Span urgency_span;
   Span alignment_span;
   double stages = 0;
-  for (const Request& request : requests) stages += request.stages;
+  for (const ResourceRequest& request : requests) stages += request.stages;
   for (std::size_t i = 0; i < count; i++) {
     if (!fits(requests[i].demand, room)) continue;
     fitnesses[i] = fitness(requests[i].demand, room, weights.resource);
@@ -60,12 +60,13 @@
     out[i] = weights.fitness * fitness_span.scaled(fitnesses[i]) +
              weights.urgency * urgency_span.scaled(urgencies[i]) +
              weights.alignment * alignment_span.scaled(alignments[i]) + weights.slack * requests[i].pressure +
-             requests[i].bonus + (requests[i].local ? weights.locality : 0);
+             requests[i].bonus + (requests[i].image_is_cached ? weights.locality : 0);
   }
   return out;
 }
 
-int choose(const Resources& room, const std::vector<Request>& requests, const PreferenceWeights& weights) {
+int choose_request(const Resources& room, const std::vector<ResourceRequest>& requests,
+                   const PreferenceWeights& weights) {
   const std::vector<double> score = preferences(room, requests, weights);
   int best = -1;
   for (std::size_t i = 0; i < requests.size(); i++) {
@@ -74,8 +75,8 @@
       best = static_cast<int>(i);
       continue;
     }
-    const Request& request = requests[i];
-    const Request& best_request = requests[static_cast<std::size_t>(best)];
+    const ResourceRequest& request = requests[i];
+    const ResourceRequest& best_request = requests[static_cast<std::size_t>(best)];
     if (request.nothing_placed != best_request.nothing_placed) {
       if (request.nothing_placed) best = static_cast<int>(i);
     } else if (score[i] > score[static_cast<std::size_t>(best)]) {
--- a/src/scheduling/preference.hpp
+++ b/src/scheduling/preference.hpp
@@ -33,27 +33,28 @@
 };
 
 // One job's waiting tasks, as one request.
-struct Request {
+struct ResourceRequest {
   Resources demand{};
   double assigned_share = 0;  // tasks placed or done, of all
   Resources held{};           // by its tasks that are placed
   double stages = 1;          // of this job
   double stages_finished = 0;
   bool nothing_placed = true;
-  double bonus = 0;     // added: urgency class and guarantee
-  double pressure = 0;  // added: deadline pressure, 0..1
-  bool local = false;   // added: the machine has the image already
+  double bonus = 0;              // added: urgency class and guarantee
+  double pressure = 0;           // added: deadline pressure, 0..1
+  bool image_is_cached = false;  // added: the machine has the image already
 };
 
 // How well the demand fits the room: their weighted inner product.
 double fitness(const Resources& demand, const Resources& room, const Resources& weights);
 // What the job holds, weighted by the share of its tasks that are placed or done.
-double urgency(const Request& request, const Resources& weights);
+double urgency(const ResourceRequest& request, const Resources& weights);
 // Preference of every request; requests that do not fit get -infinity.
-std::vector<double> preferences(const Resources& room, const std::vector<Request>& requests,
+std::vector<double> preferences(const Resources& room, const std::vector<ResourceRequest>& requests,
                                 const PreferenceWeights& weights);
 // Index of the request to serve next, or -1: one of which nothing is placed goes first, then the preference.
-int choose(const Resources& room, const std::vector<Request>& requests, const PreferenceWeights& weights);
+int choose_request(const Resources& room, const std::vector<ResourceRequest>& requests,
+                   const PreferenceWeights& weights);
 
 // 0 while there is plenty of time, 1 when the remaining work only just fits before the deadline.
 double deadline_pressure(double time_left_s, double work_left_s);
--- a/src/scheduling/sizing.cpp
+++ b/src/scheduling/sizing.cpp
@@ -26,7 +26,8 @@
 
 bool allowed(const FleetDemand& demand, int type, int zone, bool spot) {
   if (spot ? !demand.spot_allowed : demand.spot_only) return false;
-  if (!demand.types.empty() && demand.types[static_cast<std::size_t>(type)] == 0) return false;
+  if (!demand.allowed_types.empty() && demand.allowed_types[static_cast<std::size_t>(type)] == 0)
+    return false;
   return demand.zone < 0 || demand.zone == zone;
 }
 
@@ -44,7 +45,8 @@
 
 // When the demand can use the room.
 double usable_at(const FleetRoom& room, const FleetDemand& demand) {
-  return room.yields && preempts(demand) ? std::min(room.at_s, kPreemption) : room.at_s;
+  return room.is_preemptible && preempts(demand) ? std::min(room.available_in_s, kPreemption)
+                                                 : room.available_in_s;
 }
 
 void add(Resources& sum, const Resources& amount) {
@@ -56,7 +58,7 @@
   if (!preempts(demand)) return std::nullopt;
   std::optional<Resources> out;
   for (const FleetRoom& room : machine.rooms) {
-    if (!room.yields) continue;
+    if (!room.is_preemptible) continue;
     if (!out) out = Resources{};
     add(*out, room.room);
   }
@@ -69,14 +71,14 @@
   std::optional<Resources> preemptible = preemptible_room(machine, demand);
   Resources sum{};
   for (const FleetRoom& room : machine.rooms) {
-    if (preemptible && room.at_s > kPreemption) {
+    if (preemptible && room.available_in_s > kPreemption) {
       add(sum, *preemptible);
       preemptible.reset();
       if (fits(demand.demand, sum)) return kPreemption;
     }
-    if (room.yields && preempts(demand)) continue;
+    if (room.is_preemptible && preempts(demand)) continue;
     add(sum, room.room);
-    if (fits(demand.demand, sum)) return room.at_s;
+    if (fits(demand.demand, sum)) return room.available_in_s;
   }
   if (!preemptible) return kNever;
   add(sum, *preemptible);
@@ -97,8 +99,9 @@
       demand[r] -= taken;
     }
   }
-  const auto place = std::upper_bound(machine.rooms.begin(), machine.rooms.end(), back,
-                                      [](const FleetRoom& a, const FleetRoom& b) { return a.at_s < b.at_s; });
+  const auto place = std::upper_bound(
+      machine.rooms.begin(), machine.rooms.end(), back,
+      [](const FleetRoom& a, const FleetRoom& b) { return a.available_in_s < b.available_in_s; });
   machine.rooms.insert(place, back);
 }
 
@@ -162,8 +165,8 @@
     const double used = std::min(std::floor(1 / share + 1e-6), static_cast<double>(left));
     // Room that this job leaves free is worth half: others may use it.
     const double worth = used + kUnusedWorth * (1 / share - used);
-    const double hourly = market.spot ? type.spot_price : type.hourly;
-    const double price = hourly / worth * (1 + kSpreadPenalty * market.rented);
+    const double hourly = market.spot ? type.spot_price : type.hourly_price;
+    const double price = hourly / worth * (1 + kSpreadPenalty * market.rented_machines);
     if (price < best_price) {
       best_price = price;
       best = static_cast<int>(i);
@@ -192,17 +195,17 @@
   void place(const FleetDemand& demand) {
     const double run_s = kEstimateSlack * std::max(1.0, demand.estimated_s);
     Starts starts(types_, machines_, demand);
-    for (int left = std::min(demand.count, limits_.most_tasks); left > 0; left--) {
+    for (int left = std::min(demand.count, limits_.max_tasks_per_demand); left > 0; left--) {
       if (!place_task(demand, left, run_s, starts)) break;
     }
   }
 
   [[nodiscard]] FleetPlan plan() const {
     FleetPlan out;
-    out.needed_rooms = needed_rooms_;
+    out.planned_tasks = needed_rooms_;
     for (const auto& [market, count] : rents_) {
       const auto [type, zone, spot] = market;
-      out.rents.push_back({type, zone, spot, count});
+      out.new_machines.push_back({type, zone, spot, count});
     }
     return out;
   }
@@ -228,7 +231,7 @@
   }
 
   [[nodiscard]] bool may_rent() const {
-    return static_cast<int>(machines_.size()) < limits_.most_machines && rented_ < limits_.most_at_once;
+    return static_cast<int>(machines_.size()) < limits_.max_machines && rented_ < limits_.max_new_machines;
   }
 
   // The best market's machine, if it is worth it: when it comes in time, or when waiting for the present
@@ -249,7 +252,7 @@
   // Adds the machine, with the task on it.
   void rent(const RentOption& option, const FleetDemand& demand, double run_s, Starts& starts) {
     FleetMarket& market = markets_[option.market];
-    market.rented++;
+    market.rented_machines++;
     rents_[{market.type, market.zone, market.spot}]++;
     FleetMachine fresh;
     fresh.type = market.type;
--- a/src/scheduling/sizing.hpp
+++ b/src/scheduling/sizing.hpp
@@ -12,7 +12,7 @@
 // A machine type.
 struct FleetType {
   Resources capacity{};
-  double hourly = 0;
+  double hourly_price = 0;
   double spot_price = 0;
   double boot_s = 30;
   double fetch_gb_per_s = 1;
@@ -25,14 +25,14 @@
   int zone = 0;
   bool spot = false;
   bool refused = false;
-  int rented = 0;  // machines from here
+  int rented_machines = 0;  // machines from here
 };
 
 // Room that becomes free at some time from now (0: is free).
 struct FleetRoom {
-  double at_s = 0;
+  double available_in_s = 0;
   Resources room{};
-  bool yields = false;  // held by best-effort work, which is stopped for other work
+  bool is_preemptible = false;  // held by best-effort work, which is stopped for other work
 };
 
 // A machine that is up, booting or being asked for.
@@ -54,28 +54,28 @@
   double time_left_s = 1e9;     // until the deadline; huge: none
   double start_within_s = 1e9;  // tasks are wanted to start within this time; huge: does not matter
   bool spot_allowed = true;
-  bool spot_only = false;   // not worth an ordinary machine
-  std::vector<char> types;  // allowed types, by index; empty: all
-  int zone = -1;            // the only zone, or -1
+  bool spot_only = false;           // not worth an ordinary machine
+  std::vector<char> allowed_types;  // allowed types, by index; empty: all
+  int zone = -1;                    // the only zone, or -1
 };
 
 struct FleetPlan {
   // So many machines of one market.
-  struct Rent {
+  struct NewMachines {
     int type = 0;
     int zone = 0;
     bool spot = false;
     int count = 0;
   };
-  std::vector<Rent> rents;        // by type, zone and spot
-  std::vector<int> needed_rooms;  // per machine: tasks of the demand put there in thought
+  std::vector<NewMachines> new_machines;  // by type, zone and spot
+  std::vector<int> planned_tasks;         // per machine: tasks of the demand put there in thought
 };
 
 // Bounds of one plan.
 struct FleetLimits {
-  int most_machines = 5000;  // of the fleet
-  int most_at_once = 150;    // machines rented
-  int most_tasks = 300;      // of one demand that are considered
+  int max_machines = 5000;         // of the fleet
+  int max_new_machines = 150;      // machines rented
+  int max_tasks_per_demand = 300;  // of one demand that are considered
 };
 
 // Puts the waiting tasks, most urgent first, where they could start earliest on what there is; where that is
--- a/tests/gang_places_test.cpp
+++ b/tests/gang_places_test.cpp
@@ -45,14 +45,14 @@
 
 TEST(GangPlaces, ScatterMeansAtMostHalfInOneZone) {
   GangNeeds wanted = needs(5, 1);
-  wanted.most_in_zone = 3;
+  wanted.max_tasks_per_zone = 3;
   EXPECT_TRUE(find_gang_places(wanted, {machine(16, 1)}).empty());
   const auto shares = find_gang_places(wanted, {machine(16, 1), machine(1, 2), machine(1, 2)});
   ASSERT_EQ(tasks_of(shares), 5);
   for (const GangShare& share : shares) EXPECT_LE(share.tasks, 3);
   // What is placed already counts.
   wanted.tasks = 2;
-  wanted.placed_in_zone = {{1, 3}};
+  wanted.placed_by_zone = {{1, 3}};
   for (const GangShare& share : find_gang_places(wanted, {machine(16, 1), machine(2, 2)}))
     EXPECT_EQ(share.machine, 1u);
 }
@@ -60,7 +60,7 @@
 TEST(GangPlaces, BothBoundsCanNotBeKeptByMoreThanOneTask) {
   GangNeeds wanted = needs(2, 1);
   wanted.together = true;
-  wanted.most_in_zone = 1;
+  wanted.max_tasks_per_zone = 1;
   EXPECT_TRUE(find_gang_places(wanted, {machine(16, 1), machine(16, 2)}).empty());
 }
 
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -51,7 +51,7 @@
   const Preemption chosen = choose_preemption(kFull, {4, 4, 0}, candidates, 100);
   EXPECT_EQ(chosen.ids, std::vector<std::size_t>{2})
       << "the small one alone is not enough, and then not needed";
-  EXPECT_DOUBLE_EQ(chosen.lost, 20);
+  EXPECT_DOUBLE_EQ(chosen.lost_core_s, 20);
   EXPECT_EQ(choose_preemption({3, 3, 0}, {4, 4, 0}, candidates, 100).ids, std::vector<std::size_t>{1});
 }
 
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -7,8 +7,8 @@
 using namespace mothslip;
 
 namespace {
-Request request(Resources demand) {
-  Request out;
+ResourceRequest request(Resources demand) {
+  ResourceRequest out;
   out.demand = demand;
   out.nothing_placed = false;
   return out;
@@ -17,7 +17,7 @@
 FleetType type(double cores, double memory, double hourly, double spot) {
   FleetType out;
   out.capacity = {cores, memory, 0};
-  out.hourly = hourly;
+  out.hourly_price = hourly;
   out.spot_price = spot;
   out.zones = {0, 1};
   return out;
@@ -47,7 +47,7 @@
   for (int step = 0; step < 4; step++) {
     EXPECT_DOUBLE_EQ(fitness(one, room, weights), expected[step][0]);
     EXPECT_DOUBLE_EQ(fitness(two, room, weights), expected[step][1]);
-    const int best = choose(room, {request(one), request(two)}, w);
+    const int best = choose_request(room, {request(one), request(two)}, w);
     ASSERT_EQ(best, order[step]);
     const Resources& chosen = best == 0 ? one : two;
     for (std::size_t r = 0; r < 3; r++) room[r] -= chosen[r];
@@ -56,13 +56,13 @@
   EXPECT_EQ(taken[0], 1);
   EXPECT_EQ(taken[1], 3);
   EXPECT_EQ(room, (Resources{0, 0, 0}));
-  EXPECT_EQ(choose(room, {request(one), request(two)}, w), -1);
+  EXPECT_EQ(choose_request(room, {request(one), request(two)}, w), -1);
 }
 
 TEST(Preference, TermsAreMinMaxNormalisedAndWeighted) {
-  Request a = request({4, 4, 0});
-  Request b = request({1, 1, 0});
-  Request c = request({2, 2, 0});
+  ResourceRequest a = request({4, 4, 0});
+  ResourceRequest b = request({1, 1, 0});
+  ResourceRequest c = request({2, 2, 0});
   b.assigned_share = 0.5;
   b.held = {8, 8, 0};
   c.assigned_share = 0.25;
@@ -78,8 +78,8 @@
 }
 
 TEST(Preference, AFlatTermAddsNothing) {
-  Request a = request({2, 2, 0});
-  Request b = request({1, 1, 0});
+  ResourceRequest a = request({2, 2, 0});
+  ResourceRequest b = request({1, 1, 0});
   const auto p = preferences({8, 8, 0}, {a, b}, {});
   EXPECT_DOUBLE_EQ(p[0], 0.2) << "urgency and alignment are the same for both";
   EXPECT_DOUBLE_EQ(p[1], 0);
@@ -87,21 +87,21 @@
 }
 
 TEST(Preference, WhatDoesNotFitIsNotListed) {
-  Request big = request({9, 1, 0});
-  Request small = request({1, 1, 0});
-  EXPECT_EQ(choose({8, 8, 0}, {big, small}, {}), 1);
-  EXPECT_EQ(choose({0.5, 8, 0}, {big, small}, {}), -1);
+  ResourceRequest big = request({9, 1, 0});
+  ResourceRequest small = request({1, 1, 0});
+  EXPECT_EQ(choose_request({8, 8, 0}, {big, small}, {}), 1);
+  EXPECT_EQ(choose_request({0.5, 8, 0}, {big, small}, {}), -1);
 }
 
 TEST(Preference, AJobWithNothingPlacedGoesFirst) {
-  Request large = request({4, 4, 0});
-  Request fresh = request({1, 1, 0});
+  ResourceRequest large = request({4, 4, 0});
+  ResourceRequest fresh = request({1, 1, 0});
   fresh.nothing_placed = true;
-  EXPECT_EQ(choose({8, 8, 0}, {large, fresh}, {}), 1);
+  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 1);
   fresh.nothing_placed = false;
-  EXPECT_EQ(choose({8, 8, 0}, {large, fresh}, {}), 0) << "then the larger fit, as in the paper";
+  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 0) << "then the larger fit, as in the paper";
   fresh.bonus = 0.5;
-  EXPECT_EQ(choose({8, 8, 0}, {large, fresh}, {}), 1) << "and a more urgent class outweighs it";
+  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 1) << "and a more urgent class outweighs it";
 }
 
 TEST(Preference, DeadlinePressureGrowsAsTimeRunsOut) {
@@ -122,7 +122,7 @@
   }
   auto plan = plan_fleet(types, markets, {}, {demand(16, 4)}, {});
   int machines = 0;
-  for (const auto& rent : plan.rents) {
+  for (const auto& rent : plan.new_machines) {
     EXPECT_EQ(rent.type, 1) << "only the large type holds 16 cores";
     EXPECT_TRUE(rent.spot);
     machines += rent.count;
@@ -131,12 +131,12 @@
 
   for (auto& market : markets) market.refused = market.spot;
   plan = plan_fleet(types, markets, {}, {demand(16, 2)}, {});
-  ASSERT_EQ(plan.rents.size(), 1u);
-  EXPECT_FALSE(plan.rents[0].spot) << "ordinary ones when spot is refused";
+  ASSERT_EQ(plan.new_machines.size(), 1u);
+  EXPECT_FALSE(plan.new_machines[0].spot) << "ordinary ones when spot is refused";
 
   for (auto& market : markets) market.refused = true;
   plan = plan_fleet(types, markets, {}, {demand(16, 2)}, {});
-  EXPECT_TRUE(plan.rents.empty());
+  EXPECT_TRUE(plan.new_machines.empty());
 }
 
 TEST(Sizing, WhatIsFreeOrBootingIsUsedFirst) {
@@ -145,15 +145,15 @@
   FleetMachine machine;
   machine.rooms = {{0, {8, 64, 0}}};
   auto plan = plan_fleet(types, markets, {machine}, {demand(4, 2)}, {});
-  EXPECT_TRUE(plan.rents.empty());
-  EXPECT_EQ(plan.needed_rooms[0], 2);
+  EXPECT_TRUE(plan.new_machines.empty());
+  EXPECT_EQ(plan.planned_tasks[0], 2);
   machine.rooms = {{10, {8, 64, 0}}};
   plan = plan_fleet(types, markets, {machine}, {demand(4, 2)}, {});
-  EXPECT_TRUE(plan.rents.empty()) << "a machine that boots soon is earlier than a new one";
+  EXPECT_TRUE(plan.new_machines.empty()) << "a machine that boots soon is earlier than a new one";
   machine.usable = false;
   plan = plan_fleet(types, markets, {machine}, {demand(4, 2)}, {});
-  ASSERT_EQ(plan.rents.size(), 1u);
-  EXPECT_EQ(plan.rents[0].count, 1);
+  ASSERT_EQ(plan.new_machines.size(), 1u);
+  EXPECT_EQ(plan.new_machines[0].count, 1);
 }
 
 TEST(Sizing, NothingIsRentedForADeadlineThatIsMetAnyway) {
@@ -167,13 +167,13 @@
   // Half the slack is for what comes after and goes first: a queue that only just met its deadlines never
   // did.
   job.time_left_s = 191;  // the last is to start by (191 - 30) / 2
-  EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).rents.empty());
+  EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).new_machines.empty());
   job.time_left_s = 189;
   const auto plan = plan_fleet(types, markets, {busy}, {job}, {});
-  ASSERT_EQ(plan.rents.size(), 1u);
-  EXPECT_EQ(plan.rents[0].count, 1);
+  ASSERT_EQ(plan.new_machines.size(), 1u);
+  EXPECT_EQ(plan.new_machines[0].count, 1);
   job.count = 1;
   job.time_left_s = 40;
-  EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).rents.empty())
+  EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).new_machines.empty())
       << "a new machine would be late too";
 }
