--- a/src/scheduling/preference.cpp
+++ b/src/scheduling/preference.cpp
@@ -5,7 +5,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kPlentyOfTime = 3;  // times the remaining work, left beside it: no deadline pressure
+constexpr double kZeroPressureSlackFactor =
+    3;  // times the remaining work, left beside it: no deadline pressure
 }
 
 double fitness(const Resources& demand, const Resources& room, const Resources& weights) {
@@ -22,7 +23,7 @@
 
 namespace {
 // The range of a term over the requests.
-struct Span {
+struct TermRange {
   double low = std::numeric_limits<double>::infinity();
   double high = -std::numeric_limits<double>::infinity();
   void add(double value) {
@@ -30,7 +31,9 @@
     high = std::max(high, value);
   }
   // The value, scaled to 0..1 over the requests; a term that is the same for all adds nothing.
-  [[nodiscard]] double scaled(double value) const { return high > low ? (value - low) / (high - low) : 0; }
+  [[nodiscard]] double normalized(double value) const {
+    return high > low ? (value - low) / (high - low) : 0;
+  }
 };
 }  // namespace
 
@@ -41,9 +44,9 @@
   std::vector<double> fitnesses(count);
   std::vector<double> urgencies(count);
   std::vector<double> alignments(count);
-  Span fitness_span;
-  Span urgency_span;
-  Span alignment_span;
+  TermRange fitness_range;
+  TermRange urgency_range;
+  TermRange alignment_range;
   double stages = 0;
   for (const ResourceRequest& request : requests) stages += request.stages;
   for (std::size_t i = 0; i < count; i++) {
@@ -51,16 +54,17 @@
     fitnesses[i] = fitness(requests[i].demand, room, weights.resource);
     urgencies[i] = urgency(requests[i], weights.resource);
     alignments[i] = stages > 0 ? (requests[i].stages + requests[i].stages_finished) / stages : 0;
-    fitness_span.add(fitnesses[i]);
-    urgency_span.add(urgencies[i]);
-    alignment_span.add(alignments[i]);
+    fitness_range.add(fitnesses[i]);
+    urgency_range.add(urgencies[i]);
+    alignment_range.add(alignments[i]);
   }
   for (std::size_t i = 0; i < count; i++) {
     if (!fits(requests[i].demand, room)) continue;
-    out[i] = weights.fitness * fitness_span.scaled(fitnesses[i]) +
-             weights.urgency * urgency_span.scaled(urgencies[i]) +
-             weights.alignment * alignment_span.scaled(alignments[i]) + weights.slack * requests[i].pressure +
-             requests[i].bonus + (requests[i].image_is_cached ? weights.locality : 0);
+    out[i] = weights.fitness * fitness_range.normalized(fitnesses[i]) +
+             weights.urgency * urgency_range.normalized(urgencies[i]) +
+             weights.alignment * alignment_range.normalized(alignments[i]) +
+             weights.slack * requests[i].pressure + requests[i].bonus +
+             (requests[i].image_is_cached ? weights.locality : 0);
   }
   return out;
 }
@@ -89,7 +93,7 @@
 double deadline_pressure(double time_left_s, double work_left_s) {
   if (work_left_s <= 0) work_left_s = 1;
   if (time_left_s <= work_left_s) return 1;
-  return std::clamp(1 - (time_left_s - work_left_s) / (kPlentyOfTime * work_left_s), 0.0, 1.0);
+  return std::clamp(1 - (time_left_s - work_left_s) / (kZeroPressureSlackFactor * work_left_s), 0.0, 1.0);
 }
 
 }  // namespace mothslip
--- a/src/scheduling/preference.hpp
+++ b/src/scheduling/preference.hpp
@@ -15,9 +15,9 @@
 
 // Whether the room holds the demand, rounding errors aside.
 inline bool fits(const Resources& demand, const Resources& room) {
-  constexpr double kSlop = 1e-6;
+  constexpr double kRoundingTolerance = 1e-6;
   for (std::size_t r = 0; r < demand.size(); r++) {
-    if (demand[r] > room[r] + kSlop) return false;
+    if (demand[r] > room[r] + kRoundingTolerance) return false;
   }
   return true;
 }
--- a/src/scheduling/sizing.cpp
+++ b/src/scheduling/sizing.cpp
@@ -13,18 +13,19 @@
 
 namespace {
 
-constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kEstimateSlack = 1.5;    // times the estimate: estimates are wrong by half
-constexpr double kBootSlack = 1.1;        // times boot_s
-constexpr double kLeastFetchRate = 0.01;  // GB a second
-constexpr double kPreemption = 5.0;       // seconds until a preempted task has made its checkpoint and ended
+constexpr double kInfinity = std::numeric_limits<double>::infinity();
+constexpr double kRunTimeSafetyFactor = 1.5;   // times the estimate: estimates are wrong by half
+constexpr double kBootTimeSafetyFactor = 1.1;  // times boot_s
+constexpr double kMinFetchGbPerSecond = 0.01;  // GB a second
+constexpr double kPreemptionSeconds =
+    5.0;  // seconds until a preempted task has made its checkpoint and ended
 // Of the time that a deadline leaves: what comes after, and goes first, is not known yet.
-constexpr double kSlackShare = 0.5;
-constexpr double kUnusedWorth = 0.5;     // of a machine, for room that the demand does not use
-constexpr double kSpreadPenalty = 0.01;  // added to the price for each machine that the market has
-constexpr double kWorthWaiting = 1.3;    // times sooner that a new machine must start the task
+constexpr double kUsableSlackFraction = 0.5;
+constexpr double kUnusedSlotValueFraction = 0.5;  // of a machine, for room that the demand does not use
+constexpr double kSpreadPenaltyFraction = 0.01;   // added to the price for each machine that the market has
+constexpr double kMinStartSpeedupFactor = 1.3;    // times sooner that a new machine must start the task
 
-bool allowed(const FleetDemand& demand, int type, int zone, bool spot) {
+bool is_allowed(const FleetDemand& demand, int type, int zone, bool spot) {
   if (spot ? !demand.spot_allowed : demand.spot_only) return false;
   if (!demand.allowed_types.empty() && demand.allowed_types[static_cast<std::size_t>(type)] == 0)
     return false;
@@ -41,12 +42,12 @@
 }
 
 // Best-effort work gives way, and is not counted on to make others give way.
-bool preempts(const FleetDemand& demand) { return demand.rank > 0; }
+bool can_preempt(const FleetDemand& demand) { return demand.rank > 0; }
 
 // When the demand can use the room.
-double usable_at(const FleetRoom& room, const FleetDemand& demand) {
-  return room.is_preemptible && preempts(demand) ? std::min(room.available_in_s, kPreemption)
-                                                 : room.available_in_s;
+double usable_in_s(const FleetRoom& room, const FleetDemand& demand) {
+  return room.is_preemptible && can_preempt(demand) ? std::min(room.available_in_s, kPreemptionSeconds)
+                                                    : room.available_in_s;
 }
 
 void add(Resources& sum, const Resources& amount) {
@@ -55,7 +56,7 @@
 
 // What the demand gets by preempting: all rooms that yield to it. nullopt: there are none.
 std::optional<Resources> preemptible_room(const FleetMachine& machine, const FleetDemand& demand) {
-  if (!preempts(demand)) return std::nullopt;
+  if (!can_preempt(demand)) return std::nullopt;
   std::optional<Resources> out;
   for (const FleetRoom& room : machine.rooms) {
     if (!room.is_preemptible) continue;
@@ -66,61 +67,61 @@
 }
 
 // The earliest time at which the machine has this much free, in seconds from now.
-double earliest_start(const FleetMachine& machine, const FleetDemand& demand) {
+double earliest_start_s(const FleetMachine& machine, const FleetDemand& demand) {
   // Rooms are kept in order of time, but for those that yield: these come in at the time of preemption.
   std::optional<Resources> preemptible = preemptible_room(machine, demand);
   Resources sum{};
   for (const FleetRoom& room : machine.rooms) {
-    if (preemptible && room.available_in_s > kPreemption) {
+    if (preemptible && room.available_in_s > kPreemptionSeconds) {
       add(sum, *preemptible);
       preemptible.reset();
-      if (fits(demand.demand, sum)) return kPreemption;
+      if (fits(demand.demand, sum)) return kPreemptionSeconds;
     }
-    if (room.is_preemptible && preempts(demand)) continue;
+    if (room.is_preemptible && can_preempt(demand)) continue;
     add(sum, room.room);
     if (fits(demand.demand, sum)) return room.available_in_s;
   }
-  if (!preemptible) return kNever;
+  if (!preemptible) return kInfinity;
   add(sum, *preemptible);
-  if (fits(demand.demand, sum)) return kPreemption;
-  return kNever;
+  if (fits(demand.demand, sum)) return kPreemptionSeconds;
+  return kInfinity;
 }
 
 // Takes the demand out of the rooms free by `at`, the latest first: what is free earlier stays for others. It
 // comes back at `until`.
-void take(FleetMachine& machine, const FleetDemand& wanted, double at, double until) {
-  Resources demand = wanted.demand;
-  FleetRoom back{until, demand, wanted.rank == 0};
+void allocate(FleetMachine& machine, const FleetDemand& demand, double start_s, double end_s) {
+  Resources remaining = demand.demand;
+  FleetRoom released{end_s, remaining, demand.rank == 0};
   for (auto it = machine.rooms.rbegin(); it != machine.rooms.rend(); ++it) {
-    if (usable_at(*it, wanted) > at) continue;
-    for (std::size_t r = 0; r < demand.size(); r++) {
-      const double taken = std::min(demand[r], it->room[r]);
+    if (usable_in_s(*it, demand) > start_s) continue;
+    for (std::size_t r = 0; r < remaining.size(); r++) {
+      const double taken = std::min(remaining[r], it->room[r]);
       it->room[r] -= taken;
-      demand[r] -= taken;
+      remaining[r] -= taken;
     }
   }
-  const auto place = std::upper_bound(
-      machine.rooms.begin(), machine.rooms.end(), back,
+  const auto position = std::upper_bound(
+      machine.rooms.begin(), machine.rooms.end(), released,
       [](const FleetRoom& a, const FleetRoom& b) { return a.available_in_s < b.available_in_s; });
-  machine.rooms.insert(place, back);
+  machine.rooms.insert(position, released);
 }
 
 // Where the tasks of one demand could start, the earliest first; among equals the machine that a task fills
 // most, so that large ones stay free. Only the machine that took a task is
 // considered again.
-class Starts {
+class StartQueue {
  public:
-  Starts(const std::vector<FleetType>& types, const std::vector<FleetMachine>& machines,
-         const FleetDemand& demand)
+  StartQueue(const std::vector<FleetType>& types, const std::vector<FleetMachine>& machines,
+             const FleetDemand& demand)
       : types_(types), machines_(machines), demand_(demand) {
-    for (std::size_t m = 0; m < machines.size(); m++) consider(static_cast<int>(m));
+    for (std::size_t m = 0; m < machines.size(); m++) add_machine(static_cast<int>(m));
   }
   struct Start {
-    double at = kNever;                         // seconds from now
+    double start_s = kInfinity;                 // seconds from now
     double share = 0;                           // of the machine that a task takes
     int machine = -1;                           // index
     bool operator<(const Start& other) const {  // a later start is less
-      if (at != other.at) return at > other.at;
+      if (start_s != other.start_s) return start_s > other.start_s;
       if (share != other.share) return share < other.share;
       return machine > other.machine;
     }
@@ -130,16 +131,16 @@
   void on_task_placed() {
     const int machine = heap_.top().machine;
     heap_.pop();
-    consider(machine);
+    add_machine(machine);
   }
   // Puts the machine among the starts, if the demand may run there.
-  void consider(int machine) {
+  void add_machine(int machine) {
     const FleetMachine& each = machines_[static_cast<std::size_t>(machine)];
-    if (!each.usable || !allowed(demand_, each.type, each.zone, each.spot)) return;
-    const double at = earliest_start(each, demand_);
-    if (at == kNever) return;
-    heap_.push(
-        {at, dominant_share(demand_.demand, types_[static_cast<std::size_t>(each.type)].capacity), machine});
+    if (!each.usable || !is_allowed(demand_, each.type, each.zone, each.spot)) return;
+    const double start_s = earliest_start_s(each, demand_);
+    if (start_s == kInfinity) return;
+    heap_.push({start_s, dominant_share(demand_.demand, types_[static_cast<std::size_t>(each.type)].capacity),
+                machine});
   }
 
  private:
@@ -152,23 +153,24 @@
 // The index of the market with the least price for what the `left` tasks would use of its machine, or -1;
 // among equals where few machines are rented, so that they spread over zones.
 int best_market(const std::vector<FleetType>& types, const std::vector<FleetMarket>& markets,
-                const FleetDemand& demand, int left) {
+                const FleetDemand& demand, int tasks_left) {
   int best = -1;
-  double best_price = kNever;
+  double best_price_per_slot = kInfinity;
   for (std::size_t i = 0; i < markets.size(); i++) {
     const FleetMarket& market = markets[i];
     if (market.refused) continue;
-    if (!allowed(demand, market.type, market.zone, market.spot)) continue;
+    if (!is_allowed(demand, market.type, market.zone, market.spot)) continue;
     const FleetType& type = types[static_cast<std::size_t>(market.type)];
     if (!fits(demand.demand, type.capacity)) continue;
     const double share = std::max(dominant_share(demand.demand, type.capacity), 1e-6);
-    const double used = std::min(std::floor(1 / share + 1e-6), static_cast<double>(left));
+    const double used_slots = std::min(std::floor(1 / share + 1e-6), static_cast<double>(tasks_left));
     // Room that this job leaves free is worth half: others may use it.
-    const double worth = used + kUnusedWorth * (1 / share - used);
-    const double hourly = market.spot ? type.spot_price : type.hourly_price;
-    const double price = hourly / worth * (1 + kSpreadPenalty * market.rented_machines);
-    if (price < best_price) {
-      best_price = price;
+    const double valued_slots = used_slots + kUnusedSlotValueFraction * (1 / share - used_slots);
+    const double hourly_price = market.spot ? type.spot_price : type.hourly_price;
+    const double price_per_slot =
+        hourly_price / valued_slots * (1 + kSpreadPenaltyFraction * market.rented_machines);
+    if (price_per_slot < best_price_per_slot) {
+      best_price_per_slot = price_per_slot;
       best = static_cast<int>(i);
     }
   }
@@ -190,20 +192,21 @@
         markets_(std::move(markets)),
         machines_(std::move(machines)),
         limits_(limits),
-        needed_rooms_(machines_.size(), 0) {}
+        planned_tasks_(machines_.size(), 0) {}
 
   void place(const FleetDemand& demand) {
-    const double run_s = kEstimateSlack * std::max(1.0, demand.estimated_s);
-    Starts starts(types_, machines_, demand);
-    for (int left = std::min(demand.count, limits_.max_tasks_per_demand); left > 0; left--) {
-      if (!place_task(demand, left, run_s, starts)) break;
+    const double run_s = kRunTimeSafetyFactor * std::max(1.0, demand.estimated_s);
+    StartQueue start_queue(types_, machines_, demand);
+    for (int tasks_left = std::min(demand.count, limits_.max_tasks_per_demand); tasks_left > 0;
+         tasks_left--) {
+      if (!place_task(demand, tasks_left, run_s, start_queue)) break;
     }
   }
 
   [[nodiscard]] FleetPlan plan() const {
     FleetPlan out;
-    out.planned_tasks = needed_rooms_;
-    for (const auto& [market, count] : rents_) {
+    out.planned_tasks = planned_tasks_;
+    for (const auto& [market, count] : new_machines_) {
       const auto [type, zone, spot] = market;
       out.new_machines.push_back({type, zone, spot, count});
     }
@@ -212,66 +215,68 @@
 
  private:
   // False when the task fits nowhere: then the others of the demand don't either.
-  bool place_task(const FleetDemand& demand, int left, double run_s, Starts& starts) {
-    const Starts::Start here = starts.best();
-    const double latest = std::min(demand.start_within_s, kSlackShare * (demand.time_left_s - run_s));
-    if (here.at > latest && may_rent()) {
-      const auto option = worthwhile_rent(demand, left, run_s, here.at);
+  bool place_task(const FleetDemand& demand, int tasks_left, double run_s, StartQueue& start_queue) {
+    const StartQueue::Start best_start = start_queue.best();
+    const double latest_start_s =
+        std::min(demand.start_within_s, kUsableSlackFraction * (demand.time_left_s - run_s));
+    if (best_start.start_s > latest_start_s && may_rent()) {
+      const auto option = worthwhile_rental(demand, tasks_left, run_s, best_start.start_s);
       if (option) {
-        rent(*option, demand, run_s, starts);
+        rent(*option, demand, run_s, start_queue);
         return true;
       }
     }
-    if (here.machine < 0) return false;
-    const auto index = static_cast<std::size_t>(here.machine);
-    take(machines_[index], demand, here.at, here.at + run_s);
-    starts.on_task_placed();
-    if (index < needed_rooms_.size()) needed_rooms_[index]++;
+    if (best_start.machine < 0) return false;
+    const auto index = static_cast<std::size_t>(best_start.machine);
+    allocate(machines_[index], demand, best_start.start_s, best_start.start_s + run_s);
+    start_queue.on_task_placed();
+    if (index < planned_tasks_.size()) planned_tasks_[index]++;
     return true;
   }
 
   [[nodiscard]] bool may_rent() const {
-    return static_cast<int>(machines_.size()) < limits_.max_machines && rented_ < limits_.max_new_machines;
+    return static_cast<int>(machines_.size()) < limits_.max_machines &&
+           new_machine_count_ < limits_.max_new_machines;
   }
 
   // The best market's machine, if it is worth it: when it comes in time, or when waiting for the present
   // machines takes much longer than a new one does.
-  [[nodiscard]] std::optional<RentOption> worthwhile_rent(const FleetDemand& demand, int left, double run_s,
-                                                          double start_here_s) const {
-    const int market = best_market(types_, markets_, demand, left);
+  [[nodiscard]] std::optional<RentOption> worthwhile_rental(const FleetDemand& demand, int tasks_left,
+                                                            double run_s, double start_here_s) const {
+    const int market = best_market(types_, markets_, demand, tasks_left);
     if (market < 0) return std::nullopt;
     const auto index = static_cast<std::size_t>(market);
     const FleetType& type = types_[static_cast<std::size_t>(markets_[index].type)];
-    const double fetch_s = demand.image_gb / std::max(kLeastFetchRate, type.fetch_gb_per_s);
-    const double ready_s = kBootSlack * type.boot_s + fetch_s;
+    const double fetch_s = demand.image_gb / std::max(kMinFetchGbPerSecond, type.fetch_gb_per_s);
+    const double ready_s = kBootTimeSafetyFactor * type.boot_s + fetch_s;
     const bool in_time = ready_s <= demand.time_left_s - run_s && ready_s < start_here_s;
-    if (!in_time && kWorthWaiting * ready_s >= start_here_s) return std::nullopt;
+    if (!in_time && kMinStartSpeedupFactor * ready_s >= start_here_s) return std::nullopt;
     return RentOption{index, ready_s};
   }
 
   // Adds the machine, with the task on it.
-  void rent(const RentOption& option, const FleetDemand& demand, double run_s, Starts& starts) {
+  void rent(const RentOption& option, const FleetDemand& demand, double run_s, StartQueue& start_queue) {
     FleetMarket& market = markets_[option.market];
     market.rented_machines++;
-    rents_[{market.type, market.zone, market.spot}]++;
-    FleetMachine fresh;
-    fresh.type = market.type;
-    fresh.zone = market.zone;
-    fresh.spot = market.spot;
-    fresh.rooms.push_back({option.ready_s, types_[static_cast<std::size_t>(market.type)].capacity});
-    take(fresh, demand, option.ready_s, option.ready_s + run_s);
-    machines_.push_back(std::move(fresh));
-    starts.consider(static_cast<int>(machines_.size()) - 1);
-    rented_++;
+    new_machines_[{market.type, market.zone, market.spot}]++;
+    FleetMachine new_machine;
+    new_machine.type = market.type;
+    new_machine.zone = market.zone;
+    new_machine.spot = market.spot;
+    new_machine.rooms.push_back({option.ready_s, types_[static_cast<std::size_t>(market.type)].capacity});
+    allocate(new_machine, demand, option.ready_s, option.ready_s + run_s);
+    machines_.push_back(std::move(new_machine));
+    start_queue.add_machine(static_cast<int>(machines_.size()) - 1);
+    new_machine_count_++;
   }
 
   const std::vector<FleetType>& types_;
   std::vector<FleetMarket> markets_;
   std::vector<FleetMachine> machines_;  // those given, then those rented
   const FleetLimits& limits_;
-  std::vector<int> needed_rooms_;                    // by index of the machines given
-  std::map<std::tuple<int, int, bool>, int> rents_;  // machines, by type, zone and spot
-  int rented_ = 0;
+  std::vector<int> planned_tasks_;                          // by index of the machines given
+  std::map<std::tuple<int, int, bool>, int> new_machines_;  // machines, by type, zone and spot
+  int new_machine_count_ = 0;
 };
 
 }  // namespace
