--- a/src/scheduling/gang.cpp
+++ b/src/scheduling/gang.cpp
@@ -10,24 +10,24 @@
 
 namespace {
 
-// A machine that holds some of the gang's tasks.
+// A machine with room for at least one task of the gang.
 struct Candidate {
-  std::size_t machine = 0;  // index
-  int slots = 0;            // tasks that it holds
+  std::size_t machine = 0;  // index into the machines passed to find_gang_places
+  int slots = 0;            // tasks of the gang that fit the machine
   double fetch_s = 0;
   int zone = 0;
 };
 
-// Places for all tasks.
+// An assignment of all tasks to machines.
 struct PlacementOption {
   std::vector<GangShare> shares;
-  double start_s = 0;  // from now: when the last image is there
+  double start_s = 0;  // seconds from now until the last machine has the image
   [[nodiscard]] bool is_better_than(const PlacementOption& other) const {
     return std::tuple(start_s, shares.size()) < std::tuple(other.start_s, other.shares.size());
   }
 };
 
-// The earliest moment by which enough of the candidates have the image.
+// Returns the earliest time, in seconds from now, at which enough candidates for all tasks have the image.
 std::optional<double> earliest_start_s(std::vector<Candidate> candidates, int tasks) {
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate& a, const Candidate& b) { return a.fetch_s < b.fetch_s; });
@@ -38,7 +38,8 @@
   return std::nullopt;
 }
 
-// The fewest machines of those that start in time: the roomiest ones, and last the tightest that will do.
+// Uses the fewest machines among the candidates that have the image at the earliest start: those with the
+// most slots first, and for the remaining tasks the machine with the fewest slots that holds all of them.
 std::optional<PlacementOption> choose_fewest_machines(const std::vector<Candidate>& all, int tasks) {
   const auto start_s = earliest_start_s(all, tasks);
   if (!start_s) return std::nullopt;
@@ -51,7 +52,8 @@
   out.start_s = *start_s;
   for (auto it = candidates.begin(); tasks > 0; ++it) {
     if (it->slots >= tasks) {
-      // (They are in order of their slots: the last that holds what is left is the tightest.)
+      // The candidates are sorted by descending slots, so the last one that holds all remaining tasks is the
+      // tightest fit.
       const auto first_too_small = std::find_if(
           it, candidates.end(), [tasks](const Candidate& candidate) { return candidate.slots < tasks; });
       it = std::prev(first_too_small);
@@ -63,7 +65,7 @@
   return out;
 }
 
-// At most so many in a zone: early starts first.
+// Places at most max_tasks_per_zone tasks in each zone, on the machines that can start earliest first.
 std::vector<GangShare> choose_scattered(const GangNeeds& needs, std::vector<Candidate> candidates) {
   std::stable_sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
     return a.fetch_s != b.fetch_s ? a.fetch_s < b.fetch_s : a.slots > b.slots;
--- a/src/scheduling/gang.hpp
+++ b/src/scheduling/gang.hpp
@@ -1,4 +1,4 @@
-// Where the tasks of a gang can start all at once: a pure function.
+// Finds machines on which all tasks of a gang can start at the same time. All functions are pure.
 #pragma once
 
 #include <cstddef>
@@ -9,34 +9,34 @@
 
 namespace mothslip {
 
-// A machine that may take tasks of the gang.
+// A machine that is allowed to run tasks of the gang.
 struct GangMachine {
   Resources room{};
   int zone = 0;
-  double fetch_s = 0;  // seconds until it has the image; 0: it has it
+  double fetch_s = 0;  // time until the machine has the image; 0: the image is cached
 };
 
-// The tasks of a gang that are to be placed together.
+// The tasks of a gang that must be placed in one step.
 struct GangNeeds {
-  Resources demand{};  // of a task
+  Resources demand{};  // demand of one task
   int tasks = 0;
-  bool together = false;              // all in one zone
-  int max_tasks_per_zone = 0;         // at most so many of the gang in a zone; 0: any number
-  std::map<int, int> placed_by_zone;  // tasks of the gang that are placed already
+  bool together = false;              // all tasks must run in one zone
+  int max_tasks_per_zone = 0;         // limit on the gang's tasks in each zone; 0: no limit
+  std::map<int, int> placed_by_zone;  // tasks of the gang that are already placed
 };
 
-// The tasks that one machine gets.
+// The tasks that are assigned to one machine.
 struct GangShare {
-  std::size_t machine = 0;  // index into the machines that were given
+  std::size_t machine = 0;  // index into the machines passed to find_gang_places
   int tasks = 0;
 };
 
-// How many tasks of this size the room holds.
+// Returns how many tasks with this demand fit the room.
 int slots(const Resources& room, const Resources& demand);
 
-// Places for all tasks, or none. A gang starts when its last image is there and runs at the speed of its
-// slowest machine: places that start early come first, then few machines, then those that are left with
-// least.
+// Returns machines for all tasks, or an empty list if not all of them can be placed. A gang starts when the
+// last of its machines has the image, and runs at the speed of its slowest machine. Therefore the earliest
+// start is preferred, then the fewest machines, then the machines that are left with the least room.
 std::vector<GangShare> find_gang_places(const GangNeeds& needs, const std::vector<GangMachine>& machines);
 
 }  // namespace mothslip
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -18,7 +18,7 @@
   }
   if (!fits(needed, sum)) return {};
   Preemption out;
-  // The dearest are left out first, where the others suffice.
+  // Drops candidates that the others make unnecessary, starting with the most expensive.
   for (std::size_t i = taken; i-- > 0;) {
     Resources without = sum;
     for (std::size_t r = 0; r < sum.size(); r++) without[r] -= candidates[i].held[r];
--- a/src/scheduling/preference.cpp
+++ b/src/scheduling/preference.cpp
@@ -5,9 +5,9 @@
 namespace mothslip {
 
 namespace {
-constexpr double kZeroPressureSlackFactor =
-    3;  // times the remaining work, left beside it: no deadline pressure
-}
+// Slack of at least this many times the remaining work means no deadline pressure.
+constexpr double kZeroPressureSlackFactor = 3;
+}  // namespace
 
 double fitness(const Resources& demand, const Resources& room, const Resources& weights) {
   double sum = 0;
@@ -22,7 +22,7 @@
 }
 
 namespace {
-// The range of a term over the requests.
+// The range of one term's values over all requests that fit.
 struct TermRange {
   double low = std::numeric_limits<double>::infinity();
   double high = -std::numeric_limits<double>::infinity();
@@ -30,7 +30,8 @@
     low = std::min(low, value);
     high = std::max(high, value);
   }
-  // The value, scaled to 0..1 over the requests; a term that is the same for all adds nothing.
+  // Scales the value to 0..1 within the range. Returns 0 for a term that is equal for all requests, so that
+  // the term does not contribute.
   [[nodiscard]] double normalized(double value) const {
     return high > low ? (value - low) / (high - low) : 0;
   }
--- a/src/scheduling/preference.hpp
+++ b/src/scheduling/preference.hpp
@@ -1,6 +1,6 @@
-// Which waiting request a machine with free room takes next: HaSTE-A's preference (Yao et al., equations
-// 1 and 6), with the changes that docs/design.md explains. Pure functions. What is marked "added" is not in
-// the paper.
+// Chooses the waiting request that a machine with free room serves next, by the preference of HaSTE-A (Yao et
+// al., equations 1 and 6), with the changes that docs/design.md explains. All functions are pure. Fields
+// marked "not in the paper" are additions to HaSTE-A.
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 // Cores, memory in GB and accelerators.
 using Resources = std::array<double, 3>;
 
-// Whether the room holds the demand, rounding errors aside.
+// Returns whether the room holds the demand, within a tolerance for rounding errors.
 inline bool fits(const Resources& demand, const Resources& room) {
   constexpr double kRoundingTolerance = 1e-6;
   for (std::size_t r = 0; r < demand.size(); r++) {
@@ -22,41 +22,44 @@
   return true;
 }
 
-// Weights of the terms of the preference, and of the resources within them.
+// Weights of the preference's terms, and of the resources within the terms.
 struct PreferenceWeights {
   double fitness = 0.2;
   double urgency = 0.2;
   double alignment = 0.6;
-  double slack = 0;     // added: of the deadline pressure
-  double locality = 0;  // added: of an image that is there already
+  double slack = 0;     // weight of the deadline pressure; not in the paper
+  double locality = 0;  // weight of image_is_cached; not in the paper
   Resources resource = {1, 1, 1};
 };
 
-// One job's waiting tasks, as one request.
+// The waiting tasks of one job. All of them have the same demand.
 struct ResourceRequest {
-  Resources demand{};
-  double assigned_share = 0;  // tasks placed or done, of all
-  Resources held{};           // by its tasks that are placed
-  double stages = 1;          // of this job
+  Resources demand{};         // demand of one task
+  double assigned_share = 0;  // placed or completed tasks, as a share of all tasks of the job
+  Resources held{};           // resources of the job's placed tasks
+  double stages = 1;          // number of stages of the job
   double stages_finished = 0;
   bool nothing_placed = true;
-  double bonus = 0;              // added: urgency class and guarantee
-  double pressure = 0;           // added: deadline pressure, 0..1
-  bool image_is_cached = false;  // added: the machine has the image already
+  double bonus = 0;              // summand for urgency class, guarantee and age; not in the paper
+  double pressure = 0;           // deadline pressure, 0..1; not in the paper
+  bool image_is_cached = false;  // the machine has the job's image; not in the paper
 };
 
-// How well the demand fits the room: their weighted inner product.
+// Returns how well the demand fits the room: the weighted inner product of the two.
 double fitness(const Resources& demand, const Resources& room, const Resources& weights);
-// What the job holds, weighted by the share of its tasks that are placed or done.
+// Returns the weighted sum of the resources that the job holds, times the share of its tasks that are placed
+// or completed.
 double urgency(const ResourceRequest& request, const Resources& weights);
-// Preference of every request; requests that do not fit get -infinity.
+// Returns the preference of each request. Requests that do not fit the room get -infinity.
 std::vector<double> preferences(const Resources& room, const std::vector<ResourceRequest>& requests,
                                 const PreferenceWeights& weights);
-// Index of the request to serve next, or -1: one of which nothing is placed goes first, then the preference.
+// Returns the index of the request to serve next, or -1 when none fits. Jobs without any placed task go
+// first; among equals the highest preference decides.
 int choose_request(const Resources& room, const std::vector<ResourceRequest>& requests,
                    const PreferenceWeights& weights);
 
-// 0 while there is plenty of time, 1 when the remaining work only just fits before the deadline.
+// Returns 0 while the slack before the deadline is large, rising to 1 when the remaining work only just fits
+// before the deadline or no longer fits.
 double deadline_pressure(double time_left_s, double work_left_s);
 
 }  // namespace mothslip
--- a/src/scheduling/sizing.cpp
+++ b/src/scheduling/sizing.cpp
@@ -14,16 +14,21 @@
 namespace {
 
 constexpr double kInfinity = std::numeric_limits<double>::infinity();
-constexpr double kRunTimeSafetyFactor = 1.5;   // times the estimate: estimates are wrong by half
-constexpr double kBootTimeSafetyFactor = 1.1;  // times boot_s
-constexpr double kMinFetchGbPerSecond = 0.01;  // GB a second
-constexpr double kPreemptionSeconds =
-    5.0;  // seconds until a preempted task has made its checkpoint and ended
-// Of the time that a deadline leaves: what comes after, and goes first, is not known yet.
+constexpr double kRunTimeSafetyFactor = 1.5;   // multiplies estimated run times, which are off by half
+constexpr double kBootTimeSafetyFactor = 1.1;  // multiplies the type's boot_s
+constexpr double kMinFetchGbPerSecond = 0.01;  // lower bound that avoids division by zero
+// Time until a preempted task has written its checkpoint and ended.
+constexpr double kPreemptionSeconds = 5.0;
+// Fraction of a deadline's slack that may be spent waiting. The rest is reserved, because later arrivals that
+// are scheduled first are not known yet.
 constexpr double kUsableSlackFraction = 0.5;
-constexpr double kUnusedSlotValueFraction = 0.5;  // of a machine, for room that the demand does not use
-constexpr double kSpreadPenaltyFraction = 0.01;   // added to the price for each machine that the market has
-constexpr double kMinStartSpeedupFactor = 1.3;    // times sooner that a new machine must start the task
+// Value of a slot that the demand leaves unused, as a fraction of a used slot.
+constexpr double kUnusedSlotValueFraction = 0.5;
+// Increase of a market's price for each machine that is already rented from it.
+constexpr double kSpreadPenaltyFraction = 0.01;
+// A new machine that is not ready in time for the deadline is rented only if waiting for the present machines
+// takes more than this many times as long.
+constexpr double kMinStartSpeedupFactor = 1.3;
 
 bool is_allowed(const FleetDemand& demand, int type, int zone, bool spot) {
   if (spot ? !demand.spot_allowed : demand.spot_only) return false;
@@ -32,7 +37,7 @@
   return demand.zone < 0 || demand.zone == zone;
 }
 
-// The largest share of the capacity that the demand takes of any resource.
+// Returns the largest share of the capacity that the demand takes of any resource.
 double dominant_share(const Resources& demand, const Resources& capacity) {
   double share = 0;
   for (std::size_t r = 0; r < demand.size(); r++) {
@@ -41,10 +46,10 @@
   return share;
 }
 
-// Best-effort work gives way, and is not counted on to make others give way.
+// Best-effort work and headroom do not preempt other tasks.
 bool can_preempt(const FleetDemand& demand) { return demand.rank > 0; }
 
-// When the demand can use the room.
+// Returns the time, in seconds from now, at which the demand can use the room.
 double usable_in_s(const FleetRoom& room, const FleetDemand& demand) {
   return room.is_preemptible && can_preempt(demand) ? std::min(room.available_in_s, kPreemptionSeconds)
                                                     : room.available_in_s;
@@ -54,7 +59,7 @@
   for (std::size_t r = 0; r < sum.size(); r++) sum[r] += amount[r];
 }
 
-// What the demand gets by preempting: all rooms that yield to it. nullopt: there are none.
+// Returns the sum of all rooms that the demand can preempt; nullopt: there are none.
 std::optional<Resources> preemptible_room(const FleetMachine& machine, const FleetDemand& demand) {
   if (!can_preempt(demand)) return std::nullopt;
   std::optional<Resources> out;
@@ -66,9 +71,11 @@
   return out;
 }
 
-// The earliest time at which the machine has this much free, in seconds from now.
+// Returns the earliest time, in seconds from now, at which the machine has room for one task of the demand;
+// infinity: never.
 double earliest_start_s(const FleetMachine& machine, const FleetDemand& demand) {
-  // Rooms are kept in order of time, but for those that yield: these come in at the time of preemption.
+  // Rooms are sorted by time. Preemptible rooms are the exception: all of them count as available
+  // after kPreemptionSeconds.
   std::optional<Resources> preemptible = preemptible_room(machine, demand);
   Resources sum{};
   for (const FleetRoom& room : machine.rooms) {
@@ -87,8 +94,8 @@
   return kInfinity;
 }
 
-// Takes the demand out of the rooms free by `at`, the latest first: what is free earlier stays for others. It
-// comes back at `until`.
+// Subtracts one task's demand from the rooms that are usable by `start_s`, latest first, so that room that is
+// free earlier remains for other tasks. The room becomes free again at `end_s`.
 void allocate(FleetMachine& machine, const FleetDemand& demand, double start_s, double end_s) {
   Resources remaining = demand.demand;
   FleetRoom released{end_s, remaining, demand.rank == 0};
@@ -106,9 +113,9 @@
   machine.rooms.insert(position, released);
 }
 
-// Where the tasks of one demand could start, the earliest first; among equals the machine that a task fills
-// most, so that large ones stay free. Only the machine that took a task is
-// considered again.
+// Orders the machines by the time at which a task of one demand could start there, earliest first. Among
+// equals the machine with the largest share taken by a task comes first, so that large machines stay free.
+// After a placement only the machine that received the task is evaluated again.
 class StartQueue {
  public:
   StartQueue(const std::vector<FleetType>& types, const std::vector<FleetMachine>& machines,
@@ -118,22 +125,22 @@
   }
   struct Start {
     double start_s = kInfinity;                 // seconds from now
-    double share = 0;                           // of the machine that a task takes
-    int machine = -1;                           // index
-    bool operator<(const Start& other) const {  // a later start is less
+    double share = 0;                           // dominant share of the machine that a task takes
+    int machine = -1;                           // index into the machines
+    bool operator<(const Start& other) const {  // the heap's top is the greatest, so a later start is less
       if (start_s != other.start_s) return start_s > other.start_s;
       if (share != other.share) return share < other.share;
       return machine > other.machine;
     }
   };
   [[nodiscard]] Start best() const { return heap_.empty() ? Start{} : heap_.top(); }
-  // A task was put on the machine of the best start.
+  // Evaluates the machine of the best start again, after a task was placed on it.
   void on_task_placed() {
     const int machine = heap_.top().machine;
     heap_.pop();
     add_machine(machine);
   }
-  // Puts the machine among the starts, if the demand may run there.
+  // Adds the machine to the queue if the demand may run there and fits at some time.
   void add_machine(int machine) {
     const FleetMachine& each = machines_[static_cast<std::size_t>(machine)];
     if (!each.usable || !is_allowed(demand_, each.type, each.zone, each.spot)) return;
@@ -150,8 +157,8 @@
   std::priority_queue<Start> heap_;
 };
 
-// The index of the market with the least price for what the `left` tasks would use of its machine, or -1;
-// among equals where few machines are rented, so that they spread over zones.
+// Returns the index of the market with the lowest price per slot for the `tasks_left` tasks, or -1. Each
+// machine already rented from a market raises its price slightly, so that the machines spread over zones.
 int best_market(const std::vector<FleetType>& types, const std::vector<FleetMarket>& markets,
                 const FleetDemand& demand, int tasks_left) {
   int best = -1;
@@ -164,7 +171,7 @@
     if (!fits(demand.demand, type.capacity)) continue;
     const double share = std::max(dominant_share(demand.demand, type.capacity), 1e-6);
     const double used_slots = std::min(std::floor(1 / share + 1e-6), static_cast<double>(tasks_left));
-    // Room that this job leaves free is worth half: others may use it.
+    // Slots that this job leaves unused count half, because other jobs may use them.
     const double valued_slots = used_slots + kUnusedSlotValueFraction * (1 / share - used_slots);
     const double hourly_price = market.spot ? type.spot_price : type.hourly_price;
     const double price_per_slot =
@@ -177,13 +184,13 @@
   return best;
 }
 
-// What a machine that is rented for a demand would bring.
+// A machine that could be rented for a demand.
 struct RentOption {
-  std::size_t market = 0;  // index
-  double ready_s = 0;      // until it is up and has the image
+  std::size_t market = 0;  // index into the markets
+  double ready_s = 0;      // time until the machine has booted and fetched the image
 };
 
-// One run of plan_fleet: tasks are put on machines in thought, and machines are added.
+// The state of one plan_fleet call: it assigns tasks to machines in the plan only, and adds rented machines.
 class Planner {
  public:
   Planner(const std::vector<FleetType>& types, std::vector<FleetMarket> markets,
@@ -214,7 +221,8 @@
   }
 
  private:
-  // False when the task fits nowhere: then the others of the demand don't either.
+  // Returns false if the task fits no present machine and no new one is rented. The other tasks of the demand
+  // cannot be placed either then.
   bool place_task(const FleetDemand& demand, int tasks_left, double run_s, StartQueue& start_queue) {
     const StartQueue::Start best_start = start_queue.best();
     const double latest_start_s =
@@ -239,8 +247,8 @@
            new_machine_count_ < limits_.max_new_machines;
   }
 
-  // The best market's machine, if it is worth it: when it comes in time, or when waiting for the present
-  // machines takes much longer than a new one does.
+  // Returns a machine of the best market if it is worth renting: if it is ready in time for the deadline and
+  // sooner than the present machines, or if the task would start much later on the present machines.
   [[nodiscard]] std::optional<RentOption> worthwhile_rental(const FleetDemand& demand, int tasks_left,
                                                             double run_s, double start_here_s) const {
     const int market = best_market(types_, markets_, demand, tasks_left);
@@ -254,7 +262,7 @@
     return RentOption{index, ready_s};
   }
 
-  // Adds the machine, with the task on it.
+  // Adds a new machine to the plan and assigns the task to it.
   void rent(const RentOption& option, const FleetDemand& demand, double run_s, StartQueue& start_queue) {
     FleetMarket& market = markets_[option.market];
     market.rented_machines++;
@@ -272,10 +280,10 @@
 
   const std::vector<FleetType>& types_;
   std::vector<FleetMarket> markets_;
-  std::vector<FleetMachine> machines_;  // those given, then those rented
+  std::vector<FleetMachine> machines_;  // the machines given, followed by the rented ones
   const FleetLimits& limits_;
   std::vector<int> planned_tasks_;                          // by index of the machines given
-  std::map<std::tuple<int, int, bool>, int> new_machines_;  // machines, by type, zone and spot
+  std::map<std::tuple<int, int, bool>, int> new_machines_;  // machine count by type, zone and spot
   int new_machine_count_ = 0;
 };
 
