--- a/src/bookkeeping/ledger.hpp
+++ b/src/bookkeeping/ledger.hpp
@@ -23,7 +23,7 @@
   RangeSet range;
   RangeSet done;
   std::uint64_t revision = 0;
-  bool noted = false;  // its record shows that the delegate knows of the cancellation
+  bool cancellation_acknowledged = false;  // its record shows that the delegate knows of the cancellation
   [[nodiscard]] bool complete() const { return done.size() == range.size(); }
 };
 
@@ -43,8 +43,8 @@
   double stopping_since = 0;
   bool stop_recorded = false;  // that is durable: its tasks may be told
   double placed_at = 0;
-  double launched_at = 0;     // when all its places were durable for the first time; 0: they are not
-  bool failure_told = false;  // its tasks were told to stop
+  double launched_at = 0;           // when all its places were durable for the first time; 0: they are not
+  bool failure_stops_sent = false;  // its tasks were told to stop
 };
 
 // A job at its home shard, or tasks of another shard's job that are delegated to this one.
@@ -55,7 +55,7 @@
   std::string delegation;  // the delegation's key, where its tasks were delegated to this shard
   RangeSet range;          // delegate: the tasks in the delegation
   std::uint64_t delegation_revision = 0;
-  bool works = false;                               // delegate: tasks of the job have completed elsewhere
+  bool succeeded_elsewhere = false;                 // delegate: tasks of the job have completed elsewhere
   double idle_since = 0;                            // nothing was placed since
   std::map<std::string, DelegatedTasks> delegated;  // home: by delegation key
   int team = 0;
@@ -76,54 +76,58 @@
   std::map<int, ProgressChunk> progress_chunks;
   bool progress_inflight = false;
 
-  GangAttempt attempt;        // of a gang
-  double next_gang_look = 0;  // places for it are not looked for before
-  double reserved_since = 0;  // machines are kept for it since; 0: none are
-  double next_reservation = 0;
-  bool delegated_gang_runs = false;    // a gang that is delegated: the delegate says that it runs
-  double delegated_gang_heard_at = 0;  // when it said so
+  GangAttempt attempt;                // of a gang
+  double next_gang_placement_at = 0;  // places for it are not looked for before
+  double reserved_since = 0;          // machines are kept for it since; 0: none are
+  double next_reservation_at = 0;
+  bool delegated_gang_runs = false;       // a gang that is delegated: the delegate says that it runs
+  double delegated_gang_reported_at = 0;  // when it said so
   int placed = 0;
-  std::map<int, int> stops;  // by task: how often it was stopped for other work
+  std::map<int, int> preemption_counts;  // by task: how often it was stopped for other work
   std::map<int, int> placed_by_zone;
   bool finishing = false;   // the ending is on its way to the state service
   bool cancelling = false;  // the cancellation is on its way
-  bool cleaning = false;
+  bool cleanup_inflight = false;
   struct CancelWaiter {
     Responder responder;
     double answer_by = 0;
   };
   std::vector<CancelWaiter> cancel_waiters;
   // Cancelled durably. Nobody is told before every shard that may hold tasks of it has taken note.
-  double aborted_at = 0;      // when this leader knew of it
-  std::set<int> unaware;      // home: shards that have not taken note yet
-  std::set<int> asking;       // home: of these, a question is under way
-  bool confirmed = false;     // home: users may be told
-  bool acknowledged = false;  // delegate: the home shard knows that it has taken note
-  bool note_written = false;  // delegate: or can read it in the delegation's record
+  double cancelled_at = 0;                 // when this leader knew of it
+  std::set<int> unacknowledged_shards;     // home: shards that have not taken note yet
+  std::set<int> asked_shards;              // home: of these, a question is under way
+  bool cancellation_confirmed = false;     // home: users may be told
+  bool cancellation_acknowledged = false;  // delegate: the home shard knows that it has taken note
+  bool cancellation_recorded = false;      // delegate: or can read it in the delegation's record
 
   int error_streak = 0;
-  struct Failing {
+  struct FailureCount {
     int errors = 0;
-    double last = 0;
+    double last_error_at = 0;
   };
-  std::map<std::string, Failing> failing;       // by machine: is it the job's fault or the machine's?
+  std::map<std::string, FailureCount>
+      failures_by_machine;                      // by machine: is it the job's fault or the machine's?
   std::vector<std::pair<double, int>> backoff;  // when, which task
-  bool fails_elsewhere = false;                 // a delegate of it found it at fault
+  bool found_faulty_elsewhere = false;          // a delegate of it found it at fault
   double next_trial_at = 0;                     // at fault: when one task of it is tried again
-  double pause = 0;                             // and how long after it, should that fail too
-  static constexpr std::size_t kSeveral = 3;
+  double trial_delay_s = 0;                     // and how long after it, should that fail too
+  static constexpr std::size_t kMinFailedMachines = 3;
   // It failed on several machines and has completed nothing: the fault is its own, not theirs.
-  [[nodiscard]] bool at_fault() const {
-    return !works && done.empty() && (fails_elsewhere || failing.size() >= kSeveral);
+  [[nodiscard]] bool is_faulty() const {
+    return !succeeded_elsewhere && done.empty() &&
+           (found_faulty_elsewhere || failures_by_machine.size() >= kMinFailedMachines);
   }
 
   [[nodiscard]] const JobSpec& spec() const { return record.spec; }
-  [[nodiscard]] bool over() const { return record.aborted || complete(); }
+  [[nodiscard]] bool is_over() const { return record.cancelled || complete(); }
   // Its user has asked to cancel it. (The write may have been carried out without this leader knowing, and
   // others may say so: its tasks are stopped from the moment the write is sent.)
-  [[nodiscard]] bool cancel_requested() const { return record.aborted || cancelling; }
+  [[nodiscard]] bool cancel_requested() const { return record.cancelled || cancelling; }
   // Its tasks may not be placed without regard to each other.
-  [[nodiscard]] bool bound() const { return record.spec.gang || record.spec.together || record.spec.scatter; }
+  [[nodiscard]] bool has_placement_constraints() const {
+    return record.spec.gang || record.spec.together || record.spec.scatter;
+  }
   [[nodiscard]] bool is_gang() const { return record.spec.gang; }
   // What has to be free at once for anything of it to start: of a gang all that waits, else one task.
   [[nodiscard]] Resources start_demand() const {
@@ -157,15 +161,15 @@
     for (const auto& [key, each] : delegated) open += each.range.size() - each.done.size();
     return open;
   }
-  void saved(const RangeSet& indices) { unsaved.erase(indices); }
-  [[nodiscard]] bool durable(int index) const { return done.contains(index) && !unsaved.contains(index); }
+  void mark_saved(const RangeSet& indices) { unsaved.erase(indices); }
+  [[nodiscard]] bool is_durable(int index) const { return done.contains(index) && !unsaved.contains(index); }
 };
 using JobPtr = std::shared_ptr<Job>;
 
 // The more urgent first, then the older.
-inline bool goes_before(const Job& a, const Job& b) {
+inline bool has_priority_over(const Job& a, const Job& b) {
   return a.spec().urgency != b.spec().urgency ? a.spec().urgency > b.spec().urgency
-                                              : a.record.submitted < b.record.submitted;
+                                              : a.record.submitted_at < b.record.submitted_at;
 }
 
 struct Placement {
@@ -184,7 +188,7 @@
   std::uint64_t seen_sequence = 0;  // last report that showed it
   TaskPhase phase = TaskPhase::kFetchingImage;
   double running_since = 0;
-  double requeue_delay = 0;
+  double requeue_delay_s = 0;
   bool preempted = false;      // being stopped for other work
   bool stop_recorded = false;  // of a gang that is being stopped: its record says so
 };
@@ -208,17 +212,17 @@
   std::vector<TaskReport> unmatched;  // of the last report: not among the placements
 
   std::uint64_t sequence = 0;       // of the last heartbeat
-  bool heard = false;               // reported to this owner
+  bool has_reported = false;        // reported to this owner
   bool token_acknowledged = false;  // the worker has shown this leader's fencing token
-  double last_answer = 0;           // last time an answer may have renewed its lease
-  double last_heard = 0;
-  double first_heard = 0;
+  double last_answer_at = 0;        // last time an answer may have renewed its lease
+  double last_report_at = 0;
+  double first_report_at = 0;
   double busy_at = 0;  // last time it had a placement
   std::optional<double> evicted_at;
   bool draining = false;
-  bool removed = false;   // the cloud took it back
-  bool keeping = false;   // for large tasks, when last looked
-  bool cordoned = false;  // takes nothing new, for now
+  bool removed = false;             // the cloud took it back
+  bool reserved_for_large = false;  // for large tasks, when last looked
+  bool cordoned = false;            // takes nothing new, for now
   bool faulty = false;
   // Its reports come, but no answer reaches it: seen by launches without effect, or by a lease that expired
   // while reports came all along. Nothing is started there until an incarnation outlasts the lease: it is
@@ -230,19 +234,20 @@
   double incarnation_since = 0;  // first report of this incarnation
   double steady_since = 0;       // its reports have come without a gap since
   int error_streak = 0;
-  std::vector<std::string> errors_of;  // jobs behind the streak
+  std::vector<std::string> failed_jobs;  // jobs behind the streak
   double no_fill_until = 0;
   std::vector<std::pair<int, double>> images;  // most recent last: image, GB
 
   Responder answer;  // a report waits for a commit
   double answer_by = 0;
-  double wanted_at = 0;        // last time that work other than best-effort wanted it, or was given it
-  double held_back_since = 0;  // its room is kept from best-effort work since, for other shards; 0: is not
-  bool held = false;           // nothing is placed there: its report waits for work
-  JobPtr reserved_for;         // a gang that waits for its room
+  double last_wanted_at = 0;  // last time that work other than best-effort wanted it, or was given it
+  double best_effort_excluded_since =
+      0;                     // its room is kept from best-effort work since, for other shards; 0: is not
+  bool report_held = false;  // nothing is placed there: its report waits for work
+  JobPtr reserved_for;       // a gang that waits for its room
   bool direct_inflight = false;
-  bool stops_due = false;  // a job was cancelled while a direct command was under way
-  double raise_tried = 0;  // last time a direct command showed it the fencing token
+  bool stops_due = false;                 // a job was cancelled while a direct command was under way
+  double last_token_announcement_at = 0;  // last time a direct command showed it the fencing token
 
   // May anything new be started here?
   [[nodiscard]] bool schedulable() const {
@@ -279,22 +284,24 @@
     row.quota_gpus = gpus;
     row.revision = revision;
   }
-  [[nodiscard]] bool room(int team, const Resources& demand) const {
+  [[nodiscard]] bool within_quota(int team, const Resources& demand) const {
     const Row& row = at(team);
-    return row.cores + demand[0] <= row.quota_cores + kSlop && row.gpus + demand[2] <= row.quota_gpus + kSlop;
+    return row.cores + demand[0] <= row.quota_cores + kRoundingTolerance &&
+           row.gpus + demand[2] <= row.quota_gpus + kRoundingTolerance;
   }
   // The shard's share of the guarantee is that of its quota share.
-  [[nodiscard]] bool in_guarantee(int team, const Resources& demand) const {
+  [[nodiscard]] bool within_guarantee(int team, const Resources& demand) const {
     const Row& row = at(team);
     const double cores = row.team.cpus * share(row.quota_cores, row.team.cpus_max);
     const double gpus = row.team.gpus * share(row.quota_gpus, row.team.gpus_max);
-    return row.cores + demand[0] <= cores + kSlop && row.gpus + demand[2] <= gpus + kSlop;
+    return row.cores + demand[0] <= cores + kRoundingTolerance &&
+           row.gpus + demand[2] <= gpus + kRoundingTolerance;
   }
   // Tasks of this size that the quota share still lets in.
   [[nodiscard]] int tasks_within(int team, const Resources& demand) const {
     double count = 1e6;
-    if (demand[0] > 0) count = std::min(count, (spare_cores(team) + kSlop) / demand[0]);
-    if (demand[2] > 0) count = std::min(count, (spare_gpus(team) + kSlop) / demand[2]);
+    if (demand[0] > 0) count = std::min(count, (spare_cores(team) + kRoundingTolerance) / demand[0]);
+    if (demand[2] > 0) count = std::min(count, (spare_gpus(team) + kRoundingTolerance) / demand[2]);
     return std::max(0, static_cast<int>(count));
   }
   void add(int team, const Resources& demand) {
@@ -319,7 +326,7 @@
 
  private:
   // Sums of decimal fractions come out a hair off; far below any real demand.
-  static constexpr double kSlop = 1e-9;
+  static constexpr double kRoundingTolerance = 1e-9;
   struct Row {
     Team team;
     double quota_cores = 0;
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -13,7 +13,7 @@
 constexpr const char* kSubmitted = "at";
 constexpr const char* kPhase = "phase";
 constexpr const char* kCancelled = "aborted";  // the one value of the phase in a job record
-constexpr const char* kSpread = "spread";
+constexpr const char* kCancelledWhileDelegated = "spread";
 }  // namespace job_fields
 
 // (One letter each: there may be thousands of machines in a segment.)
@@ -35,8 +35,8 @@
 namespace delegation_fields {
 constexpr const char* kHome = "home";
 constexpr const char* kJobRevision = "stamp";
-constexpr const char* kWorks = "works";
-constexpr const char* kFails = "fails";
+constexpr const char* kSucceededElsewhere = "works";
+constexpr const char* kFoundFaulty = "fails";
 constexpr const char* kJob = "head";
 constexpr const char* kRange = "range";
 }  // namespace delegation_fields
@@ -46,7 +46,7 @@
 constexpr const char* kReason = "reason";
 constexpr const char* kTeam = "team";
 constexpr const char* kClass = "class";
-constexpr const char* kAll = "all";
+constexpr const char* kAllHeld = "all";
 constexpr const char* kRerun = "rerun";
 constexpr const char* kMayHaveEnded = "may_have_ended";
 }  // namespace unaccounted_fields
@@ -65,7 +65,7 @@
 }
 
 // The same, of a record inside this one: the fault is at `field`, then at the inner record's field.
-std::nullopt_t unreadable_inside(RecordError* error, const std::string& field, const RecordError& inner) {
+std::nullopt_t unreadable_nested(RecordError* error, const std::string& field, const RecordError& inner) {
   return unreadable(error, inner.field.empty() ? field : field + "." + inner.field, inner.problem);
 }
 
@@ -103,9 +103,9 @@
 // ---------------------------------------------------------------- jobs
 
 Json JobRecord::to_json() const {
-  Json out = {{job_fields::kSpec, job_to_json(spec)}, {job_fields::kSubmitted, submitted}};
-  if (aborted) out[job_fields::kPhase] = job_fields::kCancelled;
-  if (spread) out[job_fields::kSpread] = true;
+  Json out = {{job_fields::kSpec, job_to_json(spec)}, {job_fields::kSubmitted, submitted_at}};
+  if (cancelled) out[job_fields::kPhase] = job_fields::kCancelled;
+  if (cancelled_while_delegated) out[job_fields::kCancelledWhileDelegated] = true;
   return out;
 }
 
@@ -117,9 +117,9 @@
   if (!spec) return unreadable(error, job_fields::kSpec, why);
   JobRecord out;
   out.spec = std::move(*spec);
-  out.submitted = value.value(job_fields::kSubmitted, 0.0);
-  out.aborted = value.value(job_fields::kPhase, "") == job_fields::kCancelled;
-  out.spread = value.value(job_fields::kSpread, false);
+  out.submitted_at = value.value(job_fields::kSubmitted, 0.0);
+  out.cancelled = value.value(job_fields::kPhase, "") == job_fields::kCancelled;
+  out.cancelled_while_delegated = value.value(job_fields::kCancelledWhileDelegated, false);
   return out;
 }
 
@@ -151,7 +151,7 @@
               {machine_fields::kSpot, spot},
               {machine_fields::kIncarnation, worker_incarnation},
               {machine_fields::kPlacements, std::move(jobs)}};
-  if (!stopping.empty()) out[machine_fields::kStopping] = stopping;
+  if (!stopping_attempts.empty()) out[machine_fields::kStopping] = stopping_attempts;
   return out;
 }
 
@@ -168,7 +168,7 @@
     for (const auto& [ref, list] : fields.at(machine_fields::kPlacements).items())
       read_placements(ref, list, out.placements);
     if (value.contains(machine_fields::kStopping))
-      out.stopping = fields.get<std::vector<std::uint64_t>>(machine_fields::kStopping);
+      out.stopping_attempts = fields.get<std::vector<std::uint64_t>>(machine_fields::kStopping);
   } catch (const Json::exception& exception) {
     return unreadable(error, fields.last(), exception.what());
   }
@@ -193,7 +193,7 @@
   for (const auto& [name, machine] : machines.items()) {
     RecordError inner;
     auto record = MachineRecord::from_json(machine, &inner);
-    if (!record) return unreadable_inside(error, name, inner);
+    if (!record) return unreadable_nested(error, name, inner);
     out.machines.emplace(name, std::move(*record));
   }
   const auto done = value.find(segment_fields::kDone);
@@ -209,10 +209,13 @@
 // ---------------------------------------------------------------- delegations and quota shares
 
 Json DelegationRecord::to_json() const {
-  Json out = {{delegation_fields::kHome, home_shard},       {delegation_fields::kJobRevision, job_revision},
-              {delegation_fields::kWorks, works},           {delegation_fields::kJob, job.to_json()},
-              {delegation_fields::kRange, range.to_text()}, {kDone, done.to_text()}};
-  if (fails) out[delegation_fields::kFails] = true;
+  Json out = {{delegation_fields::kHome, home_shard},
+              {delegation_fields::kJobRevision, job_revision},
+              {delegation_fields::kSucceededElsewhere, succeeded_elsewhere},
+              {delegation_fields::kJob, job.to_json()},
+              {delegation_fields::kRange, range.to_text()},
+              {kDone, done.to_text()}};
+  if (found_faulty) out[delegation_fields::kFoundFaulty] = true;
   return out;
 }
 
@@ -221,12 +224,12 @@
   if (!value.contains(delegation_fields::kJob)) return unreadable(error, delegation_fields::kJob, kMissing);
   RecordError inner;
   auto job_record = JobRecord::from_json(value[delegation_fields::kJob], &inner);
-  if (!job_record) return unreadable_inside(error, delegation_fields::kJob, inner);
+  if (!job_record) return unreadable_nested(error, delegation_fields::kJob, inner);
   DelegationRecord out;
   out.home_shard = value.value(delegation_fields::kHome, 0);
   out.job_revision = value.value(delegation_fields::kJobRevision, std::uint64_t{0});
-  out.works = value.value(delegation_fields::kWorks, false);
-  out.fails = value.value(delegation_fields::kFails, false);
+  out.succeeded_elsewhere = value.value(delegation_fields::kSucceededElsewhere, false);
+  out.found_faulty = value.value(delegation_fields::kFoundFaulty, false);
   const int task_count = job_record->spec.task_count;
   out.job = std::move(*job_record);
   auto range = RangeSet::from_text(value.value(delegation_fields::kRange, ""), task_count);
@@ -242,9 +245,9 @@
 
 // ---------------------------------------------------------------- jobs that could not be accounted for
 
-RangeSet UnaccountedRecord::held_of(int task_count) const {
+RangeSet UnaccountedRecord::held_indices(int task_count) const {
   if (rerun) return {};
-  if (!all) return held;
+  if (!all_held) return held;
   RangeSet out;
   out.insert(0, task_count);
   return out;
@@ -255,7 +258,7 @@
               {unaccounted_fields::kReason, reason},
               {unaccounted_fields::kTeam, team},
               {unaccounted_fields::kClass, job_class}};
-  if (all) out[unaccounted_fields::kAll] = true;
+  if (all_held) out[unaccounted_fields::kAllHeld] = true;
   if (rerun) out[unaccounted_fields::kRerun] = true;
   if (may_have_ended) out[unaccounted_fields::kMayHaveEnded] = true;
   return out;
@@ -267,7 +270,7 @@
   auto held = RangeSet::from_text(value.value(unaccounted_fields::kHeld, ""), kMaxTasksPerJob);
   if (!held) return unreadable(error, unaccounted_fields::kHeld, kNotRanges);
   out.held = std::move(*held);
-  out.all = value.value(unaccounted_fields::kAll, false);
+  out.all_held = value.value(unaccounted_fields::kAllHeld, false);
   out.rerun = value.value(unaccounted_fields::kRerun, false);
   out.may_have_ended = value.value(unaccounted_fields::kMayHaveEnded, false);
   out.reason = value.value(unaccounted_fields::kReason, "");
@@ -278,9 +281,9 @@
 
 // ---------------------------------------------------------------- what workers are witnesses of
 
-std::uint64_t newest_shown(const Report& report) {
+std::uint64_t newest_reported_revision(const Report& report) {
   std::uint64_t out = report.fencing_token;
-  for (const TaskReport& task : report.tasks) out = std::max(out, task.attempt >> kAttemptShift);
+  for (const TaskReport& task : report.tasks) out = std::max(out, task.attempt >> kAttemptCounterBits);
   return out;
 }
 
--- a/src/bookkeeping/records.hpp
+++ b/src/bookkeeping/records.hpp
@@ -27,10 +27,10 @@
 namespace mothslip {
 
 // The form of all these records. A node leaves alone what it finds in another form.
-inline constexpr int kRecordForm = 2;
+inline constexpr int kRecordFormatVersion = 2;
 // Of `meta` once records have been rebuilt (coordination/state/incarnation.hpp): versions that do not know of
 // incarnations leave such records alone.
-inline constexpr int kIncarnationForm = 3;
+inline constexpr int kIncarnationFormatVersion = 3;
 
 // Owner, in the shard owner records, of the shards of an incarnation that has been rebuilt. No controller has
 // this name, so nobody claims them, and whatever their former owners still send fails.
@@ -45,7 +45,7 @@
 
 // Attempt numbers begin with a revision of the state service and end with so many bits of a counter: unique,
 // and rising from owner to owner.
-inline constexpr unsigned kAttemptShift = 20;
+inline constexpr unsigned kAttemptCounterBits = 20;
 
 // Keys of the records. P and Q are shard numbers, REF a job's id, N a number. All but `meta`, `gangs`,
 // `types` and `types~N` have the prefix of the present incarnation in front, which StateClient adds and
@@ -74,7 +74,7 @@
 // process of the same node); ends with the lease, or deleted by the owner to hand the shard over.
 // `parts/@NODE`: the announcement of a live node, under its lease. Written by that node.
 inline const std::string kShardOwners = "parts/";
-inline std::string shard(int p) { return kShardOwners + std::to_string(p); }
+inline std::string shard_owner(int p) { return kShardOwners + std::to_string(p); }
 
 // `rentals/NAME`: machines that may have been asked of the cloud under this name. Written by the fleet (at
 // the leader of shard 0) before it calls the cloud, and deleted by it once every outcome is certain.
@@ -88,7 +88,7 @@
 }
 
 // `none`: never exists. A read of it tells the present revision of the state service.
-inline const std::string kNone = "none";
+inline const std::string kRevisionProbe = "none";
 
 // `w/`: all that every shard's leader has to hear of (job records, delegations, quota shares) lies under this
 // prefix, so that a leader needs one watch and not three.
@@ -109,15 +109,15 @@
 inline int delegation_target(const std::string& key) { return std::atoi(key.c_str() + kDelegations.size()); }
 
 // `w/t/INDEX`: QuotaSplitRecord of the team at this index of the settings.
-inline const std::string kTeams = "w/t/";
-inline std::string team(int index) { return kTeams + std::to_string(index); }
+inline const std::string kQuotaSplits = "w/t/";
+inline std::string quota_split(int index) { return kQuotaSplits + std::to_string(index); }
 
 // `d/P/REF`: ProgressRecord of an open job; `d/P/REF~N`: further ones, where one record would be too large.
 inline const std::string kProgress = "d/";
-inline std::string progresses(int p) { return kProgress + std::to_string(p) + "/"; }
-inline std::string progress(int p, const std::string& ref) { return progresses(p) + ref; }
+inline std::string progress_records(int p) { return kProgress + std::to_string(p) + "/"; }
+inline std::string progress_record(int p, const std::string& ref) { return progress_records(p) + ref; }
 inline std::string progress_chunk(int p, const std::string& ref, int number) {
-  return progress(p, ref) + "~" + std::to_string(number);
+  return progress_record(p, ref) + "~" + std::to_string(number);
 }
 
 // `e/P/REF`: how a job ended (ending_json).
@@ -148,11 +148,11 @@
 // succeed.
 struct JobRecord {
   JobSpec spec;
-  double submitted = 0;  // time of day at the accepting node, seconds since the epoch
-  bool aborted = false;  // cancelled; some tasks may still have to be stopped
+  double submitted_at = 0;  // time of day at the accepting node, seconds since the epoch
+  bool cancelled = false;   // cancelled; some tasks may still have to be stopped
   // Cancelled while tasks of it were delegated: the delegates may not know of the cancellation yet, and only
   // the leader of the home shard can tell when they do.
-  bool spread = false;
+  bool cancelled_while_delegated = false;
 
   [[nodiscard]] Json to_json() const;
   static std::optional<JobRecord> from_json(const Json& value, RecordError* error = nullptr);
@@ -173,7 +173,7 @@
   bool spot = false;
   std::uint64_t worker_incarnation = 0;
   std::vector<PlacementRecord> placements;
-  std::vector<std::uint64_t> stopping;  // attempts of gangs that are being stopped
+  std::vector<std::uint64_t> stopping_attempts;  // attempts of gangs that are being stopped
 
   // Placements are grouped by job: a machine full of small tasks must stay within the value size.
   [[nodiscard]] Json to_json() const;
@@ -205,8 +205,8 @@
   JobRecord job;
   RangeSet range;
   RangeSet done;
-  bool works = false;  // tasks of the job have completed elsewhere
-  bool fails = false;  // the delegate found the job at fault
+  bool succeeded_elsewhere = false;  // tasks of the job have completed elsewhere
+  bool found_faulty = false;         // the delegate found the job at fault
 
   [[nodiscard]] bool complete() const { return done.size() == range.size(); }
   [[nodiscard]] Json to_json() const;
@@ -244,7 +244,7 @@
 // lets a job start again whose description is lost; deleted by it when the operator's decision, or the job's
 // ending, is written.
 struct UnaccountedRecord {
-  bool all = false;  // every task is held: how many there are is not known, the description is lost
+  bool all_held = false;  // every task is held: how many there are is not known, the description is lost
   RangeSet held;
   // It may have ended, and its user may have been told: until an operator decides, nothing is told of it.
   bool may_have_ended = false;
@@ -255,16 +255,16 @@
   std::string job_class;
 
   // Nothing may be told about the job.
-  [[nodiscard]] bool silent() const { return may_have_ended && !rerun; }
+  [[nodiscard]] bool withholds_status() const { return may_have_ended && !rerun; }
   // Indices of the held tasks, of a job that has so many.
-  [[nodiscard]] RangeSet held_of(int task_count) const;
+  [[nodiscard]] RangeSet held_indices(int task_count) const;
   [[nodiscard]] Json to_json() const;
   static std::optional<UnaccountedRecord> from_json(const Json& value, RecordError* error = nullptr);
 };
 
 // The newest revision of the state service that a worker is a witness of: its fencing token, or that with
 // which an attempt number of its tasks begins.
-[[nodiscard]] std::uint64_t newest_shown(const Report& report);
+[[nodiscard]] std::uint64_t newest_reported_revision(const Report& report);
 
 // How a job ended, for good: `phase` ("done" or "aborted") and its number of tasks (0: not known).
 //
--- a/src/coordination/fleet/rental_ledger.cpp
+++ b/src/coordination/fleet/rental_ledger.cpp
@@ -85,7 +85,7 @@
 void RentalLedger::record(const std::string& name) {
   const std::vector<RentalRequest> requests = rentals_.at(name).requests;
   Transaction txn;
-  txn.guard(keys::shard(0), fencing_token_);
+  txn.guard(keys::shard_owner(0), fencing_token_);
   txn.put(keys::rental(name), RentalRecord{requests}.to_json());
   auto on_commit = [this, name, requests](const StateReply& reply) {
     if (reply.ok()) {
@@ -186,7 +186,7 @@
 void RentalLedger::drop(const std::string& name) {
   rentals_.erase(name);
   Transaction txn;
-  txn.guard(keys::shard(0), fencing_token_);
+  txn.guard(keys::shard_owner(0), fencing_token_);
   txn.remove(keys::rental(name));
   services_.state.commit(RequestPriority::kRest, txn, [](const StateReply&) {});
 }
--- a/src/coordination/node/job_status.cpp
+++ b/src/coordination/node/job_status.cpp
@@ -134,9 +134,9 @@
   }
   const auto record =
       reply.ok() ? UnaccountedRecord::from_json(reply.body.value("data", Json())) : std::nullopt;
-  if (!record || record->silent()) {
+  if (!record || record->withholds_status()) {
     finish_read(ref, finding(JobFinding::Kind::kUndecided));
-  } else if (record->all) {
+  } else if (record->all_held) {
     finish_read(ref, status_finding({}));  // (it waits for its description)
   } else {
     read_job_record(ref);
--- a/src/coordination/node/revision_probe.cpp
+++ b/src/coordination/node/revision_probe.cpp
@@ -15,7 +15,7 @@
 // Other calls tell the revision only now and then; one that falls has to be noticed before others raise it
 // again. (The state client passes the answer's revision on to the monitor.)
 void RevisionProbe::read_at_intervals() {
-  state_.get(RequestPriority::kLease, keys::kNone, [](const StateReply&) {});
+  state_.get(RequestPriority::kLease, keys::kRevisionProbe, [](const StateReply&) {});
   env_.after(kIntervalSeconds, [this] { read_at_intervals(); });
 }
 
@@ -24,7 +24,7 @@
 void RevisionProbe::check_shown(std::uint64_t revision) {
   if (monitor_ == nullptr || revision <= monitor_->newest() || checking_) return;
   checking_ = true;
-  state_.get(RequestPriority::kLease, keys::kNone, [this, revision](const StateReply& reply) {
+  state_.get(RequestPriority::kLease, keys::kRevisionProbe, [this, revision](const StateReply& reply) {
     checking_ = false;
     if (reply.outcome == Outcome::kMissing) monitor_->on_revision(revision, reply.revision());
   });
--- a/src/coordination/node/user_api.cpp
+++ b/src/coordination/node/user_api.cpp
@@ -178,7 +178,7 @@
 JobRecord UserApi::job_record(const JobSpec& spec) const {
   JobRecord record;
   record.spec = spec;
-  record.submitted = ctx_.env->wall();
+  record.submitted_at = ctx_.env->wall();
   // A long list of machine types, most of them unknown here, must not keep the job from being recorded.
   const auto bytes = static_cast<double>(dump_json(record.to_json()).size());
   const double most_bytes = kJobRecordFill * ctx_.settings->value_kb * 1024;
--- a/src/coordination/node/worker_reports.cpp
+++ b/src/coordination/node/worker_reports.cpp
@@ -26,7 +26,7 @@
     responder.send(503, R"({"error":"starting"})", 1);
     return;
   }
-  ctx_.revisions->check_shown(newest_shown(*report));
+  ctx_.revisions->check_shown(newest_reported_revision(*report));
   const int shard = shard_of(report->machine_name, ctx_.ownership->shard_count());
   if (ShardLeader* leader = ctx_.shards->find(shard); leader != nullptr) {
     leader->on_report(std::move(*report), relayed, responder);
--- a/src/coordination/ownership/home_return.cpp
+++ b/src/coordination/ownership/home_return.cpp
@@ -49,8 +49,8 @@
   releasing_ = true;
   entry.release_sent = env_.now();
   Transaction txn;
-  txn.guard(keys::shard(shard), entry.held_token);
-  txn.remove(keys::shard(shard));
+  txn.guard(keys::shard_owner(shard), entry.held_token);
+  txn.remove(keys::shard_owner(shard));
   state_.commit(RequestPriority::kLease, txn,
                 [this, shard, fencing_token = entry.held_token](const StateReply& reply) {
                   releasing_ = false;
--- a/src/coordination/ownership/node_lease.cpp
+++ b/src/coordination/ownership/node_lease.cpp
@@ -84,7 +84,7 @@
 void NodeLease::on_missing() {
   if (monitor_ == nullptr) return expire("lease ended");
   if (env_.now() < end_) return monitor_->on_contradiction("a lease ended before its time");
-  state_.get(RequestPriority::kLease, keys::kNone, [this](const StateReply& reply) {
+  state_.get(RequestPriority::kLease, keys::kRevisionProbe, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
       env_.after(kRetrySeconds, [this] { on_missing(); });
     } else if (!monitor_->lost()) {
--- a/src/coordination/ownership/shard_claims.cpp
+++ b/src/coordination/ownership/shard_claims.cpp
@@ -71,8 +71,8 @@
   owners_.at(shard).claiming = true;
   const std::uint64_t lease_id = lease_.id();
   Transaction txn;
-  txn.guard(keys::shard(shard), revision);
-  txn.put_with_lease(keys::shard(shard), OwnerRecord{settings_.node, boot_}.to_json(), lease_id);
+  txn.guard(keys::shard_owner(shard), revision);
+  txn.put_with_lease(keys::shard_owner(shard), OwnerRecord{settings_.node, boot_}.to_json(), lease_id);
   state_.commit(RequestPriority::kLease, txn, [this, shard, lease_id](const StateReply& reply) {
     owners_.at(shard).claiming = false;
     if (reply.ok() && lease_id == lease_.id()) {
@@ -85,10 +85,11 @@
 
 void ShardClaims::read_key(int shard, std::uint64_t lease_id) {
   owners_.at(shard).claiming = true;
-  state_.get(RequestPriority::kLease, keys::shard(shard), [this, shard, lease_id](const StateReply& reply) {
-    owners_.at(shard).claiming = false;
-    on_key_read(shard, lease_id, reply);
-  });
+  state_.get(RequestPriority::kLease, keys::shard_owner(shard),
+             [this, shard, lease_id](const StateReply& reply) {
+               owners_.at(shard).claiming = false;
+               on_key_read(shard, lease_id, reply);
+             });
 }
 
 void ShardClaims::on_key_read(int shard, std::uint64_t lease_id, const StateReply& reply) {
--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -27,7 +27,7 @@
 
 void Cancellation::cancel(const std::string& ref, Responder responder) {
   const JobPtr& job = model_.jobs().at(ref);
-  if (job->confirmed) {
+  if (job->cancellation_confirmed) {
     responder.send(200, cancellation_body(ref, JobPhase::kCancelled));
     return;
   }
@@ -36,7 +36,7 @@
     return;
   }
   if (const auto held = model_.unaccounted().find(ref);
-      held != model_.unaccounted().end() && held->second.silent()) {
+      held != model_.unaccounted().end() && held->second.withholds_status()) {
     responder.send(503, R"({"error":"not known whether it has ended"})", kUnaccountedRetrySeconds);
     return;
   }
@@ -62,13 +62,13 @@
 bool Cancellation::commit_cancels() {
   for (auto& [ref, job] : model_.jobs()) {
     if (job->delegated_here() || job->cancel_waiters.empty() || job->finishing || job->cancelling ||
-        job->record.aborted)
+        job->record.cancelled)
       continue;
     if (job->complete()) continue;  // its ending is written instead
     job->cancelling = true;
     JobRecord job_record = job->record;
-    job_record.aborted = true;
-    job_record.spread = !job->all_delegated_complete();
+    job_record.cancelled = true;
+    job_record.cancelled_while_delegated = !job->all_delegated_complete();
     Transaction txn = committer_.guarded_transaction();
     txn.guard(keys::job_record(ctx_.shard, ref), job->job_revision);
     txn.put(keys::job_record(ctx_.shard, ref), job_record.to_json());
@@ -89,9 +89,9 @@
 }
 
 void Cancellation::on_cancellation_durable(const JobPtr& job) {
-  job->aborted_at = ctx_.env->now();
+  job->cancelled_at = ctx_.env->now();
   for (const auto& [key, delegated] : job->delegated) {
-    if (!delegated.complete()) job->unaware.insert(keys::delegation_target(key));
+    if (!delegated.complete()) job->unacknowledged_shards.insert(keys::delegation_target(key));
   }
   commands_.stop_directly(job);
   retry_cancellations();
@@ -100,20 +100,21 @@
 void Cancellation::retry_cancellations() {
   bool left = false;
   for (const auto& [ref, job] : model_.jobs()) {
-    if (job->delegated_here() || !job->record.aborted || job->confirmed) continue;
-    for (auto it = job->unaware.begin(); it != job->unaware.end();) {
+    if (job->delegated_here() || !job->record.cancelled || job->cancellation_confirmed) continue;
+    for (auto it = job->unacknowledged_shards.begin(); it != job->unacknowledged_shards.end();) {
       const int shard = *it;
       const bool holds = std::any_of(job->delegated.begin(), job->delegated.end(), [shard](const auto& item) {
-        return keys::delegation_target(item.first) == shard && !item.second.complete() && !item.second.noted;
+        return keys::delegation_target(item.first) == shard && !item.second.complete() &&
+               !item.second.cancellation_acknowledged;
       });
       if (!holds || ctx_.owner_since(shard) > job->job_revision) {
-        it = job->unaware.erase(it);
+        it = job->unacknowledged_shards.erase(it);
         continue;
       }
-      if (job->asking.insert(shard).second) ask_delegate(job, shard);
+      if (job->asked_shards.insert(shard).second) ask_delegate(job, shard);
       ++it;
     }
-    if (job->unaware.empty() && tasks_stopped(*job)) {
+    if (job->unacknowledged_shards.empty() && tasks_stopped(*job)) {
       confirm(job);
     } else {
       left = true;
@@ -133,10 +134,10 @@
              const auto reply = CancellationReply::from_json(answer);
              if (!reply) return check_owner_changed(job, shard, 0);
              if (!reply->noted) {
-               job->asking.erase(shard);  // it knows, and its machines are still stopping
+               job->asked_shards.erase(shard);  // it knows, and its machines are still stopping
              } else if (reply->lease_valid) {
-               job->asking.erase(shard);
-               job->unaware.erase(shard);
+               job->asked_shards.erase(shard);
+               job->unacknowledged_shards.erase(shard);
                retry_cancellations();
              } else {
                check_owner_changed(job, shard, reply->fencing_token);
@@ -146,22 +147,22 @@
 
 // `noted`: the token of the owner that has taken note, but whose lease may be over.
 void Cancellation::check_owner_changed(const JobPtr& job, int shard, std::uint64_t noted) {
-  ctx_.state->get(RequestPriority::kCancel, keys::shard(shard),
+  ctx_.state->get(RequestPriority::kCancel, keys::shard_owner(shard),
                   alive_([this, job, shard, noted](const StateReply& reply) {
-                    job->asking.erase(shard);
+                    job->asked_shards.erase(shard);
                     const auto found = reply.ok() ? reply.body.value("stamp", std::uint64_t{0}) : 0;
                     const bool knows =
                         reply.outcome == Outcome::kMissing ||
                         (reply.ok() && (found > job->job_revision || (noted != 0 && found == noted)));
                     if (!knows) return;
-                    job->unaware.erase(shard);
+                    job->unacknowledged_shards.erase(shard);
                     retry_cancellations();
                   }));
 }
 
 void Cancellation::confirm(const JobPtr& job) {
-  if (job->confirmed) return;
-  job->confirmed = true;
+  if (job->cancellation_confirmed) return;
+  job->cancellation_confirmed = true;
   const std::string& ref = job->spec().ref;
   spdlog::info("{}: cancellation confirmed", ref);
   for (const Job::CancelWaiter& waiter : job->cancel_waiters) {
@@ -173,7 +174,7 @@
 
 // Its tasks are gone, as far as can be waited for: a launch on its way has arrived and is stopped.
 bool Cancellation::tasks_stopped(const Job& job) const {
-  return job.placed == 0 || ctx_.env->now() - job.aborted_at >= kStopPatience;
+  return job.placed == 0 || ctx_.env->now() - job.cancelled_at >= kStopPatience;
 }
 
 CancellationReply Cancellation::on_job_cancelled(const CancellationNotice& notice) {
@@ -183,7 +184,7 @@
        it != model_.jobs().end() && it->first.rfind(prefix, 0) == 0; ++it) {
     delegation_.drop_delegated(it->second);
     noted = noted && tasks_stopped(*it->second);
-    it->second->acknowledged = true;
+    it->second->cancellation_acknowledged = true;
   }
   committer_.send_due_writes();
   return {noted, ctx_.exclusive_owner(), ctx_.fencing_token};
@@ -194,9 +195,9 @@
   std::vector<JobPtr> noted;
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (const auto& [key, job] : model_.jobs()) {
-    if (!job->delegated_here() || !job->record.aborted || job->acknowledged || job->note_written ||
-        job->cleaning || job->progress_inflight || job->placed == 0 ||
-        ctx_.env->now() - job->aborted_at < kWriteNote) {
+    if (!job->delegated_here() || !job->record.cancelled || job->cancellation_acknowledged ||
+        job->cancellation_recorded || job->cleanup_inflight || job->progress_inflight || job->placed == 0 ||
+        ctx_.env->now() - job->cancelled_at < kWriteNote) {
       continue;
     }
     if (txn.then.size() + 1 > most) break;
@@ -205,7 +206,7 @@
       continue;  // it is only asked for then
     txn.guard(key, job->delegation_revision);
     txn.put(key, std::move(record));
-    job->note_written = job->progress_inflight = true;
+    job->cancellation_recorded = job->progress_inflight = true;
     noted.push_back(job);
   }
   if (noted.empty()) return false;
--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -18,25 +18,27 @@
 bool DelegationPlanner::has_usable_room(const Machine& machine) const {
   const double now = ctx_.env->now();
   if (machine.type < 0 || !machine.schedulable() || now < machine.no_fill_until) return false;
-  return machine.heard && now - machine.last_heard <= ctx_.report_freshness_s() && !machine.reserved_for;
+  return machine.has_reported && now - machine.last_report_at <= ctx_.report_freshness_s() &&
+         !machine.reserved_for;
 }
 
 DelegationPlanner::FreeRooms DelegationPlanner::own_rooms() const {
   FreeRooms out;
   for (const auto& [name, machine] : model_.machines()) {
     if (!has_usable_room(*machine)) continue;
-    machine->keeping = rules_.reserves_for_large(*machine);
+    machine->reserved_for_large = rules_.reserves_for_large(*machine);
     out.emplace_back(machine.get(), machine->room);
   }
   return out;
 }
 
 bool DelegationPlanner::may_be_delegated(const Job& job) const {
-  if (job.delegated_here() || job.is_gang() || job.over() || job.cancelling || job.waiting.empty())
+  if (job.delegated_here() || job.is_gang() || job.is_over() || job.cancelling || job.waiting.empty())
     return false;
-  if (job.at_fault() || !job.cancel_waiters.empty()) return false;
+  if (job.is_faulty() || !job.cancel_waiters.empty()) return false;
   // Where the tasks of a job are bound to each other one shard must see all that are placed: they go whole.
-  return !job.bound() || (job.placed == 0 && job.delegated_open() == 0 && job.backoff.empty());
+  return !job.has_placement_constraints() ||
+         (job.placed == 0 && job.delegated_open() == 0 && job.backoff.empty());
 }
 
 // Takes the room of those that find some.
@@ -44,7 +46,8 @@
   int left = job.waiting.size();
   int within_quota = std::min(left, model_.teams().tasks_within(job.team, job.demand));
   for (auto& [machine, room] : rooms) {
-    if ((machine->keeping || machine->cordoned) && rules_.fits_smaller_type(job, machine->type)) continue;
+    if ((machine->reserved_for_large || machine->cordoned) && rules_.fits_smaller_type(job, machine->type))
+      continue;
     while (within_quota > 0 && rules_.allowed_on(job, *machine) && take_room(room, job.demand)) {
       within_quota--;
       left--;
@@ -62,7 +65,7 @@
   out.nothing_placed = job.placed == 0 && job.done.empty() && job.delegated.empty();
   out.bonus = PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) + rules_.age_bonus(job, wall);
   if (spec.deadline_s) {
-    out.pressure = deadline_pressure(job.record.submitted + *spec.deadline_s - wall,
+    out.pressure = deadline_pressure(job.record.submitted_at + *spec.deadline_s - wall,
                                      kEstimateMargin * std::max(1.0, spec.estimated_s));
   }
   return out;
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -52,7 +52,7 @@
 
 int GangScheduler::gang_tasks_running(const Job& job) const {
   const bool delegated_gang_runs = job.delegated_open() > 0 && job.delegated_gang_runs &&
-                                   ctx_.env->now() - job.delegated_gang_heard_at < kToldGood;
+                                   ctx_.env->now() - job.delegated_gang_reported_at < kToldGood;
   return job.gang_runs() || delegated_gang_runs ? job.spec().task_count : 0;
 }
 
@@ -65,7 +65,7 @@
 
 // Nothing of it is placed, delegated or paused.
 bool GangScheduler::gang_waits(const Job& job) const {
-  return job.is_gang() && job.attempt.number == 0 && !job.over() && !job.cancel_requested() &&
+  return job.is_gang() && job.attempt.number == 0 && !job.is_over() && !job.cancel_requested() &&
          gang_may_be_placed(job);
 }
 
@@ -85,9 +85,9 @@
 
 bool GangScheduler::open_to_gang(const Job& job, const Machine& machine) const {
   const double now = ctx_.env->now();
-  if (machine.type < 0 || !machine.schedulable() || !machine.token_acknowledged || !machine.heard)
+  if (machine.type < 0 || !machine.schedulable() || !machine.token_acknowledged || !machine.has_reported)
     return false;
-  if (now < machine.no_fill_until || now - machine.last_heard > ctx_.report_freshness_s()) return false;
+  if (now < machine.no_fill_until || now - machine.last_report_at > ctx_.report_freshness_s()) return false;
   if (machine.reserved_for && machine.reserved_for.get() != &job) return false;
   return !(machine.cordoned && rules_.fits_smaller_type(job, machine.type)) &&
          rules_.allowed_on(job, machine);
@@ -109,7 +109,7 @@
   const std::vector<GangShare> shares = find_gang_places(gang_needs(*job), rooms);
   const double now = ctx_.env->now();
   if (shares.empty()) {
-    job->next_gang_look = now + kLookAgain;
+    job->next_gang_placement_at = now + kLookAgain;
     return false;
   }
   GangAttempt& attempt = job->attempt;
@@ -118,13 +118,13 @@
     // gang here, are revisions that are known here.
     const std::uint64_t revision =
         std::max({ctx_.fencing_token, model_.watched(), job->job_revision, job->delegation_revision});
-    attempt.number = (revision << kAttemptShift) + model_.next_count();
+    attempt.number = (revision << kAttemptCounterBits) + model_.next_count();
     attempt.placed_at = now;
   }
   const std::uint64_t number = attempt.number;
   for (const GangShare& share : shares) {
     for (int i = 0; i < share.tasks; i++) placement_.place_task(*open[share.machine], job, number);
-    open[share.machine]->held = false;
+    open[share.machine]->report_held = false;
   }
   if (reserving_ == job) release_reservation();
   return true;
@@ -163,7 +163,7 @@
 
 void GangScheduler::maintain() {
   for (const auto& [name, job] : model_.jobs()) {
-    if (!job->is_gang() || job->over() || job->cancel_requested()) continue;
+    if (!job->is_gang() || job->is_over() || job->cancel_requested()) continue;
     if (job->attempt.number != 0) maintain_attempt(job);
     if (job->delegated_here()) report_to_home(job);
   }
@@ -180,8 +180,8 @@
     attempt.failed = true;  // whoever is left has nothing to save any more
   if (attempt.launched_at == 0 && now - attempt.placed_at > kIncomplete) attempt.failed = true;
   if (attempt.failed) {
-    if (!attempt.failure_told) {
-      attempt.failure_told = true;
+    if (!attempt.failure_stops_sent) {
+      attempt.failure_stops_sent = true;
       commands_.stop_directly(job);
     }
     return;
@@ -212,21 +212,22 @@
   const double wall = ctx_.env->wall();
   JobPtr first;
   for (const auto& [name, job] : model_.jobs()) {
-    const bool waits = gang_waits(*job) && !job->at_fault();
-    if (!waits || now < job->next_reservation || !rules_.within_quota(*job)) continue;
-    if (wall - job->record.submitted < kReserveAfter || now - job->idle_since < kReserveAfter) continue;
-    if (!first || goes_before(*job, *first)) first = job;
+    const bool waits = gang_waits(*job) && !job->is_faulty();
+    if (!waits || now < job->next_reservation_at || !rules_.within_quota(*job)) continue;
+    if (wall - job->record.submitted_at < kReserveAfter || now - job->idle_since < kReserveAfter) continue;
+    if (!first || has_priority_over(*job, *first)) first = job;
   }
   if (reserving_ && reserving_ == first && now - reserved_at_ < kReserveAnew) return;
   if (reserving_ != first) {
-    if (reserving_ && !reserving_->over() && reserving_->attempt.number == 0) reserving_->reserved_since = 0;
+    if (reserving_ && !reserving_->is_over() && reserving_->attempt.number == 0)
+      reserving_->reserved_since = 0;
   }
   release_reservation();
   if (!first) return;
   if (first->reserved_since == 0) first->reserved_since = now;
   if (now - first->reserved_since > kReserveAtMost) {
     first->reserved_since = 0;
-    first->next_reservation = now + kReservePause;
+    first->next_reservation_at = now + kReservePause;
     return;
   }
   reserve_for(first);
@@ -301,11 +302,12 @@
 std::vector<JobPtr> GangScheduler::gangs_to_delegate() const {
   std::vector<JobPtr> out;
   for (const auto& [name, job] : model_.jobs()) {
-    if (job->delegated_here() || !gang_waits(*job) || job->at_fault() || !job->cancel_waiters.empty())
+    if (job->delegated_here() || !gang_waits(*job) || job->is_faulty() || !job->cancel_waiters.empty())
       continue;
     out.push_back(job);
   }
-  std::sort(out.begin(), out.end(), [](const JobPtr& a, const JobPtr& b) { return goes_before(*a, *b); });
+  std::sort(out.begin(), out.end(),
+            [](const JobPtr& a, const JobPtr& b) { return has_priority_over(*a, *b); });
   return out;
 }
 
@@ -366,10 +368,10 @@
 void GangScheduler::report_to_home(const JobPtr& job) {
   const double now = ctx_.env->now();
   const bool running = job->gang_runs();
-  if (running == job->delegated_gang_runs && (!running || now - job->delegated_gang_heard_at < kTellEvery))
+  if (running == job->delegated_gang_runs && (!running || now - job->delegated_gang_reported_at < kTellEvery))
     return;
   job->delegated_gang_runs = running;
-  job->delegated_gang_heard_at = now;
+  job->delegated_gang_reported_at = now;
   ctx_.ask(job->home_shard, peer_paths::kGangState, GangState{job->spec().ref, running}.to_json(),
            [](const Json&) {});
 }
@@ -378,7 +380,7 @@
   const auto it = model_.jobs().find(state.ref);
   if (it == model_.jobs().end() || !it->second->is_gang()) return;
   it->second->delegated_gang_runs = state.running;
-  it->second->delegated_gang_heard_at = ctx_.env->now();
+  it->second->delegated_gang_reported_at = ctx_.env->now();
 }
 
 }  // namespace mothslip
--- a/src/coordination/shard/job_completion.cpp
+++ b/src/coordination/shard/job_completion.cpp
@@ -19,12 +19,12 @@
 std::vector<JobPtr> JobCompletion::jobs_to_end() const {
   std::vector<JobPtr> out;
   for (const auto& [name, job] : model_.jobs()) {
-    const bool busy = job->finishing || job->cancelling || job->record.aborted || job->progress_inflight;
+    const bool busy = job->finishing || job->cancelling || job->record.cancelled || job->progress_inflight;
     if (!job->delegated_here() && !busy && job->complete() && job->all_delegated_complete())
       out.push_back(job);
   }
   std::stable_sort(out.begin(), out.end(),
-                   [](const JobPtr& a, const JobPtr& b) { return goes_before(*a, *b); });
+                   [](const JobPtr& a, const JobPtr& b) { return has_priority_over(*a, *b); });
   return out;
 }
 
@@ -35,11 +35,11 @@
 void JobCompletion::add_ending(Transaction& txn, const Job& job, const char* phase) const {
   const std::string& ref = job.spec().ref;
   txn.guard(keys::job_record(ctx_.shard, ref), job.job_revision);
-  txn.guard(keys::progress(ctx_.shard, ref), job.progress_revision);
+  txn.guard(keys::progress_record(ctx_.shard, ref), job.progress_revision);
   txn.put(keys::ending(ctx_.shard, ref), ending_json(phase, job.spec().task_count));
   txn.remove(keys::job_record(ctx_.shard, ref));
   if (model_.unaccounted().count(ref) > 0) txn.remove(keys::unaccounted(ctx_.shard, ref));
-  if (job.progress_revision != 0) txn.remove(keys::progress(ctx_.shard, ref));
+  if (job.progress_revision != 0) txn.remove(keys::progress_record(ctx_.shard, ref));
   for (const auto& [key, delegated] : job.delegated) {
     txn.guard(key, delegated.revision);
     txn.remove(key);
@@ -73,7 +73,7 @@
 
 void JobCompletion::on_ended(const JobPtr& job) {
   const std::string ref = job->spec().ref;
-  spdlog::info("{} done after {:.1f} s", ref, ctx_.env->wall() - job->record.submitted);
+  spdlog::info("{} done after {:.1f} s", ref, ctx_.env->wall() - job->record.submitted_at);
   for (const Job::CancelWaiter& waiter : job->cancel_waiters) {
     waiter.responder.send(200, cancellation_body(ref, JobPhase::kDone));
   }
@@ -87,7 +87,7 @@
   return std::all_of(failed.begin(), failed.end(), [this](const std::string& key) {
     const auto it = model_.jobs().find(key.substr(key.rfind('/') + 1));
     return key.rfind(keys::job_records(ctx_.shard), 0) == 0 &&
-           (it == model_.jobs().end() || it->second->cancelling || it->second->record.aborted);
+           (it == model_.jobs().end() || it->second->cancelling || it->second->record.cancelled);
   });
 }
 
@@ -111,7 +111,8 @@
 // Adds to the transaction what is left of a cancelled job or delegation of which nothing runs any more.
 JobCompletion::Cleanup JobCompletion::add_cleanup(Transaction& txn, const std::string& name, const Job& job,
                                                   std::size_t max_changes) const {
-  if (!job.record.aborted || job.cleaning || job.placed > 0 || job.progress_inflight) return Cleanup::kNotDue;
+  if (!job.record.cancelled || job.cleanup_inflight || job.placed > 0 || job.progress_inflight)
+    return Cleanup::kNotDue;
   if (job.delegated_here()) {
     // A delegation whose record is complete is the home shard's to delete.
     if (job.complete() && job.unsaved.empty()) return Cleanup::kNotDue;
@@ -137,7 +138,7 @@
     if (cleanup == Cleanup::kNotDue) continue;
     if (cleanup == Cleanup::kNoRoom) break;
     if (cleanup == Cleanup::kTooManyDelegations) return remove_delegations_of_cancelled(job, max_changes);
-    job->cleaning = true;
+    job->cleanup_inflight = true;
     cleaned.push_back(name);
   }
   if (cleaned.empty()) return false;
--- a/src/coordination/shard/journal.cpp
+++ b/src/coordination/shard/journal.cpp
@@ -44,7 +44,7 @@
     for (std::size_t i = 0; i < machine->placements.size();) {
       const Placement& placement = machine->placements[i];
       if (placement.stage == Placement::Stage::kFreeing &&
-          (placement.segment == 0 || placement.job->record.aborted)) {
+          (placement.segment == 0 || placement.job->record.cancelled)) {
         model_.drop_placement(*machine, i);
       } else {
         i++;
@@ -171,7 +171,7 @@
 }
 
 void Journal::on_completions_recorded(const JobPtr& job, const std::string& name, const RangeSet& done) {
-  job->saved(done);
+  job->mark_saved(done);
   segments_.erase_completions(name, done);
 }
 
--- a/src/coordination/shard/journal_outcome.cpp
+++ b/src/coordination/shard/journal_outcome.cpp
@@ -28,7 +28,7 @@
     if (delegated != delegation.job->delegated.end())
       delegated->second.revision = std::max(delegated->second.revision, revision);
   }
-  for (const auto& [job, indices] : write.completions) job->saved(indices);
+  for (const auto& [job, indices] : write.completions) job->mark_saved(indices);
   gangs_.gangs_written(set_recorded(write));
   const std::set<JobPtr> stopped = set_stops_recorded(write);
   drop_removed(write);
@@ -104,7 +104,7 @@
   for (const auto& [name, job] : model_.jobs()) {
     if (keys::job_record(job->home_shard, job->spec().ref) != key) continue;
     if (job->delegated_here()) delegated_here.insert(job);
-    explained |= job->delegated_here() || job->cancelling || job->record.aborted;
+    explained |= job->delegated_here() || job->cancelling || job->record.cancelled;
   }
   // A job that is no longer here has ended, and its new placements with it.
   const std::string own_records = keys::job_records(ctx_.shard);
@@ -115,7 +115,7 @@
 
 void JournalOutcome::undo_delegations(const JournalWrite& write, const std::set<std::string>& failed) {
   for (const auto& [delegation, record] : write.delegations) {
-    const bool revoked = failed.count(keys::shard(delegation.to)) > 0 ||
+    const bool revoked = failed.count(keys::shard_owner(delegation.to)) > 0 ||
                          failed.count(keys::job_record(ctx_.shard, delegation.job->spec().ref)) > 0;
     if (revoked) {
       builder_.revoke_delegation(delegation);
--- a/src/coordination/shard/journal_segments.cpp
+++ b/src/coordination/shard/journal_segments.cpp
@@ -100,7 +100,7 @@
       const auto [it, fresh] = out.machines.try_emplace(name);
       if (fresh) it->second = machine->record;
       it->second.placements.push_back({placement.job->spec().ref, placement.index, placement.attempt});
-      std::vector<std::uint64_t>& stopping = it->second.stopping;
+      std::vector<std::uint64_t>& stopping = it->second.stopping_attempts;
       if (placement.job->attempt.stopping && (stopping.empty() || stopping.back() != placement.attempt))
         stopping.push_back(placement.attempt);
     }
--- a/src/coordination/shard/journal_write_builder.cpp
+++ b/src/coordination/shard/journal_write_builder.cpp
@@ -36,7 +36,7 @@
     : ctx_(context), model_(model), delegation_(delegation), segments_(segments), pending_(pending) {}
 
 bool JournalWriteBuilder::needs_journal_entry(const Job& job) {
-  if (job.unsaved.empty() || job.finishing || job.record.aborted) return false;
+  if (job.unsaved.empty() || job.finishing || job.record.cancelled) return false;
   if (job.complete() && (job.delegated_here() || job.all_delegated_complete()))
     return false;  // its ending says it all
   return !job.fold_due && !job.progress_inflight;
@@ -128,7 +128,7 @@
     const Job& job = *delegation.job;
     const auto delegated = job.delegated.find(delegation.key);
     if (delegated == job.delegated.end()) continue;
-    if (job.over() || job.cancelling) {
+    if (job.is_over() || job.cancelling) {
       revoke_delegation(delegation);
       continue;
     }
@@ -136,10 +136,10 @@
     record.home_shard = ctx_.shard;
     record.job_revision = job.job_revision;
     record.job = job.record;
-    record.works = !job.done.empty();
+    record.succeeded_elsewhere = !job.done.empty();
     record.range = delegated->second.range;
     write.job_records[keys::job_record(ctx_.shard, job.spec().ref)] = job.job_revision;
-    write.delegate_shards[keys::shard(delegation.to)] = delegation.to_fencing_token;
+    write.delegate_shards[keys::shard_owner(delegation.to)] = delegation.to_fencing_token;
     write.delegations.emplace_back(std::move(delegation), record.to_json());
   }
 }
--- a/src/coordination/shard/placement_rules.cpp
+++ b/src/coordination/shard/placement_rules.cpp
@@ -59,9 +59,11 @@
 // A job that fails on a machine is tried elsewhere first, at other shards if need be: where the machine is at
 // fault and the only one here, the job failed there for ever. One that fails on several is at fault itself.
 bool PlacementRules::avoids(const Job& job, const Machine& machine) const {
-  const auto it = job.failing.find(machine.name);
-  if (it == job.failing.end() || ctx_.env->now() - it->second.last >= kAvoidS) return false;
-  return job.at_fault() || (job.failing.size() < Job::kSeveral && it->second.errors >= 2);
+  const auto it = job.failures_by_machine.find(machine.name);
+  if (it == job.failures_by_machine.end() || ctx_.env->now() - it->second.last_error_at >= kAvoidS)
+    return false;
+  return job.is_faulty() ||
+         (job.failures_by_machine.size() < Job::kMinFailedMachines && it->second.errors >= 2);
 }
 
 bool PlacementRules::allowed_on(const Job& job, const Machine& machine) const {
@@ -71,26 +73,27 @@
   if (avoids(job, machine)) return false;
   const auto in_zone = job.placed_by_zone.find(machine.zone);
   const int here = in_zone == job.placed_by_zone.end() ? 0 : in_zone->second;
-  if (job.bound() && job.delegated_open() > 0) return false;  // another shard holds what is placed of it
+  if (job.has_placement_constraints() && job.delegated_open() > 0)
+    return false;  // another shard holds what is placed of it
   if (spec.together && job.placed > here) return false;
   return !spec.scatter || here + 1 <= (spec.task_count + 1) / 2;
 }
 
 bool PlacementRules::within_quota(const Job& job) const {
-  if (!job.is_gang()) return model_.teams().room(job.team, job.demand);
+  if (!job.is_gang()) return model_.teams().within_quota(job.team, job.demand);
   return model_.teams().tasks_within(job.team, job.demand) >= job.waiting.size();
 }
 
 bool PlacementRules::starving(const Job& job) const {
   if (job.placed > 0 || !job.done.empty() || job.waiting.empty() || job.delegated_open() > 0) return false;
-  if (job.at_fault()) return false;  // it has begun, and failed
-  return ctx_.env->wall() - job.record.submitted > (job.is_gang() ? kGangStarvingS : kStarvingS);
+  if (job.is_faulty()) return false;  // it has begun, and failed
+  return ctx_.env->wall() - job.record.submitted_at > (job.is_gang() ? kGangStarvingS : kStarvingS);
 }
 
 std::map<int, const Job*> PlacementRules::quota_saved_for() const {
   std::map<int, const Job*> out;
   for (const auto& [name, job] : model_.jobs()) {
-    if (job->over() || !starving(*job) || within_quota(*job)) continue;
+    if (job->is_over() || !starving(*job) || within_quota(*job)) continue;
     const bool here =
         std::any_of(model_.machines().begin(), model_.machines().end(), [this, &job = job](const auto& item) {
           return item.second->schedulable() && fits(job->demand, item.second->capacity) &&
@@ -98,19 +101,19 @@
         });
     if (!here) continue;
     const Job*& first = out[job->team];
-    if (first == nullptr || job->record.submitted < first->record.submitted) first = job.get();
+    if (first == nullptr || job->record.submitted_at < first->record.submitted_at) first = job.get();
   }
   return out;
 }
 
 double PlacementRules::age_bonus(const Job& job, double wall) {
-  return std::clamp((wall - job.record.submitted - kAgeFromS) / kAgeUnitS, 0.0, 4.0);
+  return std::clamp((wall - job.record.submitted_at - kAgeFromS) / kAgeUnitS, 0.0, 4.0);
 }
 
 bool PlacementRules::is_preemptible(const Job& job) const {
   if (job.spec().urgency != Urgency::kBestEffort) return false;
   const bool begun = job.placed > 0 || !job.done.empty() || job.delegated_open() > 0;
-  return begun || ctx_.env->wall() - job.record.submitted < kPromoteAfterS;
+  return begun || ctx_.env->wall() - job.record.submitted_at < kPromoteAfterS;
 }
 
 bool PlacementRules::long_unplaced(const Job& job) const {
@@ -118,14 +121,14 @@
 }
 
 bool PlacementRules::waits_for_room(const Job& job) const {
-  return !job.waiting.empty() && !job.over() && !job.cancelling && job.cancel_waiters.empty() &&
-         !job.at_fault() && within_quota(job);
+  return !job.waiting.empty() && !job.is_over() && !job.cancelling && job.cancel_waiters.empty() &&
+         !job.is_faulty() && within_quota(job);
 }
 
 // Waiting tasks of this shard, but for best-effort work.
 void PlacementRules::add_waiting_here(const Machine& machine, WaitingBySize& out) const {
   for (const auto& [ref, job] : model_.jobs()) {
-    if (job->waiting.empty() || job->over() || is_preemptible(*job)) continue;
+    if (job->waiting.empty() || job->is_over() || is_preemptible(*job)) continue;
     const int urgency = static_cast<int>(job->spec().urgency);
     if (needs_type(job->least_cores, machine.type)) {
       if (!fits(job->demand, machine.capacity) || !allowed_on(*job, machine)) continue;
@@ -165,7 +168,7 @@
     if (other->type < 0 || !other->schedulable() || other->cordoned ||
         ctx_.types->at(other->type).cores >= cores)
       continue;
-    if (now - other->last_heard > ctx_.report_freshness_s() || now < other->no_fill_until) continue;
+    if (now - other->last_report_at > ctx_.report_freshness_s() || now < other->no_fill_until) continue;
     double slots_here = kMostSlots;
     for (std::size_t r = 0; r < demand.size(); r++) {
       if (demand[r] > 0) slots_here = std::min(slots_here, other->room[r] / demand[r] + kRoundingSlack);
--- a/src/coordination/shard/preemptor.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -56,22 +56,22 @@
                                      });
   const double now = ctx_.env->now();
   if (!elsewhere) {
-    machine.held_back_since = 0;
+    machine.best_effort_excluded_since = 0;
     return false;
   }
-  if (machine.held_back_since == 0) machine.held_back_since = now;
-  return now - machine.held_back_since < kHoldBack;
+  if (machine.best_effort_excluded_since == 0) machine.best_effort_excluded_since = now;
+  return now - machine.best_effort_excluded_since < kHoldBack;
 }
 
 bool Preemptor::quiet(Machine& machine) const {
   const double now = ctx_.env->now();
-  if (wanted_by_others(machine)) machine.wanted_at = now;
-  return now - machine.wanted_at >= kQuiet;
+  if (wanted_by_others(machine)) machine.last_wanted_at = now;
+  return now - machine.last_wanted_at >= kQuiet;
 }
 
 bool Preemptor::open_to_best_effort(const Job& job, const Machine& machine, bool is_quiet) const {
   if (rules_.long_unplaced(job)) return true;
-  const bool wanted_now = machine.wanted_at == ctx_.env->now();
+  const bool wanted_now = machine.last_wanted_at == ctx_.env->now();
   const bool short_task = job.spec().estimated_s <= kShortTask;
   if (short_task ? wanted_now : !is_quiet || beyond_headroom_ < job.demand[0]) return false;
   // Ordinary machines are dear, and go back as soon as they are idle.
@@ -79,7 +79,7 @@
   if (!breaks_up(job, machine)) return true;
   const bool broken_up = std::any_of(machine.placements.begin(), machine.placements.end(),
                                      [&machine](const Placement& p) { return breaks_up(*p.job, machine); });
-  return broken_up || ctx_.env->wall() - job.record.submitted > kPackingPatience;
+  return broken_up || ctx_.env->wall() - job.record.submitted_at > kPackingPatience;
 }
 
 Preemptor::PreemptibleRoom Preemptor::preemptible_room(Machine& machine) const {
@@ -100,9 +100,9 @@
     const double ran = placement.running_since == 0 ? 0 : now - placement.running_since;
     const bool soon_over = placement.running_since != 0 && job.spec().estimated_s - ran < kNearlyDone;
     const bool only_one = job.placed == 1 && job.done.empty();
-    const auto stops = job.stops.find(placement.index);
+    const auto stops = job.preemption_counts.find(placement.index);
     if (soon_over || only_one || placement.phase == TaskPhase::kCheckpointing ||
-        (stops != job.stops.end() && stops->second >= kMostStops)) {
+        (stops != job.preemption_counts.end() && stops->second >= kMostStops)) {
       continue;
     }
     const double lost_s = kRestart + (job.spec().can_checkpoint() ? job.spec().checkpoint_cost_s : ran);
@@ -131,7 +131,7 @@
       for (const std::size_t id : chosen.ids) {
         Placement& placement = machine.placements[id];
         placement.preempted = true;
-        placement.job->stops[placement.index]++;
+        placement.job->preemption_counts[placement.index]++;
         model_.counters().preempted++;
         for (std::size_t r = 0; r < free.room.size(); r++) free.room[r] += placement.job->demand[r];
         std::erase_if(free.candidates, [id](const auto& each) { return each.id == id; });
@@ -156,7 +156,7 @@
   double free = 0;
   double all = 0;
   for (const auto& [name, machine] : model_.machines()) {
-    if (machine->type < 0 || !machine->schedulable() || !machine->heard) continue;
+    if (machine->type < 0 || !machine->schedulable() || !machine->has_reported) continue;
     free += std::max(0.0, machine->room[0]);
     all += machine->capacity[0];
   }
@@ -173,7 +173,7 @@
       if (stops_left == 0) break;
       Placement& placement = machine->placements[each.id];
       placement.preempted = any = true;
-      placement.job->stops[placement.index]++;
+      placement.job->preemption_counts[placement.index]++;
       model_.counters().preempted++;
       stops_left--;
     }
@@ -188,7 +188,7 @@
   for (const auto& [name, job] : model_.jobs()) {
     // (Room for a gang is made where it is reserved.)
     if (rules_.waits_for_room(*job) && !rules_.is_preemptible(*job) && !job->is_gang() &&
-        wall - job->record.submitted > kPatience)
+        wall - job->record.submitted_at > kPatience)
       waiting.push_back(job.get());
   }
   std::size_t stops_left = kStopsPerTick;
@@ -199,12 +199,13 @@
   bool any = false;
   for (auto& [name, machine] : model_.machines()) {
     if (machine->type < 0 || !machine->schedulable() || !machine->token_acknowledged) continue;
-    if (now - machine->last_heard > ctx_.report_freshness_s()) continue;
+    if (now - machine->last_report_at > ctx_.report_freshness_s()) continue;
     machines.push_back(preemptible_room(*machine));
     any = any || !machines.back().candidates.empty();
   }
   if (!any) return;
-  std::sort(waiting.begin(), waiting.end(), [](const Job* a, const Job* b) { return goes_before(*a, *b); });
+  std::sort(waiting.begin(), waiting.end(),
+            [](const Job* a, const Job* b) { return has_priority_over(*a, *b); });
   for (const Job* job : waiting) {
     if (stops_left == 0) break;
     const int count = std::min(job->waiting.size(), model_.teams().tasks_within(job->team, job->demand));
--- a/src/coordination/shard/progress_records.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -50,8 +50,8 @@
   const RangeSet main = main_progress(job);
   job.fold_due = false;
   if (static_cast<double>(main.text_bytes()) <= kProgressFill * committer_.value_bytes()) {
-    txn.guard(keys::progress(ctx_.shard, ref), job.progress_revision);
-    txn.put(keys::progress(ctx_.shard, ref), {{"done", main.to_text()}});
+    txn.guard(keys::progress_record(ctx_.shard, ref), job.progress_revision);
+    txn.put(keys::progress_record(ctx_.shard, ref), {{"done", main.to_text()}});
     return {ProgressWrite::kMain, job.done};
   }
   const int number = longest_chunk(job, main);
@@ -93,7 +93,7 @@
   const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (auto& [ref, job] : model_.jobs()) {
     if (job->delegated_here() || job->finishing || job->cancelling || job->progress_inflight ||
-        job->record.aborted)
+        job->record.cancelled)
       continue;
     const auto complete =
         static_cast<std::size_t>(std::count_if(job->delegated.begin(), job->delegated.end(),
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -23,7 +23,7 @@
 void QuotaShares::load(const std::vector<StateItem>& items) {
   const int team_count = static_cast<int>(model_.teams().size());
   for (const StateItem& item : items) {
-    const int team = std::atoi(item.key.c_str() + keys::kTeams.size());
+    const int team = std::atoi(item.key.c_str() + keys::kQuotaSplits.size());
     if (team >= 0 && team < team_count) read_split(team, item.data, item.revision);
   }
   for (int team = 0; team < team_count; team++) {
@@ -48,7 +48,7 @@
 void QuotaShares::set_split(int team, const QuotaSplit& split, std::uint64_t revision) {
   const auto at = static_cast<std::size_t>(ctx_.shard);
   if (at >= split.cores.size() || at >= split.gpus.size()) {
-    spdlog::error("record {} cannot be read", keys::team(team));
+    spdlog::error("record {} cannot be read", keys::quota_split(team));
     return;
   }
   model_.teams().set_quota(team, split.cores[at], split.gpus[at], revision);
@@ -59,13 +59,13 @@
   try {
     set_split(team, QuotaSplit::from_json(record), revision);
   } catch (const MalformedMessage&) {
-    spdlog::error("record {} cannot be read", keys::team(team));
+    spdlog::error("record {} cannot be read", keys::quota_split(team));
   }
 }
 
 void QuotaShares::on_quota_event(const Json& event) {
   if (!event.contains("put") || !event.contains("data")) return;
-  const int team = std::atoi(event["put"].get_ref<const std::string&>().c_str() + keys::kTeams.size());
+  const int team = std::atoi(event["put"].get_ref<const std::string&>().c_str() + keys::kQuotaSplits.size());
   const auto revision = event.value("stamp", std::uint64_t{0});
   if (team < 0 || team >= static_cast<int>(model_.teams().size()) ||
       revision <= model_.teams().revision(team))
@@ -90,12 +90,12 @@
 Resources QuotaShares::startable_demand(int team) const {
   Resources room{};
   for (const auto& [name, machine] : model_.machines()) {
-    if (machine->type < 0 || !machine->schedulable() || !machine->heard) continue;
+    if (machine->type < 0 || !machine->schedulable() || !machine->has_reported) continue;
     for (std::size_t r = 0; r < room.size(); r++) room[r] += std::max(0.0, machine->room[r]);
   }
   Resources wanted{};
   for (const auto& [name, job] : model_.jobs()) {
-    if (job->over() || job->cancelling || job->team != team || job->at_fault()) continue;
+    if (job->is_over() || job->cancelling || job->team != team || job->is_faulty()) continue;
     for (std::size_t r = 0; r < room.size(); r++) wanted[r] += job->demand[r] * job->waiting.size();
   }
   for (std::size_t r = 0; r < room.size(); r++) wanted[r] = std::min(wanted[r], room[r]);
@@ -145,7 +145,7 @@
   if (!keep_own) return spare;
   bool needed = false;
   for (const auto& [name, job] : model_.jobs()) {
-    if (job->over() || job->team != team || job->waiting.empty()) continue;
+    if (job->is_over() || job->team != team || job->waiting.empty()) continue;
     needed = true;
     int tasks = job->waiting.size();
     if (job->demand[0] > 0) tasks = std::min(tasks, static_cast<int>(spare.cores / job->demand[0]));
@@ -174,8 +174,8 @@
   split.gpus[from_at] -= give_gpus;
   split.gpus[to_at] += give_gpus;
   Transaction txn = committer_.guarded_transaction();
-  txn.guard(keys::team(team), model_.teams().revision(team));
-  txn.put(keys::team(team), split.to_json());
+  txn.guard(keys::quota_split(team), model_.teams().revision(team));
+  txn.put(keys::quota_split(team), split.to_json());
   // Given up before it is written: whenever the write takes effect, this shard does not use it any more.
   model_.teams().set_quota(team, split.cores[from_at], split.gpus[from_at], model_.teams().revision(team));
   moving_.insert(team);
@@ -200,7 +200,8 @@
 }
 
 void QuotaShares::reload_team(int team) {
-  ctx_.state->get(RequestPriority::kRest, keys::team(team), alive_([this, team](const StateReply& reply) {
+  ctx_.state->get(RequestPriority::kRest, keys::quota_split(team),
+                  alive_([this, team](const StateReply& reply) {
                     if (reply.ok() && reply.body.contains("data")) {
                       moving_.erase(team);
                       read_split(team, reply.body["data"], reply.body.value("stamp", std::uint64_t{0}));
--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -48,7 +48,7 @@
 
 Transaction RecordCommitter::guarded_transaction() const {
   Transaction txn;
-  txn.guard(keys::shard(ctx_.shard), ctx_.fencing_token);
+  txn.guard(keys::shard_owner(ctx_.shard), ctx_.fencing_token);
   return txn;
 }
 
@@ -106,7 +106,7 @@
   if (reply.outcome == Outcome::kConflict && reply.body.is_object() && reply.body.contains("failed")) {
     for (const Json& key : reply.body["failed"]) failed.push_back(key.get<std::string>());
   }
-  const bool owner = std::find(failed.begin(), failed.end(), keys::shard(ctx_.shard)) == failed.end();
+  const bool owner = std::find(failed.begin(), failed.end(), keys::shard_owner(ctx_.shard)) == failed.end();
   const bool only_delegations = std::all_of(write->own.begin(), write->own.end(), is_delegation);
   bool own = false;
   bool maybe_done = false;
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -70,10 +70,10 @@
   const auto it = model_.jobs().find(ref);
   if (it == model_.jobs().end()) return {JobFinding::Kind::kUnknownJob, {}};
   const Job& job = *it->second;
-  if (job.confirmed) return {JobFinding::Kind::kStatus, {JobPhase::kCancelled, 0, 0}};
+  if (job.cancellation_confirmed) return {JobFinding::Kind::kStatus, {JobPhase::kCancelled, 0, 0}};
   if (job.cancel_requested()) return {JobFinding::Kind::kBeingCancelled, {}};
   if (const auto held = model_.unaccounted().find(ref);
-      held != model_.unaccounted().end() && held->second.silent())
+      held != model_.unaccounted().end() && held->second.withholds_status())
     return {JobFinding::Kind::kUndecided, {}};
   JobStatus status{JobPhase::kQueued, job.done.size(), job.placed + job.delegated_open()};
   if (job.is_gang()) status.running = gangs_.gang_tasks_running(job);
@@ -115,7 +115,7 @@
   const bool has_new = std::any_of(machine.placements.begin(), machine.placements.end(),
                                    [](const Placement& p) { return p.stage == Placement::Stage::kNew; });
   if (const double hold = hold_s(machine); !has_new && !relayed && hold > 0) {
-    machine.held = true;
+    machine.report_held = true;
     machine.answer_by = ctx_.env->now() + hold;
   } else if (!has_new) {
     commands_.answer(machine);
@@ -133,7 +133,7 @@
   if (machine.placements.empty()) return std::min(kHold, ctx_.settings->lease_s / 4);
   const bool all_seen = std::all_of(
       machine.placements.begin(), machine.placements.end(),
-      [&machine](const Placement& p) { return p.seen_sequence == machine.sequence && !p.job->over(); });
+      [&machine](const Placement& p) { return p.seen_sequence == machine.sequence && !p.job->is_over(); });
   return machine.room[0] >= 1 && all_seen ? kRoomyHold : 0;
 }
 
@@ -145,7 +145,7 @@
                ctx_.fencing_token, model_.jobs().size(), model_.machines().size(), placed);
   loader_.watch();
   for (const auto& [name, job] : model_.jobs()) {
-    if (!job->record.aborted) continue;
+    if (!job->record.cancelled) continue;
     job->waiting.clear();
     if (!job->delegated_here()) cancellation_.on_cancellation_durable(job);
   }
--- a/src/coordination/shard/shard_loader.cpp
+++ b/src/coordination/shard/shard_loader.cpp
@@ -79,7 +79,7 @@
 }
 
 void ShardLoader::load_progress() {
-  ctx_.state->list(RequestPriority::kLease, keys::progresses(ctx_.shard),
+  ctx_.state->list(RequestPriority::kLease, keys::progress_records(ctx_.shard),
                    alive_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
                      if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_progress);
                      for (const StateItem& item : items) load_progress_record(item);
@@ -88,7 +88,7 @@
 }
 
 void ShardLoader::load_progress_record(const StateItem& item) {
-  const std::string name = item.key.substr(keys::progresses(ctx_.shard).size());
+  const std::string name = item.key.substr(keys::progress_records(ctx_.shard).size());
   const auto tilde = name.find('~');
   const std::string ref = name.substr(0, tilde);
   const auto it = model_.jobs().find(ref);
@@ -135,7 +135,7 @@
     const auto it = model_.jobs().find(record->job.spec.ref);
     if (it == model_.jobs().end()) return;
     Job& job = *it->second;
-    job.delegated[item.key] = {record->range, record->done, item.revision, record->job.aborted};
+    job.delegated[item.key] = {record->range, record->done, item.revision, record->job.cancelled};
     job.waiting.erase(record->range);
     job.done.insert(record->done);
     return;
@@ -178,7 +178,7 @@
 }
 
 void ShardLoader::load_teams() {
-  ctx_.state->list(RequestPriority::kLease, keys::kTeams,
+  ctx_.state->list(RequestPriority::kLease, keys::kQuotaSplits,
                    alive_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
                      if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_teams);
                      quotas_.load(items);
@@ -250,8 +250,8 @@
       placement.inherited = true;
       if (job->is_gang()) {
         job->attempt.number = from.attempt;
-        placement.stop_recorded =
-            std::find(record.stopping.begin(), record.stopping.end(), from.attempt) != record.stopping.end();
+        placement.stop_recorded = std::find(record.stopping_attempts.begin(), record.stopping_attempts.end(),
+                                            from.attempt) != record.stopping_attempts.end();
         job->attempt.stopping |= placement.stop_recorded;
       }
       job->waiting.erase(from.index);
@@ -288,7 +288,7 @@
     on_job_event(event);
   } else if (key.rfind(keys::kDelegations, 0) == 0) {
     delegation_.on_delegation_event(event);
-  } else if (key.rfind(keys::kTeams, 0) == 0) {
+  } else if (key.rfind(keys::kQuotaSplits, 0) == 0) {
     quotas_.on_quota_event(event);
   }
 }
@@ -312,7 +312,7 @@
   }
   if (!put || !event.contains("data")) return;
   auto job_record = JobRecord::from_json(event["data"]);
-  if (!job_record || job_record->aborted) return;
+  if (!job_record || job_record->cancelled) return;
   adopt(std::move(*job_record), event.value("stamp", std::uint64_t{0}));
 }
 
--- a/src/coordination/shard/shard_model.cpp
+++ b/src/coordination/shard/shard_model.cpp
@@ -48,7 +48,7 @@
   const JobSpec& spec = job->spec();
   job->waiting.insert(0, spec.task_count);
   if (const auto found = unaccounted_.find(spec.ref); found != unaccounted_.end())
-    job->waiting.erase(found->second.held_of(spec.task_count));
+    job->waiting.erase(found->second.held_indices(spec.task_count));
   spdlog::info("{} known: {} of {}, {} tasks of {} cores", spec.ref, spec.job_class, spec.team,
                spec.task_count, spec.cores);
   jobs_.emplace(spec.ref, job);
@@ -75,7 +75,7 @@
     slot->name = report.machine_name;
     slot->record = {
         report.address, report.machine_type, report.zone, report.spot, report.worker_incarnation, {}, {}};
-    slot->first_heard = slot->busy_at = ctx_.env->now();
+    slot->first_report_at = slot->busy_at = ctx_.env->now();
     set_capacity(*slot);
     spdlog::info("{} reports: {} in {}{}", report.machine_name, report.machine_type, report.zone,
                  report.spot ? ", spot" : "");
@@ -90,8 +90,8 @@
     slot->name = name;
     slot->record = record;
     slot->record.placements.clear();
-    slot->record.stopping.clear();
-    slot->last_heard = slot->busy_at = ctx_.env->now();
+    slot->record.stopping_attempts.clear();
+    slot->last_report_at = slot->busy_at = ctx_.env->now();
     set_capacity(*slot);
   }
   return *slot;
@@ -162,7 +162,7 @@
   if (placement.stage == Placement::Stage::kFreeing) return;
   if (placement.job->is_gang()) on_gang_task_lost(*placement.job);
   placement.stage = Placement::Stage::kFreeing;
-  placement.requeue_delay = delay;
+  placement.requeue_delay_s = delay;
   hooks_.placement_freed(placement.segment);
 }
 
@@ -170,11 +170,11 @@
   const Placement placement = machine.placements[at];
   machine.placements.erase(machine.placements.begin() + static_cast<std::ptrdiff_t>(at));
   release_room(machine, *placement.job);
-  requeue(placement.job, placement.index, placement.requeue_delay);
+  requeue(placement.job, placement.index, placement.requeue_delay_s);
 }
 
 void ShardModel::requeue(const JobPtr& job, int index, double delay) {
-  if (job->over() || job->done.contains(index)) return;
+  if (job->is_over() || job->done.contains(index)) return;
   if (delay > 0) {
     job->backoff.emplace_back(ctx_.env->now() + delay, index);
   } else {
@@ -200,7 +200,7 @@
   std::set<std::string> on;
   const std::string prefix = keys::delegations(ctx_.shard, ref);
   const auto add = [&on](const Job& job) {
-    for (const auto& [name, failing] : job.failing) on.insert(name);
+    for (const auto& [name, failing] : job.failures_by_machine) on.insert(name);
   };
   if (const auto home = jobs_.find(ref); home != jobs_.end()) add(*home->second);
   for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it)
@@ -223,12 +223,12 @@
 std::uint64_t ShardModel::next_attempt() {
   const std::uint64_t revision =
       ctx_.settings->tuning.recovery ? std::max(ctx_.fencing_token, watched_) : ctx_.fencing_token;
-  return (revision << kAttemptShift) + next_count();
+  return (revision << kAttemptCounterBits) + next_count();
 }
 
 // Called when it is known that a task of the attempt is gone, or will never be launched.
 void ShardModel::on_gang_task_lost(Job& job) {
-  if (job.over() || job.cancel_requested()) return;
+  if (job.is_over() || job.cancel_requested()) return;
   if (job.attempt.started && !job.attempt.stopping) job.attempt.failed = true;
 }
 
@@ -243,8 +243,8 @@
     item.done = job->done;
     item.delegated_here = job->delegated_here();
     if (const auto held = unaccounted_.find(name); held != unaccounted_.end()) {
-      item.held = held->second.held_of(job->spec().task_count);
-      item.may_have_ended = held->second.silent();
+      item.held = held->second.held_indices(job->spec().task_count);
+      item.may_have_ended = held->second.withholds_status();
     }
     for (const auto& [key, delegated] : job->delegated) {
       RangeSet open = delegated.range;
@@ -254,7 +254,7 @@
     out.jobs.push_back(std::move(item));
   }
   for (const auto& [ref, record] : unaccounted_) {
-    if (record.all && !record.rerun && jobs_.count(ref) == 0) out.without_description.push_back(ref);
+    if (record.all_held && !record.rerun && jobs_.count(ref) == 0) out.without_description.push_back(ref);
   }
   for (const auto& [name, machine] : machines_) {
     MachineRecord record = machine->record;
--- a/src/coordination/shard/summary_builder.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -62,7 +62,7 @@
   out.address = machine.record.address;
   out.spot = machine.record.spot;
   out.schedulable =
-      machine.type >= 0 && machine.schedulable() && now - machine.last_heard < ctx_.settings->lease_s / 2;
+      machine.type >= 0 && machine.schedulable() && now - machine.last_report_at < ctx_.settings->lease_s / 2;
   // One that has not been reached for long is of no use either.
   out.faulty = machine.faulty ||
                (machine.inbound_unreachable &&
@@ -70,7 +70,7 @@
   out.draining = machine.draining;
   // Nothing is placed, and every completion it showed is durable and acknowledged.
   out.empty = machine.placements.empty() && machine.unmatched.empty();
-  out.silent_s = now - machine.last_heard;
+  out.silent_s = now - machine.last_report_at;
   out.idle_s = machine.placements.empty() ? now - machine.busy_at : 0;
   out.rooms = rooms_of(machine, now);
   return out;
@@ -101,12 +101,12 @@
   out.urgency = rules_.is_preemptible(job) ? 0 : std::max(1, static_cast<int>(spec.urgency));
   out.estimated_s = spec.estimated_s;
   out.image_gb = spec.image_gb;
-  if (spec.deadline_s) out.time_left_s = job.record.submitted + *spec.deadline_s - wall;
+  if (spec.deadline_s) out.time_left_s = job.record.submitted_at + *spec.deadline_s - wall;
   out.job_class = spec.job_class;
   out.allows_spot = spec.allows_spot;
   if (spec.machine_types) out.machine_types = *spec.machine_types;
   if (spec.zone) out.zone = *spec.zone;
-  out.submitted = job.record.submitted;
+  out.submitted = job.record.submitted_at;
   out.starving = rules_.starving(job);
   out.gang = job.is_gang();
   return out;
@@ -120,10 +120,10 @@
   for (const auto& [name, machine] : model_.machines()) out.machines.push_back(summarize(*machine, now));
   const double wall = ctx_.env->wall();
   for (const auto& [name, job] : model_.jobs()) {
-    if (job->over()) continue;
+    if (job->is_over()) continue;
     JobTasks tasks;
     // No machine is rented for one that is at fault.
-    if (!job->at_fault()) {
+    if (!job->is_faulty()) {
       tasks.waiting = job->waiting.size();
       tasks.wanted = tasks.waiting + static_cast<int>(job->backoff.size());
     }
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -55,7 +55,7 @@
   job->home_shard = record.home_shard;
   job->delegation = key;
   job->delegation_revision = revision;
-  job->works = record.works;
+  job->succeeded_elsewhere = record.succeeded_elsewhere;
   job->range = std::move(record.range);
   job->done = std::move(record.done);
   job->idle_since = ctx_.env->now();
@@ -69,9 +69,9 @@
 }
 
 void TaskDelegation::drop_delegated(const JobPtr& job) {
-  if (job->record.aborted) return;
-  job->record.aborted = true;
-  job->aborted_at = ctx_.env->now();
+  if (job->record.cancelled) return;
+  job->record.cancelled = true;
+  job->cancelled_at = ctx_.env->now();
   // (While records are loaded, the waiting tasks tell which placements of the segments still count: what runs
   // on a machine that cannot be asked uses its team's limit, cancelled or not.)
   if (!model_.active()) return;
@@ -126,8 +126,8 @@
   }
   const auto record = DelegationRecord::from_json(event["data"]);
   if (!record) return;
-  delegated->second.noted = record->job.aborted;
-  job->fails_elsewhere |= record->fails;
+  delegated->second.cancellation_acknowledged = record->job.cancelled;
+  job->found_faulty_elsewhere |= record->found_faulty;
   reclaim_tasks(job, key, record->range, record->done);
 }
 
@@ -136,8 +136,8 @@
   out.home_shard = job.home_shard;
   out.job_revision = job.job_revision;
   out.job = job.record;
-  out.works = job.works;
-  out.fails = job.at_fault();
+  out.succeeded_elsewhere = job.succeeded_elsewhere;
+  out.found_faulty = job.is_faulty();
   out.range = job.range;
   out.done = job.done;
   return out;
@@ -181,7 +181,7 @@
 bool TaskDelegation::gives_back(const Job& job) const {
   const double patience = !rules_.starving(job) ? kGiveBack : job.is_gang() ? kGatherGang : kSaveUp;
   return !job.waiting.empty() && ctx_.env->now() - job.idle_since > patience &&
-         (!job.bound() || (job.placed == 0 && job.backoff.empty()));
+         (!job.has_placement_constraints() || (job.placed == 0 && job.backoff.empty()));
 }
 
 // Adds what the delegate writes of one delegation to the transaction.
@@ -213,7 +213,8 @@
   std::vector<DelegationWrite> batch;
   const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (auto& [key, job] : model_.jobs()) {
-    if (!job->delegated_here() || job->record.aborted || job->progress_inflight || job->cleaning) continue;
+    if (!job->delegated_here() || job->record.cancelled || job->progress_inflight || job->cleanup_inflight)
+      continue;
     const bool give_back = gives_back(*job);
     // Until the delegation is complete its completions are kept in the journal's segments.
     const bool due = (!job->unsaved.empty() && job->complete()) || job->fold_due;
@@ -258,7 +259,7 @@
       }
     }
     if (room[0] < kLeastCoresOffered) continue;
-    machine->keeping = rules_.reserves_for_large(*machine);
+    machine->reserved_for_large = rules_.reserves_for_large(*machine);
     out.emplace_back(machine.get(), room);
   }
   return out;
@@ -268,10 +269,10 @@
 void TaskDelegation::use_rooms(DelegationPlanner::FreeRooms& rooms, bool for_others) const {
   for (const auto& [name, job] : model_.jobs()) {
     // (A gang that fits here is placed; the room that it can't use is offered.)
-    if (job->over() || job->is_gang() || (for_others && rules_.is_preemptible(*job))) continue;
+    if (job->is_over() || job->is_gang() || (for_others && rules_.is_preemptible(*job))) continue;
     int left = std::min(job->waiting.size(), model_.teams().tasks_within(job->team, job->demand));
     for (auto& [machine, room] : rooms) {
-      if (machine->keeping && rules_.fits_smaller_type(*job, machine->type)) continue;
+      if (machine->reserved_for_large && rules_.fits_smaller_type(*job, machine->type)) continue;
       while (left > 0 && rules_.allowed_on(*job, *machine) && take_room(room, job->demand)) left--;
     }
   }
@@ -290,7 +291,7 @@
                     machine->record.zone,
                     machine->record.spot,
                     room,
-                    machine->cordoned || machine->keeping,
+                    machine->cordoned || machine->reserved_for_large,
                     {},
                     for_others};
     for (const auto& [image, gb] : machine->images) offer.images.push_back(model_.images().name(image));
@@ -343,7 +344,7 @@
   for (const SurplusJob& each : jobs) {
     if (delegations >= kMaxDelegationsPerRequest) break;
     if (each.chosen == 0) continue;
-    const int count = each.job->bound() ? each.job->waiting.size() : each.chosen;
+    const int count = each.job->has_placement_constraints() ? each.job->waiting.size() : each.chosen;
     delegate_tasks(each.job, request.shard, request.fencing_token, count);
     tasks += count;
     delegations++;
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -50,7 +50,7 @@
 void TaskPlacement::fill_held_machines() {
   std::vector<std::pair<bool, Machine*>> held;  // with whether the image would have to be fetched
   for (auto& [name, machine] : model_.machines()) {
-    if (!machine->held || machine->answer.answered()) continue;
+    if (!machine->report_held || machine->answer.answered()) continue;
     held.emplace_back(!has_image_of_waiting_job(*machine), machine.get());
   }
   std::stable_sort(held.begin(), held.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -58,7 +58,7 @@
     const std::size_t before = machine->placements.size();
     fill(*machine);
     if (machine->placements.size() == before) continue;
-    machine->held = false;
+    machine->report_held = false;
     machine->answer_by = ctx_.env->now() + kAnswerPatience;
   }
 }
@@ -75,11 +75,11 @@
 // The job has tasks that may be started now, room and quota apart.
 bool TaskPlacement::may_start(const Job& job, const Machine& machine) const {
   const double now = ctx_.env->now();
-  if (job.waiting.empty() || job.over() || job.cancelling || !job.cancel_waiters.empty()) return false;
+  if (job.waiting.empty() || job.is_over() || job.cancelling || !job.cancel_waiters.empty()) return false;
   if (!fits(job.demand, machine.room)) return false;
   if (machine.reserved_for && machine.reserved_for.get() != &job) return false;
-  if (job.is_gang() && (now < job.next_gang_look || !gangs_.gang_may_be_placed(job))) return false;
-  if (job.at_fault() && (job.placed > 0 || now < job.next_trial_at)) return false;
+  if (job.is_gang() && (now < job.next_gang_placement_at || !gangs_.gang_may_be_placed(job))) return false;
+  if (job.is_faulty() && (job.placed > 0 || now < job.next_trial_at)) return false;
   return rules_.allowed_on(job, machine);
 }
 
@@ -105,7 +105,7 @@
   out.local = machine.has_image(job.image);
   const double fetch_s = out.local ? 0 : fetch_seconds(spec, ctx_.types->at(machine.type));
   if (spec.deadline_s) {
-    const double time_left_s = job.record.submitted + *spec.deadline_s - ctx_.env->wall();
+    const double time_left_s = job.record.submitted_at + *spec.deadline_s - ctx_.env->wall();
     out.pressure =
         deadline_pressure(time_left_s, kEstimateMargin * std::max(1.0, spec.estimated_s) + fetch_s);
   }
@@ -139,7 +139,7 @@
     const JobSpec& spec = job.spec();
     const bool out = job.waiting.empty() || !fits(job.demand, machine.room) ||
                      !rules_.allowed_on(job, machine) || !rules_.within_quota(job) ||
-                     (job.at_fault() && job.placed > 0);
+                     (job.is_faulty() && job.placed > 0);
     if (out) {
       requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(i));
       jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(i));
@@ -150,7 +150,7 @@
     for (std::size_t r = 0; r < request.held.size(); r++) request.held[r] = job.demand[r] * job.placed;
     request.nothing_placed = job.placed == 0 && job.done.empty();
     request.bonus = PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) +
-                    (model_.teams().in_guarantee(job.team, job.demand) ? kGuaranteeBonus : 0) +
+                    (model_.teams().within_guarantee(job.team, job.demand) ? kGuaranteeBonus : 0) +
                     rules_.age_bonus(job, wall);
     i++;
   }
@@ -191,7 +191,7 @@
   if (rules_.is_preemptible(*job)) {
     preemptor_.use_headroom(job->demand[0]);
   } else {
-    machine.wanted_at = now;
+    machine.last_wanted_at = now;
   }
   journal_.note_new_placement();
   machine.busy_at = now;
--- a/src/coordination/shard/unaccounted_tasks.cpp
+++ b/src/coordination/shard/unaccounted_tasks.cpp
@@ -22,7 +22,7 @@
     return true;
   }
   const JobPtr job = known->second;
-  if (job->over() || job->finishing || job->cancelling) return true;
+  if (job->is_over() || job->finishing || job->cancelling) return true;
   switch (decision) {
     case Decision::kDone:
       count_held_as_done(job);
@@ -41,7 +41,7 @@
 
 // The ending that follows is what makes it durable: until then an operator may have to say it again.
 void UnaccountedTasks::count_held_as_done(const JobPtr& job) {
-  const RangeSet held = model_.unaccounted().at(job->spec().ref).held_of(job->spec().task_count);
+  const RangeSet held = model_.unaccounted().at(job->spec().ref).held_indices(job->spec().task_count);
   spdlog::info("{}: {} unaccounted tasks count as done, by an operator", job->spec().ref, held.size());
   for (const auto& [first, last] : held.ranges()) {
     for (int index = first; index < last; index++) model_.mark_done(job, index);
@@ -56,11 +56,11 @@
   committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [this, job](std::uint64_t) {
     const auto found = model_.unaccounted().find(job->spec().ref);
     if (found == model_.unaccounted().end()) return;  // said twice
-    RangeSet held = found->second.held_of(job->spec().task_count);
+    RangeSet held = found->second.held_indices(job->spec().task_count);
     model_.unaccounted().erase(found);
     held.erase(job->done);
     spdlog::info("{}: {} unaccounted tasks start again, by an operator", job->spec().ref, held.size());
-    if (job->over()) return;
+    if (job->is_over()) return;
     job->waiting.insert(held);
     model_.notify_work_waiting();
   });
--- a/src/coordination/shard/worker_commands.cpp
+++ b/src/coordination/shard/worker_commands.cpp
@@ -28,7 +28,7 @@
 
 void WorkerCommands::answer(Machine& machine) {
   if (machine.answer.answered()) return;
-  machine.held = false;
+  machine.report_held = false;
   if (!ctx_.may_renew()) {
     // Another leader may be in charge and have confirmed cancellations: what may be cancelled is not kept
     // alive.
@@ -37,7 +37,7 @@
     return;
   }
   const std::vector<Order> orders = orders_for(machine);
-  machine.last_answer = ctx_.env->now();
+  machine.last_answer_at = ctx_.env->now();
   machine.answer.send(200, orders_body(ctx_.fencing_token, std::nullopt, orders));
   machine.answer = Responder();
 }
@@ -100,8 +100,8 @@
       std::any_of(machine.placements.begin(), machine.placements.end(), [&task](const Placement& placement) {
         return placement.attempt == task.attempt && placement.index == task.index;
       });
-  const bool lost_if_acknowledged =
-      task.cause == ExitCause::kDone && job != nullptr && !job->record.aborted && !job->durable(task.index);
+  const bool lost_if_acknowledged = task.cause == ExitCause::kDone && job != nullptr &&
+                                    !job->record.cancelled && !job->is_durable(task.index);
   if (held || lost_if_acknowledged) return std::nullopt;
   return Order{Order::Verb::kAcknowledgeExit, name, task.attempt, 0};
 }
@@ -142,17 +142,19 @@
   const double now = ctx_.env->now();
   std::vector<Machine*> due;
   for (auto& [name, machine] : model_.machines()) {
-    const bool tried = machine->raise_tried != 0 && now - machine->raise_tried < kAnnouncementIntervalS;
+    const bool tried = machine->last_token_announcement_at != 0 &&
+                       now - machine->last_token_announcement_at < kAnnouncementIntervalS;
     if (machine->token_acknowledged || machine->placements.empty() || machine->direct_inflight || tried)
       continue;
     due.push_back(machine.get());
   }
   std::stable_sort(due.begin(), due.end(), [](const Machine* a, const Machine* b) {
-    return a->heard != b->heard ? a->heard : a->raise_tried < b->raise_tried;
+    return a->has_reported != b->has_reported ? a->has_reported
+                                              : a->last_token_announcement_at < b->last_token_announcement_at;
   });
   for (Machine* machine : due) {
     if (announcing_ >= kAnnouncementsAtOnce) return;
-    machine->raise_tried = now;
+    machine->last_token_announcement_at = now;
     send_direct(*machine, {}, true);
   }
 }
--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -27,22 +27,23 @@
 bool WorkerLiveness::is_news(const Machine& machine, const Report& report) {
   // What an earlier leader has recorded of the machine counts, too.
   if (report.worker_incarnation < machine.record.worker_incarnation) return false;
-  return !machine.heard || std::pair(report.worker_incarnation, report.sequence) >
-                               std::pair(machine.record.worker_incarnation, machine.sequence);
+  return !machine.has_reported || std::pair(report.worker_incarnation, report.sequence) >
+                                      std::pair(machine.record.worker_incarnation, machine.sequence);
 }
 
 void WorkerLiveness::note_contact(Machine& machine, const Report& report) const {
   const double now = ctx_.env->now();
-  if (!machine.heard) machine.first_heard = now;
-  if (!machine.heard || now - machine.last_heard > ctx_.settings->lease_s / 2) machine.steady_since = now;
-  machine.heard = true;
-  machine.last_heard = now;
+  if (!machine.has_reported) machine.first_report_at = now;
+  if (!machine.has_reported || now - machine.last_report_at > ctx_.settings->lease_s / 2)
+    machine.steady_since = now;
+  machine.has_reported = true;
+  machine.last_report_at = now;
   machine.sequence = report.sequence;
   if (machine.incarnation_since == 0) machine.incarnation_since = now;
   if (machine.record.address != report.address) machine.record.address = report.address;
   if (shows_our_token(report) && !machine.token_acknowledged) {
     machine.token_acknowledged = true;
-    machine.last_answer = std::max(machine.last_answer, now);
+    machine.last_answer_at = std::max(machine.last_answer_at, now);
   }
 }
 
@@ -123,7 +124,7 @@
                               : placement.sent_sequence < report.sequence;
   if (!settled) return;
   const Job& job = *placement.job;
-  const bool unwanted = job.over() || job.cancelling || placement.preempted || gangs_.attempt_over(job) ||
+  const bool unwanted = job.is_over() || job.cancelling || placement.preempted || gangs_.attempt_over(job) ||
                         !machine.schedulable() || job.done.contains(placement.index);
   if (unwanted) model_.free_placement(placement, 0);
 }
@@ -145,7 +146,7 @@
   for (const auto& [attempt, task] : unmatched) {
     if (task->phase != TaskPhase::kExited || task->cause != ExitCause::kDone) continue;
     const JobPtr job = model_.find_task(task->ref, task->index);
-    if (job == nullptr || job->over() || task->index >= job->spec().task_count) continue;
+    if (job == nullptr || job->is_over() || task->index >= job->spec().task_count) continue;
     model_.mark_done(job, task->index);
   }
 }
@@ -166,7 +167,7 @@
   // the time, or once more, the answers do not arrive. (A worker without answers goes from node to node: it
   // is heard seldom.)
   // Reports that a cut held back come all at once when it ends: they show nothing of the kind.
-  const bool answered = machine.last_answer >= machine.incarnation_since;
+  const bool answered = machine.last_answer_at >= machine.incarnation_since;
   const bool lasted = now - machine.incarnation_since > ctx_.settings->lease_s / 2;
   const bool all_along = now - machine.steady_since > 0.8 * ctx_.settings->lease_s;
   machine.expired_incarnations = answered && lasted ? machine.expired_incarnations + 1 : 0;
@@ -178,7 +179,7 @@
     machine.inbound_unreachable = true;
   }
   machine.record.worker_incarnation = worker_incarnation;
-  machine.last_answer = std::max(machine.last_answer, now);  // its lease counts from its beginning
+  machine.last_answer_at = std::max(machine.last_answer_at, now);  // its lease counts from its beginning
   machine.incarnation_since = now;
   machine.ineffective_launches = 0;
   machine.images.clear();
@@ -216,7 +217,7 @@
     model_.counters().completions++;
     job->error_streak = 0;
     machine.error_streak = 0;
-    machine.errors_of.clear();
+    machine.failed_jobs.clear();
     model_.mark_done(job, placement.index);
     // Not launched again by anyone: it is shown as exited until reaped, and that waits for durability.
     model_.release_room(machine, *job);
@@ -228,27 +229,27 @@
   if (cause == ExitCause::kError) {
     model_.counters().errors++;
     job->error_streak++;
-    Job::Failing& failing = job->failing[machine.name];
+    Job::FailureCount& failing = job->failures_by_machine[machine.name];
     failing.errors++;
-    failing.last = ctx_.env->now();
-    if (job->at_fault()) {
+    failing.last_error_at = ctx_.env->now();
+    if (job->is_faulty()) {
       back_off_failing_job(*job);
       model_.free_placement(placement, 0);
       return;
     }
     machine.error_streak++;
-    if (std::find(machine.errors_of.begin(), machine.errors_of.end(), job->spec().ref) ==
-        machine.errors_of.end()) {
-      machine.errors_of.push_back(job->spec().ref);
+    if (std::find(machine.failed_jobs.begin(), machine.failed_jobs.end(), job->spec().ref) ==
+        machine.failed_jobs.end()) {
+      machine.failed_jobs.push_back(job->spec().ref);
     }
     // One job that fails again and again is its own fault. Several that have failed nowhere else are the
     // machine's, and so is a first streak on a machine while the job completes elsewhere. (Two jobs submitted
     // with a mistake may well meet on one machine.)
     const auto only_here =
-        std::count_if(machine.errors_of.begin(), machine.errors_of.end(),
+        std::count_if(machine.failed_jobs.begin(), machine.failed_jobs.end(),
                       [this](const std::string& ref) { return model_.failed_on_one(ref); });
     const bool several = only_here >= kOnlyHere;
-    const bool job_works = machine.error_streak >= 2 && (job->works || !job->done.empty());
+    const bool job_works = machine.error_streak >= 2 && (job->succeeded_elsewhere || !job->done.empty());
     if (!machine.faulty && (several || job_works)) {
       spdlog::warn("{} fails what it starts ({} in a row): not used any more", machine.name,
                    machine.error_streak);
@@ -274,17 +275,17 @@
 // minutes, and 156 good machines on which two of them had met were given back as faulty.)
 void WorkerLiveness::back_off_failing_job(Job& job) {
   const std::string& ref = job.spec().ref;
-  if (job.pause == 0) spdlog::info("{} fails on every machine: tried now and then", ref);
+  if (job.trial_delay_s == 0) spdlog::info("{} fails on every machine: tried now and then", ref);
   // (What had started before it was found at fault fails within the first pause and does not lengthen it.)
   if (ctx_.env->now() >= job.next_trial_at) {
-    job.pause = std::clamp(job.pause * 2, kFirstPause, kLongestPause);
-    job.next_trial_at = ctx_.env->now() + job.pause;
+    job.trial_delay_s = std::clamp(job.trial_delay_s * 2, kFirstPause, kLongestPause);
+    job.next_trial_at = ctx_.env->now() + job.trial_delay_s;
   }
-  for (const auto& [name, failing] : job.failing) {
+  for (const auto& [name, failing] : job.failures_by_machine) {
     const auto it = model_.machines().find(name);
     if (it == model_.machines().end()) continue;
     Machine& machine = *it->second;
-    if (std::erase(machine.errors_of, ref) == 0 || !machine.errors_of.empty()) continue;
+    if (std::erase(machine.failed_jobs, ref) == 0 || !machine.failed_jobs.empty()) continue;
     machine.error_streak = 0;
     machine.no_fill_until = 0;
     if (machine.faulty && !machine.draining) machine.faulty = false;
@@ -293,7 +294,7 @@
 
 void WorkerLiveness::expire_lease(Machine& machine) {
   const double lease = ctx_.worker_lease_bound_s();
-  const bool expired = machine.token_acknowledged && machine.last_answer + lease < ctx_.env->now();
+  const bool expired = machine.token_acknowledged && machine.last_answer_at + lease < ctx_.env->now();
   if (!expired || machine.placements.empty()) return;
   std::size_t freed = 0;
   for (Placement& placement : machine.placements) {
--- a/src/coordination/state/incarnation.cpp
+++ b/src/coordination/state/incarnation.cpp
@@ -17,9 +17,9 @@
 // A first incarnation is written as versions before this one write it. Any other has a form of its own, so
 // that those versions leave the records alone.
 Json MetaRecord::to_json() const {
-  if (incarnation.first() && !rebuilding()) return {{"parts", shards}, {"form", kRecordForm}};
+  if (incarnation.first() && !rebuilding()) return {{"parts", shards}, {"form", kRecordFormatVersion}};
   return {{"parts", shards},
-          {"form", kIncarnationForm},
+          {"form", kIncarnationFormatVersion},
           {"incarnation", incarnation.number},
           {"prefix", incarnation.prefix},
           {"offset", incarnation.token_offset},
@@ -32,10 +32,10 @@
   MetaRecord out;
   try {
     const int form = value.value("form", 1);
-    if (form != kRecordForm && form != kIncarnationForm) return std::nullopt;
+    if (form != kRecordFormatVersion && form != kIncarnationFormatVersion) return std::nullopt;
     out.shards = value.at("parts").get<int>();
     if (out.shards <= 0) return std::nullopt;
-    if (form == kRecordForm) return out;
+    if (form == kRecordFormatVersion) return out;
     out.incarnation.number = value.at("incarnation").get<int>();
     out.incarnation.prefix = value.at("prefix").get<std::string>();
     out.incarnation.token_offset = value.at("offset").get<std::uint64_t>();
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -13,9 +13,9 @@
     job_record = other;
     return;
   }
-  job_record->aborted |= other->aborted;
-  job_record->spread |= other->spread;
-  job_record->submitted = std::max(job_record->submitted, other->submitted);
+  job_record->cancelled |= other->cancelled;
+  job_record->cancelled_while_delegated |= other->cancelled_while_delegated;
+  job_record->submitted_at = std::max(job_record->submitted_at, other->submitted_at);
 }
 
 // A job is done once only: should sources disagree, which none can, done is what cannot be taken back.
@@ -169,7 +169,7 @@
 JobOutcome derive_outcome(const std::string& ref, const JobEvidence& job, const RebuildScope& scope) {
   JobOutcome out;
   out.done = job.done;
-  const bool cancelled = job.ending == JobPhase::kCancelled || (job.record && job.record->aborted);
+  const bool cancelled = job.ending == JobPhase::kCancelled || (job.record && job.record->cancelled);
   if (!scope.nothing_runs) out.placements = job.placements;
   std::erase_if(out.placements, [&job](const auto& item) {
     return job.done.contains(static_cast<std::uint32_t>(item.first));
--- a/src/recovery/rebuilt_records.cpp
+++ b/src/recovery/rebuilt_records.cpp
@@ -78,7 +78,7 @@
     if (job.seen.isEmpty() && job.done.isEmpty() && !job.without_description) return;
     out_.counts.unaccounted++;
     UnaccountedRecord record;
-    record.all = true;
+    record.all_held = true;
     record.may_have_ended = true;
     record.reason = "known from workers only: its description is lost";
     out_.others.push_back({keys::unaccounted(shard, ref), record.to_json()});
@@ -87,8 +87,9 @@
   void add_open(const std::string& ref, int shard, const JobRecord& known, const JobOutcome& outcome) {
     out_.counts.open++;
     JobRecord job_record = known;
-    job_record.aborted = outcome.cancelled;
-    job_record.spread = outcome.cancelled;  // (its new owner tells users once all have taken note)
+    job_record.cancelled = outcome.cancelled;
+    job_record.cancelled_while_delegated =
+        outcome.cancelled;  // (its new owner tells users once all have taken note)
     out_.job_records.push_back({keys::job_record(shard, ref), job_record.to_json()});
     add_progress(ref, shard, to_ranges(outcome.done));
     if (!outcome.held.isEmpty() || outcome.may_have_ended) add_held(job_record.spec, shard, outcome);
@@ -104,7 +105,7 @@
     // (Too many ranges for one record: all that neither ran nor is done is held then.)
     if (record.held.text_bytes() > value_bytes_ / 2) {
       record.held.clear();
-      record.all = true;
+      record.all_held = true;
     }
     record.team = spec.team;
     record.job_class = spec.job_class;
@@ -115,7 +116,7 @@
   void add_progress(const std::string& ref, int shard, const RangeSet& done) {
     if (done.empty()) return;
     if (done.text_bytes() <= value_bytes_) {
-      out_.others.push_back({keys::progress(shard, ref), ProgressRecord{done}.to_json()});
+      out_.others.push_back({keys::progress_record(shard, ref), ProgressRecord{done}.to_json()});
       return;
     }
     const int end = done.ranges().rbegin()->second;
@@ -198,7 +199,7 @@
       if (total.cores == 0 && total.gpus == 0) continue;
       const Team& limits = settings_.teams[static_cast<std::size_t>(team)];
       const QuotaSplitRecord record = split(limits, by_shard, total);
-      out_.others.push_back({keys::team(team), record.to_json()});
+      out_.others.push_back({keys::quota_split(team), record.to_json()});
     }
   }
 
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -89,7 +89,7 @@
   transaction.put_with_lease(kLeaderKey, LeaderRecord{ctx_.settings->node, next.begun}.to_json(), lease);
   const auto most = static_cast<std::size_t>(ctx_.settings->txn_ops);
   for (int shard = 0; shard < meta.shards && transaction.then.size() < most; shard++)
-    transaction.put(meta.incarnation.prefix + keys::shard(shard), {{"node", kRebuiltOwner}});
+    transaction.put(meta.incarnation.prefix + keys::shard_owner(shard), {{"node", kRebuiltOwner}});
   store_.commit(RequestPriority::kLease, transaction, [this, lease, next](const StateReply& reply) {
     if (reply.ok()) {
       lead(lease, next, reply.revision());
--- a/src/recovery/start_up.cpp
+++ b/src/recovery/start_up.cpp
@@ -72,7 +72,7 @@
 }
 
 void StartUp::look_for_loss() {
-  store_.get(RequestPriority::kLease, keys::kNone, [this](const StateReply& reply) {
+  store_.get(RequestPriority::kLease, keys::kRevisionProbe, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
       env_.after(kRetrySeconds, [this] { look_for_loss(); });
     } else {
--- a/src/recovery/surviving_records.cpp
+++ b/src/recovery/surviving_records.cpp
@@ -116,7 +116,7 @@
     // (An operator may have decided since; what the owner's memory says counts, and otherwise it is held
     // again.)
     const auto record = UnaccountedRecord::from_json(item.data);
-    if (record && record->all && !record->rerun)
+    if (record && record->all_held && !record->rerun)
       out_.evidence.jobs[job_of(item.key)].without_description = true;
   }
 
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -78,7 +78,7 @@
 }
 
 void SuspendedService::note_reported_tasks(const Report& report) {
-  reported_.newest = std::max(reported_.newest, newest_shown(report));
+  reported_.newest = std::max(reported_.newest, newest_reported_revision(report));
   for (const TaskReport& task : report.tasks) {
     const auto index = static_cast<std::uint32_t>(task.index);
     JobEvidence& job = reported_.jobs[task.ref];
--- a/src/recovery/unaccounted_jobs.cpp
+++ b/src/recovery/unaccounted_jobs.cpp
@@ -26,7 +26,7 @@
   out.job_class = record->job_class;
   out.may_have_ended = record->may_have_ended;
   out.decided = record->rerun ? "rerun" : "";
-  if (!record->all) out.held_tasks = record->held.size();
+  if (!record->all_held) out.held_tasks = record->held.size();
   return out;
 }
 
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -256,7 +256,7 @@
   bool met = false;
   world.network.on_commit = [&](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
-      const bool released = change.contains("delete") && change["delete"] == keys::shard(home);
+      const bool released = change.contains("delete") && change["delete"] == keys::shard_owner(home);
       if (!released || met) continue;
       met = true;
       world.in(0, [&world] {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -167,7 +167,7 @@
     JobRecord job_record;
     std::string why;
     job_record.spec = *parse_job(parse_json(dump_json(job.body)), why);
-    job_record.submitted = 1.7e9;
+    job_record.submitted_at = 1.7e9;
     put(world, keys::job_record(0, ref), job_record.to_json());
     for (int chunk = 0; chunk * 512 < 100000; chunk++) {
       RangeSet scattered;
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -251,7 +251,7 @@
     world.at(20 + i * 12, [&world, i] { world.nodes.crash(i % world.options.nodes, i % 3 == 0 ? 0.1 : 6); });
     world.at(19 + i * 12, [&] {
       for (int p = 0; p < world.options.nodes; p++)
-        fencing_tokens.insert(world.state.revision(keys::shard(p)));
+        fencing_tokens.insert(world.state.revision(keys::shard_owner(p)));
     });
   }
   for (const double t : {50.0, 100.0}) {
--- a/tests/recovery_merge_test.cpp
+++ b/tests/recovery_merge_test.cpp
@@ -35,7 +35,7 @@
   JobEvidence out;
   if (*rc::gen::arbitrary<bool>()) {
     out.record = job_record_of(number);
-    out.record->aborted = *rc::gen::arbitrary<bool>();
+    out.record->cancelled = *rc::gen::arbitrary<bool>();
   }
   // A job ends in one way only.
   if (*rc::gen::inRange(0, 4) == 0) out.ending = number % 2 == 0 ? JobPhase::kDone : JobPhase::kCancelled;
@@ -134,7 +134,7 @@
         if (known.ending == JobPhase::kDone) RC_ASSERT(outcome.ending == JobPhase::kDone);
       }
       RC_ASSERT(known.done.isSubset(outcome.done));
-      if (known.record && known.record->aborted && outcome.kind == JobOutcome::Kind::kOpen)
+      if (known.record && known.record->cancelled && outcome.kind == JobOutcome::Kind::kOpen)
         RC_ASSERT(outcome.cancelled);
     }
   }
@@ -180,7 +180,7 @@
   double shared_out = 0;
   for (const RecordWrite& record : records.others) {
     RC_ASSERT(dump_json(record.data).size() <= 1024);
-    if (record.key.rfind(keys::kTeams, 0) == 0) {
+    if (record.key.rfind(keys::kQuotaSplits, 0) == 0) {
       for (const Json& cores : record.data["c"]) shared_out += cores.get<double>();
     }
     if (record.key.rfind("h/", 0) != 0) continue;
--- a/tests/sim/nodes.cpp
+++ b/tests/sim/nodes.cpp
@@ -146,7 +146,7 @@
 }
 
 int Nodes::owner_of(int shard) const {
-  const auto it = world_.state.values().find(keys::shard(shard));
+  const auto it = world_.state.values().find(keys::shard_owner(shard));
   return it == world_.state.values().end() ? -1 : node_index(it->second["node"].get<std::string>());
 }
 
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -26,7 +26,7 @@
       rules(*this),
       nodes(*this) {
   if (options.shard_count > 0) {
-    const Json meta = {{"parts", options.shard_count}, {"form", kRecordForm}};
+    const Json meta = {{"parts", options.shard_count}, {"form", kRecordFormatVersion}};
     const Json txn = {{"guards", Json::array()}, {"then", {{{"put", "meta"}, {"data", meta}}}}};
     state.handle("POST", "/commit", txn.dump(), [](int, const Json&) {});
   }
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -117,7 +117,7 @@
   JobRecord job_record{*parse_job(good_job(), why), 12.5, true};
   const auto head2 = JobRecord::from_json(parse_json(dump_json(job_record.to_json())));
   ASSERT_TRUE(head2.has_value());
-  EXPECT_TRUE(head2->aborted);
+  EXPECT_TRUE(head2->cancelled);
   EXPECT_EQ(job_to_json(head2->spec), job_to_json(job_record.spec));
 
   MachineRecord machine_name{
@@ -263,16 +263,16 @@
 TEST(Teams, WhatIsPlacedCountsToTheLimit) {
   TeamLedger ledger({{"t", 8, 16, 0, 0}});
   const Resources four = {4, 1, 0};
-  EXPECT_FALSE(ledger.room(0, four)) << "nothing before the allowance is known";
+  EXPECT_FALSE(ledger.within_quota(0, four)) << "nothing before the allowance is known";
   ledger.set_quota(0, 16, 0, 1);
   EXPECT_EQ(ledger.tasks_within(0, four), 4);
   for (int i = 0; i < 4; i++) {
-    EXPECT_TRUE(ledger.room(0, four));
-    EXPECT_EQ(ledger.in_guarantee(0, four), i < 2);
+    EXPECT_TRUE(ledger.within_quota(0, four));
+    EXPECT_EQ(ledger.within_guarantee(0, four), i < 2);
     ledger.add(0, four);
   }
-  EXPECT_FALSE(ledger.room(0, four));
-  EXPECT_FALSE(ledger.room(0, {0, 0, 1})) << "a team without accelerators has none";
+  EXPECT_FALSE(ledger.within_quota(0, four));
+  EXPECT_FALSE(ledger.within_quota(0, {0, 0, 1})) << "a team without accelerators has none";
   ledger.remove(0, four);
-  EXPECT_TRUE(ledger.room(0, four));
+  EXPECT_TRUE(ledger.within_quota(0, four));
 }
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -133,7 +133,7 @@
   world.at(24, [&world] { world.nodes.crash(0, 10); });
   int handed_back = 0;
   world.network.commit_answer = [&](const std::string& from, const Json& transaction) {
-    if (!changes_key(transaction, "delete", keys::shard(0)) || handed_back++ > 0) return 0.0;
+    if (!changes_key(transaction, "delete", keys::shard_owner(0)) || handed_back++ > 0) return 0.0;
     world.network.state_unheard.insert(from);
     cut_all_peers(world);
     world.network.cut_from_workers(node_index(from));
@@ -209,13 +209,14 @@
     return 1.45;
   };
   std::uint64_t token = 0;
-  world.at(39, [&] { token = world.state.revision(keys::shard(0)); });
+  world.at(39, [&] { token = world.state.revision(keys::shard_owner(0)); });
 
   world.run_until(200);
 
   expect_kept(world);
   EXPECT_GT(slow, 10);
-  EXPECT_EQ(world.state.revision(keys::shard(0)), token) << "a job that had ended made the shard start over";
+  EXPECT_EQ(world.state.revision(keys::shard_owner(0)), token)
+      << "a job that had ended made the shard start over";
 }
 
 // More jobs are accepted and end while the watch tells nothing than any short memory would hold.
@@ -235,7 +236,7 @@
   world.at(49, [&world] { world.state.hold_watches = true; });
   world.at(58.5, [&world] { world.state.release_watches(); });
   std::uint64_t token = 0;
-  world.at(48, [&] { token = world.state.revision(keys::shard(0)); });
+  world.at(48, [&] { token = world.state.revision(keys::shard_owner(0)); });
   std::size_t ended = 0;
   world.at(58, [&] {
     for (const auto& [key, value] : world.state.values()) ended += key.rfind("e/", 0) == 0 ? 1 : 0;
@@ -245,7 +246,8 @@
 
   expect_kept(world);
   EXPECT_GT(ended, 300u) << "too few ended behind the watch";
-  EXPECT_EQ(world.state.revision(keys::shard(0)), token) << "a job that had ended made the shard start over";
+  EXPECT_EQ(world.state.revision(keys::shard_owner(0)), token)
+      << "a job that had ended made the shard start over";
 }
 
 // What the watch tells comes after the answers to newer writes: delegations that were given back, and jobs
