--- a/src/bookkeeping/ledger.hpp
+++ b/src/bookkeeping/ledger.hpp
@@ -1,5 +1,5 @@
-// What the leader of a shard knows in memory of its jobs and machines, and what each team uses. Times are in
-// seconds of the steady clock, unless a comment says otherwise.
+// In-memory state that the leader of a shard keeps about its jobs and machines, and the resource usage of
+// each team. Times are in seconds of the steady clock unless a comment says otherwise.
 #pragma once
 
 #include <algorithm>
@@ -23,40 +23,42 @@
   RangeSet range;
   RangeSet done;
   std::uint64_t revision = 0;
-  bool cancellation_acknowledged = false;  // its record shows that the delegate knows of the cancellation
+  bool cancellation_acknowledged = false;  // the record shows that the delegate knows of the cancellation
   [[nodiscard]] bool complete() const { return done.size() == range.size(); }
 };
 
-// How long a task that is stopped, but not cancelled, has to save what it has done.
+// How long a task that is stopped, but not cancelled, has to save its progress.
 inline double stop_grace_s(const JobSpec& spec) {
   return spec.can_checkpoint() ? spec.checkpoint_cost_s + 1 : 0;
 }
 
-// The attempt of a gang of which tasks are placed. (Its tasks share one attempt number.)
+// The attempt of a gang whose tasks are currently placed. (All its tasks share one attempt number.)
 struct GangAttempt {
   std::uint64_t number = 0;  // 0: nothing is placed
-  bool started = false;      // its tasks were seen running
-  // A task of it is gone, or it did not start in time: nothing of it is launched any more, and all of it is
-  // stopped. The next attempt begins once the last task is known to be gone.
+  bool started = false;      // the tasks were reported running
+  // A task of the attempt is gone, or the attempt did not start in time: none of its tasks is launched any
+  // more, and all of them are stopped. The next attempt begins once the last task is known to be gone.
   bool failed = false;
-  bool stopping = false;  // to be stopped with its progress saved
+  bool stopping = false;  // the attempt is to be stopped after saving its progress
   double stopping_since = 0;
-  bool stop_recorded = false;  // that is durable: its tasks may be told
+  bool stop_recorded = false;  // the decision to stop is durable, so the tasks may be ordered to stop
   double placed_at = 0;
-  double launched_at = 0;           // when all its places were durable for the first time; 0: they are not
-  bool failure_stops_sent = false;  // its tasks were told to stop
+  double launched_at = 0;           // when all its placements first became durable; 0: they are not yet
+  bool failure_stops_sent = false;  // the tasks were ordered to stop after the failure
 };
 
-// A job at its home shard, or tasks of another shard's job that are delegated to this one.
+// A job at its home shard, or tasks of another shard's job that are delegated to this one. In the comments,
+// "home" marks fields that are used at the home shard only, "delegate" those that are used at a delegate
+// only.
 struct Job {
   JobRecord record;
   std::uint64_t job_revision = 0;
   int home_shard = 0;
-  std::string delegation;  // the delegation's key, where its tasks were delegated to this shard
+  std::string delegation;  // key of the delegation if the tasks were delegated to this shard
   RangeSet range;          // delegate: the tasks in the delegation
   std::uint64_t delegation_revision = 0;
-  bool succeeded_elsewhere = false;                 // delegate: tasks of the job have completed elsewhere
-  double idle_since = 0;                            // nothing was placed since
+  bool succeeded_elsewhere = false;                 // delegate: tasks of the job completed outside it
+  double idle_since = 0;                            // no task has been placed since
   std::map<std::string, DelegatedTasks> delegated;  // home: by delegation key
   int team = 0;
   int image = 0;
@@ -64,11 +66,12 @@
 
   RangeSet waiting;
   RangeSet done;
-  RangeSet unsaved;        // done, but not yet durable: must not be reaped
-  bool fold_due = false;   // what the journal's segments hold of its completions has grown long
+  RangeSet unsaved;        // completed tasks that are not durable yet and must not be reaped
+  bool fold_due = false;   // too many completions for journal segments: the job's own record must take them
   double least_cores = 0;  // of the smallest machine type that can hold a task
   std::uint64_t progress_revision = 0;
-  // Completions that do not fit into one record: in further ones, by the hundreds of tasks that each covers.
+  // Completions that do not fit into one record are stored in additional ones, each of which covers
+  // kTasksPerProgressChunk tasks.
   struct ProgressChunk {
     std::uint64_t revision = 0;
     RangeSet done;
@@ -76,44 +79,45 @@
   std::map<int, ProgressChunk> progress_chunks;
   bool progress_inflight = false;
 
-  GangAttempt attempt;                // of a gang
-  double next_gang_placement_at = 0;  // places for it are not looked for before
-  double reserved_since = 0;          // machines are kept for it since; 0: none are
+  GangAttempt attempt;                // if the job is a gang
+  double next_gang_placement_at = 0;  // no placement is searched for before this time
+  double reserved_since = 0;          // machines have been reserved for the gang since; 0: none are
   double next_reservation_at = 0;
-  bool delegated_gang_runs = false;       // a gang that is delegated: the delegate says that it runs
-  double delegated_gang_reported_at = 0;  // when it said so
+  bool delegated_gang_runs = false;       // whether the delegate of this gang last reported that it runs
+  double delegated_gang_reported_at = 0;  // time of that report
   int placed = 0;
   std::map<int, int> preemption_counts;  // by task: how often it was stopped for other work
   std::map<int, int> placed_by_zone;
-  bool finishing = false;   // the ending is on its way to the state service
-  bool cancelling = false;  // the cancellation is on its way
+  bool finishing = false;   // the write of the ending is in flight
+  bool cancelling = false;  // the write of the cancellation is in flight
   bool cleanup_inflight = false;
   struct CancelWaiter {
     Responder responder;
     double answer_by = 0;
   };
   std::vector<CancelWaiter> cancel_waiters;
-  // Cancelled durably. Nobody is told before every shard that may hold tasks of it has taken note.
-  double cancelled_at = 0;                 // when this leader knew of it
-  std::set<int> unacknowledged_shards;     // home: shards that have not taken note yet
-  std::set<int> asked_shards;              // home: of these, a question is under way
-  bool cancellation_confirmed = false;     // home: users may be told
-  bool cancellation_acknowledged = false;  // delegate: the home shard knows that it has taken note
-  bool cancellation_recorded = false;      // delegate: or can read it in the delegation's record
+  // The following fields apply once the job is durably cancelled. Users are not informed before every shard
+  // that may hold tasks of the job has acknowledged the cancellation.
+  double cancelled_at = 0;                 // when this leader learned of the cancellation
+  std::set<int> unacknowledged_shards;     // home: shards that have not acknowledged yet
+  std::set<int> asked_shards;              // home: the shards among them to which a request is in flight
+  bool cancellation_confirmed = false;     // home: users may be informed
+  bool cancellation_acknowledged = false;  // delegate: the home shard knows that this shard knows
+  bool cancellation_recorded = false;      // delegate: the delegation record contains the acknowledgement
 
   int error_streak = 0;
   struct FailureCount {
     int errors = 0;
     double last_error_at = 0;
   };
-  std::map<std::string, FailureCount>
-      failures_by_machine;                      // by machine: is it the job's fault or the machine's?
-  std::vector<std::pair<double, int>> backoff;  // when, which task
-  bool found_faulty_elsewhere = false;          // a delegate of it found it at fault
-  double next_trial_at = 0;                     // at fault: when one task of it is tried again
-  double trial_delay_s = 0;                     // and how long after it, should that fail too
+  // By machine. Used to decide whether the job or the machine is faulty.
+  std::map<std::string, FailureCount> failures_by_machine;
+  std::vector<std::pair<double, int>> backoff;  // time at which the task waits again, index of the task
+  bool found_faulty_elsewhere = false;          // a delegate has classified the job as faulty
+  double next_trial_at = 0;                     // when one task of a faulty job is tried again
+  double trial_delay_s = 0;  // current delay between trials, which grows when a trial fails
   static constexpr std::size_t kMinFailedMachines = 3;
-  // It failed on several machines and has completed nothing: the fault is its own, not theirs.
+  // The job has failed on several machines and completed nothing: the job is faulty, not the machines.
   [[nodiscard]] bool is_faulty() const {
     return !succeeded_elsewhere && done.empty() &&
            (found_faulty_elsewhere || failures_by_machine.size() >= kMinFailedMachines);
@@ -121,15 +125,16 @@
 
   [[nodiscard]] const JobSpec& spec() const { return record.spec; }
   [[nodiscard]] bool is_over() const { return record.cancelled || complete(); }
-  // Its user has asked to cancel it. (The write may have been carried out without this leader knowing, and
-  // others may say so: its tasks are stopped from the moment the write is sent.)
+  // The user has requested cancellation. The write may have succeeded without this leader knowing, and other
+  // nodes may report it: the tasks are therefore stopped from the moment at which the write is sent.
   [[nodiscard]] bool cancel_requested() const { return record.cancelled || cancelling; }
-  // Its tasks may not be placed without regard to each other.
+  // The placement of one task depends on that of the others.
   [[nodiscard]] bool has_placement_constraints() const {
     return record.spec.gang || record.spec.together || record.spec.scatter;
   }
   [[nodiscard]] bool is_gang() const { return record.spec.gang; }
-  // What has to be free at once for anything of it to start: of a gang all that waits, else one task.
+  // Resources that must be free at the same time before any task of the job can start: those of all waiting
+  // tasks of a gang, otherwise those of one task.
   [[nodiscard]] Resources start_demand() const {
     Resources out = demand;
     if (is_gang()) {
@@ -137,12 +142,12 @@
     }
     return out;
   }
-  // (The tasks of an array fail one by one. Taken for a gang, an array of which one had failed was placed and
-  // freed again, over and over, and never launched.)
+  // Has no effect on arrays, because their tasks fail one by one. When an array was treated like a gang, it
+  // was placed and freed repeatedly after one task had failed, and was never launched.
   void fail_attempt() {
     if (is_gang()) attempt.failed = true;
   }
-  // All its tasks run, as far as is known here.
+  // All tasks of the gang are running, as far as this shard knows.
   [[nodiscard]] bool gang_runs() const {
     return attempt.started && !attempt.failed && placed == record.spec.task_count;
   }
@@ -166,7 +171,7 @@
 };
 using JobPtr = std::shared_ptr<Job>;
 
-// The more urgent first, then the older.
+// Whether `a` is more urgent than `b`, or equally urgent and older.
 inline bool has_priority_over(const Job& a, const Job& b) {
   return a.spec().urgency != b.spec().urgency ? a.spec().urgency > b.spec().urgency
                                               : a.record.submitted_at < b.record.submitted_at;
@@ -176,29 +181,29 @@
   enum class Stage {
     kNew,       // in memory only; no launch may be sent
     kRecorded,  // durable; launches may be sent
-    kFreeing,   // known to be gone from the machine; counts until the record without it is durable
+    kFreeing,   // known to be gone from the machine; counts as usage until a record without it is durable
   };
   JobPtr job;
   int index = 0;
   std::uint64_t attempt = 0;
   Stage stage = Stage::kNew;
-  int segment = 0;                  // of the journal, where it is recorded; 0: not yet on its way there
+  int segment = 0;                  // journal segment that records it; 0: its write has not been prepared yet
   bool inherited = false;           // recorded by an earlier owner, who may have sent the launch
-  std::uint64_t sent_sequence = 0;  // tick of the report whose answer last carried the launch
-  std::uint64_t seen_sequence = 0;  // last report that showed it
+  std::uint64_t sent_sequence = 0;  // sequence number of the report whose answer last carried the launch
+  std::uint64_t seen_sequence = 0;  // sequence number of the last report that contained the task
   TaskPhase phase = TaskPhase::kFetchingImage;
   double running_since = 0;
   double requeue_delay_s = 0;
   bool preempted = false;      // being stopped for other work
-  bool stop_recorded = false;  // of a gang that is being stopped: its record says so
+  bool stop_recorded = false;  // for a gang that is being stopped: its record contains the stop
 };
 
 // A segment of the shard's journal (records.hpp).
 struct JournalSegment {
   std::uint64_t revision = 0;            // 0: not written yet
-  bool dirty = false;                    // a placement in it has ended and must go from it
-  bool oversized = false;                // as read: larger than what may be written now
-  std::map<std::string, RangeSet> done;  // by job or delegation
+  bool dirty = false;                    // contains a placement that has ended and must be removed
+  bool oversized = false;                // the stored segment exceeds the size that may be written now
+  std::map<std::string, RangeSet> done;  // by job or delegation key
 };
 
 struct Machine {
@@ -209,47 +214,47 @@
   Resources capacity{};
   Resources room{};
   std::vector<Placement> placements;
-  std::vector<TaskReport> unmatched;  // of the last report: not among the placements
+  std::vector<TaskReport> unmatched;  // tasks in the last report that match none of the placements
 
   std::uint64_t sequence = 0;       // of the last heartbeat
-  bool has_reported = false;        // reported to this owner
-  bool token_acknowledged = false;  // the worker has shown this leader's fencing token
-  double last_answer_at = 0;        // last time an answer may have renewed its lease
+  bool has_reported = false;        // whether it has sent a report to this owner
+  bool token_acknowledged = false;  // the worker has reported this leader's fencing token
+  double last_answer_at = 0;        // last time an answer may have renewed the worker's lease
   double last_report_at = 0;
   double first_report_at = 0;
   double busy_at = 0;  // last time it had a placement
   std::optional<double> evicted_at;
   bool draining = false;
-  bool removed = false;             // the cloud took it back
-  bool reserved_for_large = false;  // for large tasks, when last looked
-  bool cordoned = false;            // takes nothing new, for now
+  bool removed = false;             // the cloud has reclaimed the machine
+  bool reserved_for_large = false;  // reserved for large tasks when last evaluated
+  bool cordoned = false;            // currently accepts no new tasks
   bool faulty = false;
-  // Its reports come, but no answer reaches it: seen by launches without effect, or by a lease that expired
-  // while reports came all along. Nothing is started there until an incarnation outlasts the lease: it is
-  // reachable again.
+  // The machine's reports arrive, but answers do not reach it. Detected when launches have no effect, or when
+  // the worker's lease expires although its reports arrive throughout. Nothing is started on the machine
+  // until an incarnation outlasts the lease, which shows that answers reach the worker again.
   bool inbound_unreachable = false;
   double inbound_unreachable_since = 0;
-  int ineffective_launches = 0;  // launches in a row that had no effect
-  int expired_incarnations = 0;  // in a row that ended although they were answered
-  double incarnation_since = 0;  // first report of this incarnation
-  double steady_since = 0;       // its reports have come without a gap since
+  int ineffective_launches = 0;  // consecutive launches that had no effect
+  int expired_incarnations = 0;  // consecutive incarnations that ended although their reports were answered
+  double incarnation_since = 0;  // time of the first report of this incarnation
+  double steady_since = 0;       // reports have arrived without a gap since
   int error_streak = 0;
-  std::vector<std::string> failed_jobs;  // jobs behind the streak
+  std::vector<std::string> failed_jobs;  // jobs whose failures make up the streak
   double no_fill_until = 0;
-  std::vector<std::pair<int, double>> images;  // most recent last: image, GB
+  std::vector<std::pair<int, double>> images;  // image and its size in GB, least recently used first
 
-  Responder answer;  // a report waits for a commit
+  Responder answer;  // answers a report that waits for a commit
   double answer_by = 0;
-  double last_wanted_at = 0;  // last time that work other than best-effort wanted it, or was given it
-  double best_effort_excluded_since =
-      0;                     // its room is kept from best-effort work since, for other shards; 0: is not
-  bool report_held = false;  // nothing is placed there: its report waits for work
-  JobPtr reserved_for;       // a gang that waits for its room
+  double last_wanted_at = 0;  // last time that work other than best-effort needed the machine or was given it
+  // The room has been withheld from best-effort work since, for the benefit of other shards; 0: it is not.
+  double best_effort_excluded_since = 0;
+  bool report_held = false;  // nothing is placed on the machine, and its report is held until there is work
+  JobPtr reserved_for;       // a gang that waits for the machine's room
   bool direct_inflight = false;
-  bool stops_due = false;                 // a job was cancelled while a direct command was under way
-  double last_token_announcement_at = 0;  // last time a direct command showed it the fencing token
+  bool stops_due = false;                 // a job was cancelled while a direct command was in flight
+  double last_token_announcement_at = 0;  // last time a direct command announced the fencing token
 
-  // May anything new be started here?
+  // Whether new tasks may be started on the machine.
   [[nodiscard]] bool schedulable() const {
     return !removed && !draining && !faulty && !inbound_unreachable && !evicted_at;
   }
@@ -271,10 +276,11 @@
   }
 };
 
-// Use of each team against this shard's quota share. What is placed counts until it is known to be gone.
+// Usage of each team compared with this shard's share of the team's quota. A placement counts as usage until
+// it is known to be gone.
 class TeamLedger {
  public:
-  // Until its quota shares are known a shard may place nothing.
+  // All shares start at 0, so that a shard places nothing until its quota shares are known.
   explicit TeamLedger(const std::vector<Team>& teams) {
     for (const Team& team : teams) rows_.push_back({team, 0, 0, 0, 0, 0});
   }
@@ -289,7 +295,7 @@
     return row.cores + demand[0] <= row.quota_cores + kRoundingTolerance &&
            row.gpus + demand[2] <= row.quota_gpus + kRoundingTolerance;
   }
-  // The shard's share of the guarantee is that of its quota share.
+  // The shard's share of the team's guarantee is in proportion to its share of the team's quota.
   [[nodiscard]] bool within_guarantee(int team, const Resources& demand) const {
     const Row& row = at(team);
     const double cores = row.team.cpus * share(row.quota_cores, row.team.cpus_max);
@@ -297,7 +303,7 @@
     return row.cores + demand[0] <= cores + kRoundingTolerance &&
            row.gpus + demand[2] <= gpus + kRoundingTolerance;
   }
-  // Tasks of this size that the quota share still lets in.
+  // Number of additional tasks of this size that the quota share allows.
   [[nodiscard]] int tasks_within(int team, const Resources& demand) const {
     double count = 1e6;
     if (demand[0] > 0) count = std::min(count, (spare_cores(team) + kRoundingTolerance) / demand[0]);
@@ -325,7 +331,7 @@
   [[nodiscard]] std::uint64_t revision(int team) const { return at(team).revision; }
 
  private:
-  // Sums of decimal fractions come out a hair off; far below any real demand.
+  // Absorbs rounding errors in sums of decimal fractions. Far below any real demand.
   static constexpr double kRoundingTolerance = 1e-9;
   struct Row {
     Team team;
--- a/src/bookkeeping/ranges.cpp
+++ b/src/bookkeeping/ranges.cpp
@@ -64,7 +64,7 @@
 
 std::string RangeSet::to_text() const {
   std::string out;
-  int position = 0;  // the index after the range before
+  int position = 0;  // the index after the previous range
   for (const auto& [first, last] : ranges_) {
     if (!out.empty()) out += ',';
     out += std::to_string(first - position);
--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -7,23 +7,23 @@
 
 namespace {
 
-// Stored names of the fields, as on-disk format; each stands here once.
+// Stored names of the fields. They are part of the on-disk format, and each is defined only here.
 namespace job_fields {
 constexpr const char* kSpec = "job";
 constexpr const char* kSubmitted = "at";
 constexpr const char* kPhase = "phase";
-constexpr const char* kCancelled = "aborted";  // the one value of the phase in a job record
+constexpr const char* kCancelled = "aborted";  // the only value that the phase has in a job record
 constexpr const char* kCancelledWhileDelegated = "spread";
 }  // namespace job_fields
 
-// (One letter each: there may be thousands of machines in a segment.)
+// The names have one letter each because a segment may contain thousands of machines.
 namespace machine_fields {
 constexpr const char* kAddress = "a";
 constexpr const char* kType = "f";
 constexpr const char* kZone = "z";
 constexpr const char* kSpot = "s";
 constexpr const char* kIncarnation = "t";
-constexpr const char* kPlacements = "p";  // by job: index, attempt, index, attempt, …
+constexpr const char* kPlacements = "p";  // by job: index, attempt, index, attempt, ...
 constexpr const char* kStopping = "x";
 }  // namespace machine_fields
 
@@ -51,26 +51,26 @@
 constexpr const char* kMayHaveEnded = "may_have_ended";
 }  // namespace unaccounted_fields
 
-// Of delegations and of progress: ranges of completed tasks as text.
+// Field of delegation and progress records: ranges of completed tasks as text.
 constexpr const char* kDone = "done";
 
-constexpr const char* kNotAnObject = "not an object";
+constexpr const char* kNotAnObject = "not a JSON object";
 constexpr const char* kMissing = "missing";
-constexpr const char* kNotRanges = "not ranges of task indices";
+constexpr const char* kNotRanges = "not a valid list of task index ranges";
 
-// Notes what was wrong for the caller, and is the empty result to return.
+// Stores the problem in `error`, if it is given, and returns the empty result for the caller to return.
 std::nullopt_t unreadable(RecordError* error, std::string field, std::string problem) {
   if (error != nullptr) *error = {std::move(field), std::move(problem)};
   return std::nullopt;
 }
 
-// The same, of a record inside this one: the fault is at `field`, then at the inner record's field.
+// The same for a record nested in `field` of this one: the reported field is the path to the nested field.
 std::nullopt_t unreadable_nested(RecordError* error, const std::string& field, const RecordError& inner) {
   return unreadable(error, inner.field.empty() ? field : field + "." + inner.field, inner.problem);
 }
 
-// Reads fields that must be there, and remembers which one was asked for last: after an exception of the
-// JSON library that is the one at fault.
+// Reads required fields and remembers the last one requested, which is the one that caused the problem if the
+// JSON library throws an exception.
 class RequiredFields {
  public:
   explicit RequiredFields(const Json& value) : value_(value) {}
@@ -90,7 +90,7 @@
   const char* last_ = "";
 };
 
-// Placements of one job on a machine: index and attempt of each task, one after the other.
+// Appends the placements of one job on a machine to `out`. The list alternates task index and attempt.
 void read_placements(const std::string& ref, const Json& list, std::vector<PlacementRecord>& out) {
   for (std::size_t i = 0; i + 1 < list.size(); i += 2)
     out.push_back({ref, list[i].get<int>(), list[i + 1].get<std::uint64_t>()});
@@ -279,7 +279,7 @@
   return out;
 }
 
-// ---------------------------------------------------------------- what workers are witnesses of
+// ---------------------------------------------------------------- revisions reported by workers
 
 std::uint64_t newest_reported_revision(const Report& report) {
   std::uint64_t out = report.fencing_token;
