--- a/src/bookkeeping/records.cpp
+++ b/src/bookkeeping/records.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Stored names of the fields. They are part of the on-disk format, and each is defined only here.
+// Stored names of the fields. They are part of the on-disk format.
 namespace job_fields {
 constexpr const char* kSpec = "job";
 constexpr const char* kSubmitted = "at";
