--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // The time that a task of the job may take, by its estimate; estimates are often too low.
-constexpr double kEstimateMargin = 1.3;
+constexpr double kEstimateSafetyFactor = 1.3;
 }  // namespace
 
 bool take_room(Resources& room, const Resources& demand) {
@@ -22,7 +22,7 @@
          !machine.reserved_for;
 }
 
-DelegationPlanner::FreeRooms DelegationPlanner::own_rooms() const {
+DelegationPlanner::FreeRooms DelegationPlanner::own_free_rooms() const {
   FreeRooms out;
   for (const auto& [name, machine] : model_.machines()) {
     if (!has_usable_room(*machine)) continue;
@@ -58,21 +58,22 @@
 
 ResourceRequest DelegationPlanner::request_for(const Job& job) const {
   const JobSpec& spec = job.spec();
-  const double wall = ctx_.env->wall_time();
+  const double wall_time = ctx_.env->wall_time();
   ResourceRequest out;
   out.demand = job.demand;
   out.assigned_share = static_cast<double>(job.placed + job.done.size()) / spec.task_count;
   out.nothing_placed = job.placed == 0 && job.done.empty() && job.delegated.empty();
-  out.bonus = PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) + rules_.age_bonus(job, wall);
+  out.bonus =
+      PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) + rules_.age_bonus(job, wall_time);
   if (spec.deadline_s) {
-    out.pressure = deadline_pressure(job.record.submitted_at + *spec.deadline_s - wall,
-                                     kEstimateMargin * std::max(1.0, spec.estimated_s));
+    out.pressure = deadline_pressure(job.record.submitted_at + *spec.deadline_s - wall_time,
+                                     kEstimateSafetyFactor * std::max(1.0, spec.estimated_s));
   }
   return out;
 }
 
 std::vector<SurplusJob> DelegationPlanner::surplus_jobs() const {
-  FreeRooms rooms = own_rooms();
+  FreeRooms rooms = own_free_rooms();
   std::vector<SurplusJob> out;
   for (const auto& [name, job] : model_.jobs()) {
     if (!may_be_delegated(*job)) continue;
@@ -82,10 +83,10 @@
   return out;
 }
 
-DelegationPlanner::Competitors DelegationPlanner::competitors(const RoomOffer& offer,
-                                                              std::vector<SurplusJob>& jobs) const {
+DelegationPlanner::Candidates DelegationPlanner::find_candidates(const RoomOffer& offer,
+                                                                 std::vector<SurplusJob>& jobs) const {
   const int type = ctx_.types->find(offer.machine_type);
-  Competitors out;
+  Candidates out;
   for (SurplusJob& each : jobs) {
     const Job& job = *each.job;
     const JobSpec& spec = job.spec();
@@ -93,8 +94,8 @@
     // Cordoned or kept for large tasks, the machine takes only what can go nowhere else.
     if (offer.only_large && type >= 0 && rules_.fits_smaller_type(job, type)) continue;
     // Best-effort work does not travel where it would not be started, or where other work is to go.
-    const bool unwelcome = offer.no_best_effort || (!offer.spot && spec.allows_spot);
-    if (unwelcome && rules_.is_preemptible(job) && !rules_.long_unplaced(job)) continue;
+    const bool excludes_best_effort = offer.no_best_effort || (!offer.spot && spec.allows_spot);
+    if (excludes_best_effort && rules_.is_preemptible(job) && !rules_.long_unplaced(job)) continue;
     out.requests.push_back(each.request);
     out.requests.back().image_is_cached =
         std::find(offer.images.begin(), offer.images.end(), spec.image) != offer.images.end();
@@ -103,10 +104,11 @@
   return out;
 }
 
-void DelegationPlanner::drop_unfit(Competitors& competitors, const Resources& room, TaskRequest& request,
-                                   std::map<int, Resources>& lacking) const {
-  for (std::size_t k = 0; k < competitors.jobs.size();) {
-    const SurplusJob& each = *competitors.jobs[k];
+void DelegationPlanner::remove_unplaceable(Candidates& candidates, const Resources& room,
+                                           TaskRequest& request,
+                                           std::map<int, Resources>& missing_quota) const {
+  for (std::size_t k = 0; k < candidates.jobs.size();) {
+    const SurplusJob& each = *candidates.jobs[k];
     const Job& job = *each.job;
     const SpareQuota& spare = request.spare_of(job.team);
     const bool has_room = each.chosen < each.surplus && fits(job.demand, room);
@@ -118,23 +120,24 @@
       continue;
     }
     if (has_room) {
-      Resources& more = lacking[job.team];
-      for (std::size_t r = 0; r < more.size(); r++) more[r] = std::max(more[r], job.demand[r]);
+      Resources& needed = missing_quota[job.team];
+      for (std::size_t r = 0; r < needed.size(); r++) needed[r] = std::max(needed[r], job.demand[r]);
     }
-    competitors.requests.erase(competitors.requests.begin() + static_cast<std::ptrdiff_t>(k));
-    competitors.jobs.erase(competitors.jobs.begin() + static_cast<std::ptrdiff_t>(k));
+    candidates.requests.erase(candidates.requests.begin() + static_cast<std::ptrdiff_t>(k));
+    candidates.jobs.erase(candidates.jobs.begin() + static_cast<std::ptrdiff_t>(k));
   }
 }
 
-void DelegationPlanner::choose_for(const RoomOffer& offer, TaskRequest& request,
-                                   std::vector<SurplusJob>& jobs, std::map<int, Resources>& lacking) const {
-  Competitors listed = competitors(offer, jobs);
+void DelegationPlanner::choose_tasks(const RoomOffer& offer, TaskRequest& request,
+                                     std::vector<SurplusJob>& jobs,
+                                     std::map<int, Resources>& missing_quota) const {
+  Candidates candidates = find_candidates(offer, jobs);
   Resources room = offer.room;
-  while (!listed.jobs.empty()) {
-    drop_unfit(listed, room, request, lacking);
-    const int best = choose_request(room, listed.requests, rules_.weights());
+  while (!candidates.jobs.empty()) {
+    remove_unplaceable(candidates, room, request, missing_quota);
+    const int best = choose_request(room, candidates.requests, rules_.weights());
     if (best < 0) break;
-    SurplusJob& chosen = *listed.jobs[static_cast<std::size_t>(best)];
+    SurplusJob& chosen = *candidates.jobs[static_cast<std::size_t>(best)];
     const Job& job = *chosen.job;
     take_room(room, job.demand);
     chosen.chosen++;
--- a/src/coordination/shard/delegation_planner.hpp
+++ b/src/coordination/shard/delegation_planner.hpp
@@ -35,22 +35,22 @@
   [[nodiscard]] std::vector<SurplusJob> surplus_jobs() const;
   // Chooses tasks for one offer. `request.spare` shrinks by what they use of their teams' quota; `lacking`
   // gets, by team, what a task would need for which there is room but no quota.
-  void choose_for(const RoomOffer& offer, TaskRequest& request, std::vector<SurplusJob>& jobs,
-                  std::map<int, Resources>& lacking) const;
+  void choose_tasks(const RoomOffer& offer, TaskRequest& request, std::vector<SurplusJob>& jobs,
+                    std::map<int, Resources>& missing_quota) const;
 
  private:
   // Jobs that compete for one offer.
-  struct Competitors {
+  struct Candidates {
     std::vector<ResourceRequest> requests;
     std::vector<SurplusJob*> jobs;
   };
-  [[nodiscard]] FreeRooms own_rooms() const;
+  [[nodiscard]] FreeRooms own_free_rooms() const;
   [[nodiscard]] bool may_be_delegated(const Job& job) const;
   [[nodiscard]] int tasks_without_room(const Job& job, FreeRooms& rooms) const;
   [[nodiscard]] ResourceRequest request_for(const Job& job) const;
-  [[nodiscard]] Competitors competitors(const RoomOffer& offer, std::vector<SurplusJob>& jobs) const;
-  void drop_unfit(Competitors& competitors, const Resources& room, TaskRequest& request,
-                  std::map<int, Resources>& lacking) const;
+  [[nodiscard]] Candidates find_candidates(const RoomOffer& offer, std::vector<SurplusJob>& jobs) const;
+  void remove_unplaceable(Candidates& candidates, const Resources& room, TaskRequest& request,
+                          std::map<int, Resources>& missing_quota) const;
 
   const ShardContext& ctx_;
   ShardModel& model_;
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -16,19 +16,22 @@
 namespace mothslip {
 
 namespace {
-constexpr double kQuotaSlop = 1e-9;       // cores or GPUs: sums of decimal fractions come out a hair off
-constexpr double kLookAgain = 0.3;        // seconds between two searches for places of one gang
-constexpr double kReplaceShare = 0.6;     // of gang_wait_s: later than this a lost task is not replaced
-constexpr double kIncomplete = 12.0;      // an attempt that can't be placed whole for so long is given up
-constexpr double kReserveAfter = 4.0;     // a gang that finds no room for so long has machines reserved
-constexpr double kReserveAnew = 10.0;     // and others may do better after this time
-constexpr double kReserveAtMost = 150.0;  // no gang keeps machines from others for longer,
-constexpr double kReservePause = 30.0;    // and then not for this long
-constexpr double kSeekEvery = 2.0;
-constexpr double kTellEvery = 2.0;
-constexpr double kToldGood = 6.0;  // what a delegate has said of a gang is believed this long
-constexpr double kStopMargin = 5.0;
-double total(const Resources& amounts, const Resources& weights) {
+constexpr double kRoundingTolerance = 1e-9;  // cores or GPUs: sums of decimal fractions come out a hair off
+constexpr double kPlacementRetrySeconds = 0.3;  // seconds between two searches for places of one gang
+constexpr double kReplacementWindowFraction =
+    0.6;  // of gang_wait_s: later than this a lost task is not replaced
+constexpr double kIncompleteTimeoutSeconds =
+    12.0;                                     // an attempt that can't be placed whole for so long is given up
+constexpr double kReserveAfterSeconds = 4.0;  // a gang that finds no room for so long has machines reserved
+constexpr double kReservationRefreshSeconds = 10.0;  // and others may do better after this time
+constexpr double kMaxReservationSeconds = 150.0;     // no gang keeps machines from others for longer,
+constexpr double kReservationPauseSeconds = 30.0;    // and then not for this long
+constexpr double kCapacityRequestIntervalSeconds = 2.0;
+constexpr double kGangStateReportIntervalSeconds = 2.0;
+constexpr double kGangStateReportValidSeconds =
+    6.0;  // what a delegate has said of a gang is believed this long
+constexpr double kStopMarginSeconds = 5.0;
+double weighted_sum(const Resources& amounts, const Resources& weights) {
   double sum = 0;
   for (std::size_t r = 0; r < amounts.size(); r++) sum += amounts[r] * weights[r];
   return sum;
@@ -48,19 +51,21 @@
       quotas_(quotas),
       commands_(commands) {}
 
-bool GangScheduler::attempt_over(const Job& job) { return job.attempt.failed || job.attempt.stopping; }
+bool GangScheduler::is_attempt_ending(const Job& job) { return job.attempt.failed || job.attempt.stopping; }
 
 int GangScheduler::gang_tasks_running(const Job& job) const {
-  const bool delegated_gang_runs = job.delegated_open() > 0 && job.delegated_gang_runs &&
-                                   ctx_.env->now() - job.delegated_gang_reported_at < kToldGood;
+  const bool delegated_gang_runs =
+      job.delegated_open() > 0 && job.delegated_gang_runs &&
+      ctx_.env->now() - job.delegated_gang_reported_at < kGangStateReportValidSeconds;
   return job.gang_runs() || delegated_gang_runs ? job.spec().task_count : 0;
 }
 
 bool GangScheduler::gang_may_be_placed(const Job& job) const {
   if (job.attempt.number == 0) return job.placed == 0 && job.waiting.size() == job.spec().task_count;
-  if (attempt_over(job) || job.attempt.started) return false;
-  const double since = job.attempt.launched_at;
-  return since == 0 || ctx_.env->now() - since < kReplaceShare * ctx_.settings->gang_wait_s;
+  if (is_attempt_ending(job) || job.attempt.started) return false;
+  const double launched_at = job.attempt.launched_at;
+  return launched_at == 0 ||
+         ctx_.env->now() - launched_at < kReplacementWindowFraction * ctx_.settings->gang_wait_s;
 }
 
 // Nothing of it is placed, delegated or paused.
@@ -83,7 +88,7 @@
   return out;
 }
 
-bool GangScheduler::open_to_gang(const Job& job, const Machine& machine) const {
+bool GangScheduler::may_use_machine(const Job& job, const Machine& machine) const {
   const double now = ctx_.env->now();
   if (machine.type < 0 || !machine.schedulable() || !machine.token_acknowledged || !machine.has_reported)
     return false;
@@ -99,17 +104,17 @@
 }
 
 bool GangScheduler::place_gang(const JobPtr& job) {
-  std::vector<Machine*> open;
+  std::vector<Machine*> usable;
   std::vector<GangMachine> rooms;
   for (auto& [name, machine] : model_.machines()) {
-    if (!open_to_gang(*job, *machine)) continue;
-    open.push_back(machine.get());
+    if (!may_use_machine(*job, *machine)) continue;
+    usable.push_back(machine.get());
     rooms.push_back({machine->room, machine->zone, fetch_s(*job, *machine)});
   }
   const std::vector<GangShare> shares = find_gang_places(gang_needs(*job), rooms);
   const double now = ctx_.env->now();
   if (shares.empty()) {
-    job->next_gang_placement_at = now + kLookAgain;
+    job->next_gang_placement_at = now + kPlacementRetrySeconds;
     return false;
   }
   GangAttempt& attempt = job->attempt;
@@ -123,26 +128,26 @@
   }
   const std::uint64_t number = attempt.number;
   for (const GangShare& share : shares) {
-    for (int i = 0; i < share.tasks; i++) placement_.place_task(*open[share.machine], job, number);
-    open[share.machine]->report_held = false;
+    for (int i = 0; i < share.tasks; i++) placement_.place_task(*usable[share.machine], job, number);
+    usable[share.machine]->report_held = false;
   }
-  if (reserving_ == job) release_reservation();
+  if (reserved_gang_ == job) release_reservation();
   return true;
 }
 
-void GangScheduler::gangs_written(const std::set<JobPtr>& gangs) {
+void GangScheduler::on_gangs_recorded(const std::set<JobPtr>& gangs) {
   for (const JobPtr& job : gangs) {
     if (job->attempt.launched_at != 0 || job->placed < job->spec().task_count) continue;
     const auto placements = model_.placements_of(*job);
-    const bool all = std::all_of(placements.begin(), placements.end(), [](const auto& item) {
+    const bool all_recorded = std::all_of(placements.begin(), placements.end(), [](const auto& item) {
       return item.second->stage == Placement::Stage::kRecorded;
     });
-    if (all) job->attempt.launched_at = ctx_.env->now();
+    if (all_recorded) job->attempt.launched_at = ctx_.env->now();
   }
 }
 
-void GangScheduler::stop_gang(const JobPtr& job, const char* why) {
-  spdlog::info("{} is stopped: {}", job->spec().ref, why);
+void GangScheduler::stop_gang(const JobPtr& job, const char* reason) {
+  spdlog::info("{} is stopped: {}", job->spec().ref, reason);
   job->attempt.stopping = true;
   job->attempt.stopping_since = ctx_.env->now();
   for (const auto& [machine, placement] : model_.placements_of(*job)) {
@@ -150,7 +155,7 @@
   }
 }
 
-void GangScheduler::stops_written(const std::set<JobPtr>& gangs) {
+void GangScheduler::on_stops_recorded(const std::set<JobPtr>& gangs) {
   for (const JobPtr& job : gangs) {
     if (job->attempt.stop_recorded || !job->attempt.stopping) continue;
     const auto placements = model_.placements_of(*job);
@@ -175,10 +180,10 @@
   GangAttempt& attempt = job->attempt;
   const JobSpec& spec = job->spec();
   const double now = ctx_.env->now();
-  if (attempt.stopping &&
-      now - attempt.stopping_since > spec.checkpoint_cost_s + 2 * ctx_.settings->gang_peer_s + kStopMargin)
+  if (attempt.stopping && now - attempt.stopping_since >
+                              spec.checkpoint_cost_s + 2 * ctx_.settings->gang_peer_s + kStopMarginSeconds)
     attempt.failed = true;  // whoever is left has nothing to save any more
-  if (attempt.launched_at == 0 && now - attempt.placed_at > kIncomplete) attempt.failed = true;
+  if (attempt.launched_at == 0 && now - attempt.placed_at > kIncompleteTimeoutSeconds) attempt.failed = true;
   if (attempt.failed) {
     if (!attempt.failure_stops_sent) {
       attempt.failure_stops_sent = true;
@@ -188,11 +193,11 @@
   }
   if (attempt.stopping) return;
   const auto placements = model_.placements_of(*job);
-  const bool goes = std::any_of(placements.begin(), placements.end(), [](const auto& item) {
+  const bool is_machine_leaving = std::any_of(placements.begin(), placements.end(), [](const auto& item) {
     const Machine& machine = *item.first;
     return machine.evicted_at || (machine.draining && machine.faulty);
   });
-  if (!goes) return;
+  if (!is_machine_leaving) return;
   if (!attempt.started) {
     attempt.failed = true;
   } else if (spec.can_checkpoint()) {
@@ -202,53 +207,55 @@
 
 void GangScheduler::release_reservation() {
   for (auto& [name, machine] : model_.machines()) machine->reserved_for.reset();
-  reserving_.reset();
+  reserved_gang_.reset();
 }
 
 // Small tasks that take every bit of room as it comes free would keep a gang waiting for ever. Machines are
 // kept for one gang at a time, the first in order, so that two do not hold half of their room each.
 void GangScheduler::update_reservation() {
   const double now = ctx_.env->now();
-  const double wall = ctx_.env->wall_time();
+  const double wall_time = ctx_.env->wall_time();
   JobPtr first;
   for (const auto& [name, job] : model_.jobs()) {
     const bool waits = gang_waits(*job) && !job->is_faulty();
     if (!waits || now < job->next_reservation_at || !rules_.within_quota(*job)) continue;
-    if (wall - job->record.submitted_at < kReserveAfter || now - job->idle_since < kReserveAfter) continue;
+    if (wall_time - job->record.submitted_at < kReserveAfterSeconds ||
+        now - job->idle_since < kReserveAfterSeconds)
+      continue;
     if (!first || has_priority_over(*job, *first)) first = job;
   }
-  if (reserving_ && reserving_ == first && now - reserved_at_ < kReserveAnew) return;
-  if (reserving_ != first) {
-    if (reserving_ && !reserving_->is_over() && reserving_->attempt.number == 0)
-      reserving_->reserved_since = 0;
+  if (reserved_gang_ && reserved_gang_ == first && now - reserved_at_ < kReservationRefreshSeconds) return;
+  if (reserved_gang_ != first) {
+    if (reserved_gang_ && !reserved_gang_->is_over() && reserved_gang_->attempt.number == 0)
+      reserved_gang_->reserved_since = 0;
   }
   release_reservation();
   if (!first) return;
   if (first->reserved_since == 0) first->reserved_since = now;
-  if (now - first->reserved_since > kReserveAtMost) {
+  if (now - first->reserved_since > kMaxReservationSeconds) {
     first->reserved_since = 0;
-    first->next_reservation_at = now + kReservePause;
+    first->next_reservation_at = now + kReservationPauseSeconds;
     return;
   }
   reserve_for(first);
 }
 
 // The machines that hold it when they are empty, those with most of their room free first.
-std::vector<Machine*> GangScheduler::capacity_for(const Job& job) const {
+std::vector<Machine*> GangScheduler::find_machines_with_capacity(const Job& job) const {
   std::vector<Machine*> machines;
   std::vector<GangMachine> rooms;
   for (const auto& [name, machine] : model_.machines()) {
-    if (!open_to_gang(job, *machine)) continue;
+    if (!may_use_machine(job, *machine)) continue;
     Resources capacity = machine->capacity;
     for (const Placement& placement : machine->placements) {
       // Another gang runs at its own pace; what is placed of it counts as taken.
       if (!placement.job->is_gang()) continue;
       for (std::size_t r = 0; r < capacity.size(); r++) capacity[r] -= placement.job->demand[r];
     }
-    const double all = std::max(1e-9, total(machine->capacity, rules_.weights().resource));
-    const double busy = 1 - total(machine->room, rules_.weights().resource) / all;
+    const double capacity_sum = std::max(1e-9, weighted_sum(machine->capacity, rules_.weights().resource));
+    const double busy_share = 1 - weighted_sum(machine->room, rules_.weights().resource) / capacity_sum;
     machines.push_back(machine.get());
-    rooms.push_back({capacity, machine->zone, std::round(busy * 4)});
+    rooms.push_back({capacity, machine->zone, std::round(busy_share * 4)});
   }
   std::vector<Machine*> out;
   for (const GangShare& share : find_gang_places(gang_needs(job), rooms))
@@ -257,12 +264,12 @@
 }
 
 void GangScheduler::reserve_for(const JobPtr& job) {
-  const std::vector<Machine*> machines = capacity_for(*job);
+  const std::vector<Machine*> machines = find_machines_with_capacity(*job);
   if (machines.empty()) return;
   for (Machine* machine : machines) machine->reserved_for = job;
   if (job->reserved_since == ctx_.env->now())
     spdlog::info("{}: {} machines are reserved", job->spec().ref, machines.size());
-  reserving_ = job;
+  reserved_gang_ = job;
   reserved_at_ = ctx_.env->now();
 }
 
@@ -270,18 +277,18 @@
 // delegated to a shard that says so, and that shard reserves machines for it.
 void GangScheduler::request_capacity() {
   const double now = ctx_.env->now();
-  if (ctx_.shard_count < 2 || now < next_seek_ || seeking_ || committer_.state_silent() ||
-      !ctx_.exclusive_owner())
+  if (ctx_.shard_count < 2 || now < next_capacity_request_at_ || capacity_request_inflight_ ||
+      committer_.state_silent() || !ctx_.exclusive_owner())
     return;
-  next_seek_ = now + kSeekEvery;
+  next_capacity_request_at_ = now + kCapacityRequestIntervalSeconds;
   for (const auto& [name, job] : model_.jobs()) {
     if (job->delegated_here() || !gang_waits(*job) || !rules_.starving(*job)) continue;
-    if (!capacity_for(*job).empty()) continue;
-    asked_for_capacity_ = ctx_.next_shard(asked_for_capacity_);
-    seeking_ = true;
-    ctx_.ask(asked_for_capacity_, peer_paths::kGangCapacity, GangCapacityRequest{job->spec()}.to_json(),
-             alive_([this, job = job, shard = asked_for_capacity_](const Json& answer) {
-               seeking_ = false;
+    if (!find_machines_with_capacity(*job).empty()) continue;
+    last_shard_asked_ = ctx_.next_shard(last_shard_asked_);
+    capacity_request_inflight_ = true;
+    ctx_.ask(last_shard_asked_, peer_paths::kGangCapacity, GangCapacityRequest{job->spec()}.to_json(),
+             callback_guard_([this, job = job, shard = last_shard_asked_](const Json& answer) {
+               capacity_request_inflight_ = false;
                const auto reply = GangCapacityReply::from_json(answer);
                if (reply.capacity && gang_waits(*job))
                  delegation_.delegate_tasks(job, shard, reply.fencing_token, job->waiting.size());
@@ -290,12 +297,12 @@
   }
 }
 
-GangCapacityReply GangScheduler::on_gang_capacity(const GangCapacityRequest& request) {
+GangCapacityReply GangScheduler::on_gang_capacity_request(const GangCapacityRequest& request) {
   JobRecord job_record;
   job_record.spec = request.job;
   const JobPtr job = model_.make_job(std::move(job_record), 0);
   job->waiting.insert(0, request.job.task_count);
-  return {!capacity_for(*job).empty(), ctx_.fencing_token};
+  return {!find_machines_with_capacity(*job).empty(), ctx_.fencing_token};
 }
 
 // In the order in which they are served.
@@ -317,13 +324,14 @@
   std::vector<Resources> rooms;
   for (const RoomOffer& offer : request.offers) rooms.push_back(offer.room);
   for (const JobPtr& job : gangs_to_delegate()) {
-    if (finds_local_room(*job)) continue;
+    if (has_local_room(*job)) continue;
     const SpareQuota& spare = request.spare_of(job->team);
     const Resources needs = job->start_demand();
-    const bool quota = needs[0] <= spare.cores + kQuotaSlop && needs[2] <= spare.gpus + kQuotaSlop;
+    const bool has_quota =
+        needs[0] <= spare.cores + kRoundingTolerance && needs[2] <= spare.gpus + kRoundingTolerance;
     const std::vector<GangShare> shares = find_offered_places(*job, request.offers, rooms);
     if (shares.empty()) continue;
-    if (!quota) {
+    if (!has_quota) {
       // Room without quota is of no use: what is not needed of this shard's share moves along.
       quotas_.transfer_quota(job->team, request.shard, needs[0], needs[2], false);
       if (!rules_.starving(*job)) continue;
@@ -337,11 +345,11 @@
   return delegated;
 }
 
-bool GangScheduler::finds_local_room(const Job& job) const {
+bool GangScheduler::has_local_room(const Job& job) const {
   if (!rules_.within_quota(job)) return false;
   std::vector<GangMachine> rooms;
   for (const auto& [name, machine] : model_.machines()) {
-    if (open_to_gang(job, *machine)) rooms.push_back({machine->room, machine->zone, 0});
+    if (may_use_machine(job, *machine)) rooms.push_back({machine->room, machine->zone, 0});
   }
   return !find_gang_places(gang_needs(job), rooms).empty();
 }
@@ -353,13 +361,14 @@
   for (std::size_t i = 0; i < rooms.size(); i++) {
     const RoomOffer& offer = offers[i];
     const int type = ctx_.types->find(offer.machine_type);
-    const bool open = type >= 0 &&
-                      rules_.allows_machine(job.spec(), offer.machine_type, offer.zone, offer.spot) &&
-                      !(offer.only_large && rules_.fits_smaller_type(job, type));
-    const bool local =
+    const bool is_usable = type >= 0 &&
+                           rules_.allows_machine(job.spec(), offer.machine_type, offer.zone, offer.spot) &&
+                           !(offer.only_large && rules_.fits_smaller_type(job, type));
+    const bool image_is_cached =
         std::find(offer.images.begin(), offer.images.end(), job.spec().image) != offer.images.end();
-    const double fetch = local || type < 0 ? 0 : image_fetch_s(job.spec(), ctx_.types->at(type));
-    machines.push_back({open ? rooms[i] : Resources{}, ctx_.zones->intern(offer.zone), fetch});
+    const double offer_fetch_s =
+        image_is_cached || type < 0 ? 0 : image_fetch_s(job.spec(), ctx_.types->at(type));
+    machines.push_back({is_usable ? rooms[i] : Resources{}, ctx_.zones->intern(offer.zone), offer_fetch_s});
   }
   return find_gang_places(gang_needs(job), machines);
 }
@@ -368,7 +377,8 @@
 void GangScheduler::report_to_home(const JobPtr& job) {
   const double now = ctx_.env->now();
   const bool running = job->gang_runs();
-  if (running == job->delegated_gang_runs && (!running || now - job->delegated_gang_reported_at < kTellEvery))
+  if (running == job->delegated_gang_runs &&
+      (!running || now - job->delegated_gang_reported_at < kGangStateReportIntervalSeconds))
     return;
   job->delegated_gang_runs = running;
   job->delegated_gang_reported_at = now;
--- a/src/coordination/shard/gang_scheduler.hpp
+++ b/src/coordination/shard/gang_scheduler.hpp
@@ -35,7 +35,7 @@
                 QuotaShares& quotas, WorkerCommands& commands);
 
   // The attempt has failed or is being stopped: nothing of it is launched any more.
-  [[nodiscard]] static bool attempt_over(const Job& job);
+  [[nodiscard]] static bool is_attempt_ending(const Job& job);
   // Users are told that a gang runs only while all its tasks do.
   [[nodiscard]] int gang_tasks_running(const Job& job) const;
   // Places may be looked for: for the whole gang, or for tasks lost before it started.
@@ -45,13 +45,13 @@
   // Places all tasks that wait: the whole gang, or those that were lost before it started.
   bool place_gang(const JobPtr& job);
   // New placements of these gangs are durable. Once all are, they may be launched.
-  void gangs_written(const std::set<JobPtr>& gangs);
+  void on_gangs_recorded(const std::set<JobPtr>& gangs);
   // All must be told within gang_peer_s of the first: directly, and in answers to reports.
-  void stops_written(const std::set<JobPtr>& gangs);
+  void on_stops_recorded(const std::set<JobPtr>& gangs);
   // Every half second: attempts, reservations, and what the home shard is told.
   void maintain();
   // Another shard asks whether the machines here could hold a gang if they were empty.
-  [[nodiscard]] GangCapacityReply on_gang_capacity(const GangCapacityRequest& request);
+  [[nodiscard]] GangCapacityReply on_gang_capacity_request(const GangCapacityRequest& request);
   // Delegates gangs that find no room here, whole, where the asking shard has offered room for all their
   // tasks.
   int delegate_gangs(TaskRequest& request);
@@ -62,16 +62,16 @@
   [[nodiscard]] std::vector<JobPtr> gangs_to_delegate() const;
   [[nodiscard]] bool gang_waits(const Job& job) const;
   [[nodiscard]] static GangNeeds gang_needs(const Job& job);
-  [[nodiscard]] bool open_to_gang(const Job& job, const Machine& machine) const;
+  [[nodiscard]] bool may_use_machine(const Job& job, const Machine& machine) const;
   [[nodiscard]] double fetch_s(const Job& job, const Machine& machine) const;
-  void stop_gang(const JobPtr& job, const char* why);
+  void stop_gang(const JobPtr& job, const char* reason);
   void maintain_attempt(const JobPtr& job);
   void release_reservation();
   void update_reservation();
-  [[nodiscard]] std::vector<Machine*> capacity_for(const Job& job) const;
+  [[nodiscard]] std::vector<Machine*> find_machines_with_capacity(const Job& job) const;
   void reserve_for(const JobPtr& job);
   void request_capacity();
-  [[nodiscard]] bool finds_local_room(const Job& job) const;
+  [[nodiscard]] bool has_local_room(const Job& job) const;
   [[nodiscard]] std::vector<GangShare> find_offered_places(const Job& job,
                                                            const std::vector<RoomOffer>& offers,
                                                            const std::vector<Resources>& rooms) const;
@@ -86,11 +86,11 @@
   TaskDelegation& delegation_;
   QuotaShares& quotas_;
   WorkerCommands& commands_;
-  CallbackGuard alive_;
-  int asked_for_capacity_ = 0;  // the shard asked last
-  bool seeking_ = false;        // a shard was asked for it and has not answered yet
-  double next_seek_ = 0;
-  JobPtr reserving_;  // the gang for which machines are kept
+  CallbackGuard callback_guard_;
+  int last_shard_asked_ = 0;                // the shard asked last
+  bool capacity_request_inflight_ = false;  // a shard was asked for it and has not answered yet
+  double next_capacity_request_at_ = 0;
+  JobPtr reserved_gang_;  // the gang for which machines are kept
   double reserved_at_ = 0;
 };
 
--- a/src/coordination/shard/journal_outcome.cpp
+++ b/src/coordination/shard/journal_outcome.cpp
@@ -29,10 +29,10 @@
       delegated->second.revision = std::max(delegated->second.revision, revision);
   }
   for (const auto& [job, indices] : write.completions) job->mark_saved(indices);
-  gangs_.gangs_written(set_recorded(write));
+  gangs_.on_gangs_recorded(set_recorded(write));
   const std::set<JobPtr> stopped = set_stops_recorded(write);
   drop_removed(write);
-  gangs_.stops_written(stopped);
+  gangs_.on_stops_recorded(stopped);
   for (const PlacementRef& ref : write.added) {
     const auto it = model_.machines().find(ref.machine);
     if (it != model_.machines().end()) commands_.answer(*it->second);
@@ -84,7 +84,7 @@
   for (const std::string& key : failed_keys) {
     if (!explains_refusal(write, key, delegated_here)) return false;
   }
-  for (const JobPtr& job : delegated_here) delegation_.drop_delegated(job);
+  for (const JobPtr& job : delegated_here) delegation_.cancel_delegated_job(job);
   segments_.undo_created(write);
   undo_delegations(write, failed_keys);
   segments_.undo_moved(write);
--- a/src/coordination/shard/preemptor.hpp
+++ b/src/coordination/shard/preemptor.hpp
@@ -24,15 +24,15 @@
     Resources room{};  // free, or free soon
     std::vector<PreemptionCandidate> candidates;
   };
-  [[nodiscard]] bool best_effort_here() const { return best_effort_here_; }
+  [[nodiscard]] bool has_best_effort_jobs() const { return has_best_effort_jobs_; }
   void set_headroom_share(double share) { headroom_share_ = share; }
   // Best-effort work was placed on so many cores.
-  void use_headroom(double cores) { beyond_headroom_ -= cores; }
+  void on_best_effort_placed(double cores) { cores_beyond_headroom_ -= cores; }
 
   // No other work has wanted the machine for a while.
-  [[nodiscard]] bool quiet(Machine& machine) const;
+  [[nodiscard]] bool is_uncontended(Machine& machine) const;
   // Whether best-effort work may start on the machine at all. (What has waited for long beside room may.)
-  [[nodiscard]] bool open_to_best_effort(const Job& job, const Machine& machine, bool is_quiet) const;
+  [[nodiscard]] bool may_start_best_effort(const Job& job, const Machine& machine, bool uncontended) const;
   // What a machine has free, will have once the tasks that are being stopped are gone, and would have without
   // any best-effort work.
   [[nodiscard]] PreemptibleRoom preemptible_room(Machine& machine) const;
@@ -42,20 +42,20 @@
   void preempt();
 
  private:
-  [[nodiscard]] bool wanted_by_others(Machine& machine) const;
+  [[nodiscard]] bool is_wanted_by_others(Machine& machine) const;
   void preempt_for(const Job& job, int count, std::vector<PreemptibleRoom>& machines,
                    std::size_t& stops_left);
   void measure_headroom();
-  void clear_reserved(std::size_t& stops_left);
+  void preempt_on_reserved_machines(std::size_t& stops_left);
 
   const ShardContext& ctx_;
   ShardModel& model_;
   RecordCommitter& committer_;
   PlacementRules& rules_;
   WorkerCommands& commands_;
-  double headroom_share_ = 0;      // of the machines' cores, kept free of preemptible work
-  bool best_effort_here_ = false;  // a job of the shard is best-effort work
-  double beyond_headroom_ = 0;     // cores that are free beyond the headroom
+  double headroom_share_ = 0;          // of the machines' cores, kept free of preemptible work
+  bool has_best_effort_jobs_ = false;  // a job of the shard is best-effort work
+  double cores_beyond_headroom_ = 0;   // cores that are free beyond the headroom
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -12,8 +12,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kGrain = 64;  // quota shares move in steps of 1/64, so that sums stay exact
-double grains(double amount) { return std::floor(amount * kGrain + 1e-9) / kGrain; }
+constexpr double kStepsPerUnit = 64;  // quota shares move in steps of 1/64, so that sums stay exact
+double round_down_to_step(double amount) { return std::floor(amount * kStepsPerUnit + 1e-9) / kStepsPerUnit; }
 }  // namespace
 
 QuotaShares::QuotaShares(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -33,8 +33,8 @@
 
 QuotaSplit QuotaShares::even_split(int team) const {
   const Team& limits = ctx_.settings->teams[static_cast<std::size_t>(team)];
-  const double cores = grains(limits.cpus_max / ctx_.shard_count);
-  const double gpus = grains(limits.gpus_max / ctx_.shard_count);
+  const double cores = round_down_to_step(limits.cpus_max / ctx_.shard_count);
+  const double gpus = round_down_to_step(limits.gpus_max / ctx_.shard_count);
   const int others = ctx_.shard_count - 1;
   QuotaSplit out;
   out.cores.assign(static_cast<std::size_t>(ctx_.shard_count), cores);
@@ -46,12 +46,12 @@
 }
 
 void QuotaShares::set_split(int team, const QuotaSplit& split, std::uint64_t revision) {
-  const auto at = static_cast<std::size_t>(ctx_.shard);
-  if (at >= split.cores.size() || at >= split.gpus.size()) {
+  const auto index = static_cast<std::size_t>(ctx_.shard);
+  if (index >= split.cores.size() || index >= split.gpus.size()) {
     spdlog::error("record {} cannot be read", keys::quota_split(team));
     return;
   }
-  model_.teams().set_quota(team, split.cores[at], split.gpus[at], revision);
+  model_.teams().set_quota(team, split.cores[index], split.gpus[index], revision);
   splits_[team] = split;
 }
 
@@ -70,20 +70,20 @@
   if (team < 0 || team >= static_cast<int>(model_.teams().size()) ||
       revision <= model_.teams().revision(team))
     return;
-  if (moving_.count(team) > 0) return;  // the move under way finds out
+  if (transferring_teams_.count(team) > 0) return;  // the move under way finds out
   read_split(team, event["data"], revision);
 }
 
-void QuotaShares::note_shortage(const Job& job) {
+void QuotaShares::add_shortage(const Job& job) {
   if (rules_.starving(job)) {
     // All that others can spare is for one task of it.
-    short_of_[job.team] = job.start_demand();
+    shortages_[job.team] = job.start_demand();
     starving_teams_.insert(job.team);
     return;
   }
   if (starving_teams_.count(job.team) > 0) return;
-  Resources& more = short_of_[job.team];
-  for (std::size_t r = 0; r < 3; r++) more[r] = std::max(more[r], job.demand[r] * job.waiting.size());
+  Resources& needed = shortages_[job.team];
+  for (std::size_t r = 0; r < 3; r++) needed[r] = std::max(needed[r], job.demand[r] * job.waiting.size());
 }
 
 // What the team's waiting tasks would take of the room that the shard's machines have.
@@ -103,22 +103,23 @@
 }
 
 void QuotaShares::request_quota() {
-  if (short_of_.empty() || committer_.state_silent()) return;
-  asked_for_quota_ = ctx_.next_shard(asked_for_quota_);
+  if (shortages_.empty() || committer_.state_silent()) return;
+  last_shard_asked_ = ctx_.next_shard(last_shard_asked_);
   QuotaRequest request{ctx_.shard, {}};
-  for (const auto& [team, more] : short_of_) {
+  for (const auto& [team, needed] : shortages_) {
     const double spare_cores = model_.teams().spare_cores(team);
     const double spare_gpus = model_.teams().spare_gpus(team);
-    QuotaWant want{team, more[0] - spare_cores, more[2] - spare_gpus, starving_teams_.count(team) > 0, {}};
+    QuotaWant want{
+        team, needed[0] - spare_cores, needed[2] - spare_gpus, starving_teams_.count(team) > 0, {}};
     if (want.starving) {
-      const Resources all = startable_demand(team);
-      want.startable = SpareQuota{all[0] - spare_cores, all[2] - spare_gpus};
+      const Resources startable = startable_demand(team);
+      want.startable = SpareQuota{startable[0] - spare_cores, startable[2] - spare_gpus};
     }
     request.wants.push_back(want);
   }
-  short_of_.clear();
+  shortages_.clear();
   starving_teams_.clear();
-  ctx_.ask(asked_for_quota_, peer_paths::kQuotaRequest, request.to_json(), [](const Json&) {});
+  ctx_.ask(last_shard_asked_, peer_paths::kQuotaRequest, request.to_json(), [](const Json&) {});
 }
 
 void QuotaShares::on_quota_request(const QuotaRequest& request) {
@@ -140,7 +141,7 @@
 
 // What of the shard's share of the team's quota its own waiting tasks leave. Nothing, for a shard of a higher
 // number, where some wait: two shards that each lack a little would otherwise hand the remainder to and fro.
-SpareQuota QuotaShares::transferable(int team, int to, bool keep_own) const {
+SpareQuota QuotaShares::transferable_quota(int team, int to, bool keep_own) const {
   SpareQuota spare{model_.teams().spare_cores(team), model_.teams().spare_gpus(team)};
   if (!keep_own) return spare;
   bool needed = false;
@@ -157,13 +158,13 @@
 }
 
 bool QuotaShares::transfer_quota(int team, int to, double cores, double gpus, bool keep_own) {
-  if (team < 0 || team >= static_cast<int>(model_.teams().size()) || moving_.count(team) > 0 ||
+  if (team < 0 || team >= static_cast<int>(model_.teams().size()) || transferring_teams_.count(team) > 0 ||
       splits_.count(team) == 0) {
     return false;
   }
-  const SpareQuota spare = transferable(team, to, keep_own);
-  const double give_cores = grains(std::clamp(cores, 0.0, std::max(0.0, spare.cores)));
-  const double give_gpus = grains(std::clamp(gpus, 0.0, std::max(0.0, spare.gpus)));
+  const SpareQuota spare = transferable_quota(team, to, keep_own);
+  const double give_cores = round_down_to_step(std::clamp(cores, 0.0, std::max(0.0, spare.cores)));
+  const double give_gpus = round_down_to_step(std::clamp(gpus, 0.0, std::max(0.0, spare.gpus)));
   if (give_cores <= 0 && give_gpus <= 0) return false;
   QuotaSplit split = splits_.at(team);
   const auto from_at = static_cast<std::size_t>(ctx_.shard);
@@ -178,7 +179,7 @@
   txn.put(keys::quota_split(team), split.to_json());
   // Given up before it is written: whenever the write takes effect, this shard does not use it any more.
   model_.teams().set_quota(team, split.cores[from_at], split.gpus[from_at], model_.teams().revision(team));
-  moving_.insert(team);
+  transferring_teams_.insert(team);
   model_.counters().moves++;
   commit_quota(team, std::make_shared<std::string>(txn.body()), split);
   return true;
@@ -186,30 +187,31 @@
 
 void QuotaShares::commit_quota(int team, const std::shared_ptr<std::string>& body, const QuotaSplit& split) {
   ctx_.state->commit_body(
-      RequestPriority::kRest, *body, 1, alive_([this, team, body, split](const StateReply& reply) {
+      RequestPriority::kRest, *body, 1, callback_guard_([this, team, body, split](const StateReply& reply) {
         if (reply.ok()) {
-          moving_.erase(team);
+          transferring_teams_.erase(team);
           set_split(team, split, reply.revision());
         } else if (reply.outcome == Outcome::kConflict) {
           // Another move came first, or an unanswered copy of this one: the key tells.
           reload_team(team);
         } else {
-          ctx_.env->after(0.3, alive_([this, team, body, split] { commit_quota(team, body, split); }));
+          ctx_.env->after(0.3,
+                          callback_guard_([this, team, body, split] { commit_quota(team, body, split); }));
         }
       }));
 }
 
 void QuotaShares::reload_team(int team) {
   ctx_.state->get(RequestPriority::kRest, keys::quota_split(team),
-                  alive_([this, team](const StateReply& reply) {
+                  callback_guard_([this, team](const StateReply& reply) {
                     if (reply.ok() && reply.body.contains("data")) {
-                      moving_.erase(team);
+                      transferring_teams_.erase(team);
                       read_split(team, reply.body["data"], reply.body.value("stamp", std::uint64_t{0}));
                     } else if (reply.outcome == Outcome::kMissing) {
-                      moving_.erase(team);
+                      transferring_teams_.erase(team);
                       set_split(team, even_split(team), 0);
                     } else {
-                      ctx_.env->after(0.3, alive_([this, team] { reload_team(team); }));
+                      ctx_.env->after(0.3, callback_guard_([this, team] { reload_team(team); }));
                     }
                   }));
 }
--- a/src/coordination/shard/quota_shares.hpp
+++ b/src/coordination/shard/quota_shares.hpp
@@ -22,7 +22,7 @@
   QuotaShares(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
               PlacementRules& rules);
   // A waiting task of the team, for which there is room, needs more than the quota share lets in.
-  void set_shortage(int team, const Resources& needed) { short_of_[team] = needed; }
+  void set_shortage(int team, const Resources& needed) { shortages_[team] = needed; }
   // The split of a team that never moved is even, and has no record.
   void load(const std::vector<StateItem>& items);
 
@@ -31,7 +31,7 @@
   // The record of a team's split has changed.
   void on_quota_event(const Json& event);
   // A waiting task of the job does not fit into the team's quota share.
-  void note_shortage(const Job& job);
+  void add_shortage(const Job& job);
   // Asks the next shard for what waiting tasks lack.
   void request_quota();
   // Another shard asks for quota.
@@ -44,7 +44,7 @@
   void set_split(int team, const QuotaSplit& split, std::uint64_t revision);
   // The record of a split; a malformed one is logged and changes nothing.
   void read_split(int team, const Json& record, std::uint64_t revision);
-  [[nodiscard]] SpareQuota transferable(int team, int to, bool keep_own) const;
+  [[nodiscard]] SpareQuota transferable_quota(int team, int to, bool keep_own) const;
   [[nodiscard]] Resources startable_demand(int team) const;
   void commit_quota(int team, const std::shared_ptr<std::string>& body, const QuotaSplit& split);
   void reload_team(int team);
@@ -53,12 +53,12 @@
   ShardModel& model_;
   RecordCommitter& committer_;
   PlacementRules& rules_;
-  CallbackGuard alive_;
-  std::set<int> starving_teams_;       // their quota share is saved up for a job that starves
-  std::map<int, Resources> short_of_;  // by team: what a waiting task needs and the quota share lacks
-  std::map<int, QuotaSplit> splits_;   // by team: its record
-  std::set<int> moving_;               // teams of which a part of the quota share is being given away
-  int asked_for_quota_ = 0;            // the shard asked last
+  CallbackGuard callback_guard_;
+  std::set<int> starving_teams_;        // their quota share is saved up for a job that starves
+  std::map<int, Resources> shortages_;  // by team: what a waiting task needs and the quota share lacks
+  std::map<int, QuotaSplit> splits_;    // by team: its record
+  std::set<int> transferring_teams_;    // teams of which a part of the quota share is being given away
+  int last_shard_asked_ = 0;            // the shard asked last
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -262,7 +262,7 @@
   if (path == peer_paths::kTaskRequest)
     return delegation_.on_task_request(TaskRequest::from_json(body)).to_json();
   if (path == peer_paths::kGangCapacity)
-    return gangs_.on_gang_capacity(GangCapacityRequest::from_json(body)).to_json();
+    return gangs_.on_gang_capacity_request(GangCapacityRequest::from_json(body)).to_json();
   if (path == peer_paths::kQuotaRequest) quotas_.on_quota_request(QuotaRequest::from_json(body));
   if (path == peer_paths::kGangState) gangs_.on_gang_state(GangState::from_json(body));
   return Json::object();
--- a/src/coordination/shard/shard_loader.cpp
+++ b/src/coordination/shard/shard_loader.cpp
@@ -170,7 +170,7 @@
         }
         for (const auto& [name, job] : model_.jobs()) {
           if (job->delegated_here() && job->home_shard == home && open.count(job->spec().ref) == 0)
-            delegation_.drop_delegated(job);
+            delegation_.cancel_delegated_job(job);
         }
         homes.erase(home);
         check_delegated(std::move(homes));
@@ -306,7 +306,7 @@
     const std::string prefix = keys::delegations(ctx_.shard, ref);
     for (auto it = model_.jobs().lower_bound(prefix);
          it != model_.jobs().end() && it->first.rfind(prefix, 0) == 0; ++it) {
-      delegation_.drop_delegated(it->second);
+      delegation_.cancel_delegated_job(it->second);
     }
     return;
   }
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -17,21 +17,23 @@
 namespace mothslip {
 
 namespace {
-constexpr double kTaskRequestInterval = 0.4;
-constexpr double kTaskRequestIdleInterval = 0.9;
-constexpr double kGiveBack = 2.5;  // waiting tasks of a delegation that found no place this long go home
-constexpr double kSaveUp = 30;     // longer where room or quota share is saved up for it
-constexpr double kGatherGang = 60;
+constexpr double kTaskRequestIntervalSeconds = 0.4;
+constexpr double kIdleTaskRequestIntervalSeconds = 0.9;
+constexpr double kReturnAfterSeconds =
+    2.5;  // waiting tasks of a delegation that found no place this long go home
+constexpr double kStarvingReturnAfterSeconds = 30;  // longer where room or quota share is saved up for it
+constexpr double kStarvingGangReturnAfterSeconds = 60;
 constexpr std::size_t kMaxOffers = 40;
-constexpr double kLeastCoresOffered = 0.5;
+constexpr double kMinOfferedCores = 0.5;
 constexpr std::size_t kMaxUnwrittenDelegations = 8;  // not written yet
 constexpr int kMaxDelegationsPerRequest = 4;         // per request
-constexpr double kDelegationFrame = 120;  // bytes of a delegation's record without its job and its ranges
-constexpr double kBytesPerRange = 14;     // of text, at the most
-constexpr double kBytesPerTask = 1.4;     // and that much more however scattered some of the tasks are done
+constexpr double kDelegationFrameBytes =
+    120;                                  // bytes of a delegation's record without its job and its ranges
+constexpr double kMaxBytesPerRange = 14;  // of text, at the most
+constexpr double kMaxBytesPerTask = 1.4;  // and that much more however scattered some of the tasks are done
 // What the ranges of a delegation's record may come to take, whichever of its tasks are done or given back.
-double delegation_bytes(const RangeSet& range) {
-  return 2 * (kBytesPerRange * static_cast<double>(range.range_count()) + kBytesPerTask * range.size());
+double max_range_bytes(const RangeSet& range) {
+  return 2 * (kMaxBytesPerRange * static_cast<double>(range.range_count()) + kMaxBytesPerTask * range.size());
 }
 }  // namespace
 
@@ -68,7 +70,7 @@
   model_.notify_work_waiting();
 }
 
-void TaskDelegation::drop_delegated(const JobPtr& job) {
+void TaskDelegation::cancel_delegated_job(const JobPtr& job) {
   if (job->record.cancelled) return;
   job->record.cancelled = true;
   job->cancelled_at = ctx_.env->now();
@@ -82,8 +84,8 @@
 
 void TaskDelegation::on_delegation_event(const Json& event) {
   const std::string key = event.value(event.contains("put") ? "put" : "delete", "");
-  const std::string own = keys::kDelegations + std::to_string(ctx_.shard) + "/";
-  if (key.compare(0, own.size(), own) == 0) {
+  const std::string own_prefix = keys::kDelegations + std::to_string(ctx_.shard) + "/";
+  if (key.compare(0, own_prefix.size(), own_prefix) == 0) {
     on_received_delegation(key, event);
   } else {
     on_sent_delegation(key, event);
@@ -159,7 +161,7 @@
 // A delegation that was made under larger limits may no longer fit into a record. Once nothing of it runs
 // here, so many of its tasks go home as do not fit, done or not: their results are kept, and starting them
 // again ends at once.
-bool TaskDelegation::fit_delegation(Job& job) const {
+bool TaskDelegation::trim_to_record_size(Job& job) const {
   const auto too_large = [this, &job] {
     return static_cast<double>(dump_json(delegation_record(job).to_json()).size()) > committer_.value_bytes();
   };
@@ -178,18 +180,20 @@
 }
 
 // Waiting tasks that found no place here for long go home, unless others of the job are bound to stay.
-bool TaskDelegation::gives_back(const Job& job) const {
-  const double patience = !rules_.starving(job) ? kGiveBack : job.is_gang() ? kGatherGang : kSaveUp;
-  return !job.waiting.empty() && ctx_.env->now() - job.idle_since > patience &&
+bool TaskDelegation::should_return_waiting(const Job& job) const {
+  const double return_after_s = !rules_.starving(job) ? kReturnAfterSeconds
+                                : job.is_gang()       ? kStarvingGangReturnAfterSeconds
+                                                      : kStarvingReturnAfterSeconds;
+  return !job.waiting.empty() && ctx_.env->now() - job.idle_since > return_after_s &&
          (!job.has_placement_constraints() || (job.placed == 0 && job.backoff.empty()));
 }
 
 // Adds what the delegate writes of one delegation to the transaction.
 TaskDelegation::DelegationWrite TaskDelegation::add_write(Transaction& txn, const std::string& key,
-                                                          const JobPtr& job, bool give_back) {
+                                                          const JobPtr& job, bool return_waiting) {
   DelegationWrite out{job, job->range, job->done, false};
   job->fold_due = false;
-  if (give_back) {
+  if (return_waiting) {
     model_.counters().tasks_returned += static_cast<std::uint64_t>(job->waiting.size());
     out.range.erase(job->waiting);
     // From here on they belong to the home shard, whatever becomes of the write: it is repeated until it is
@@ -211,16 +215,16 @@
 bool TaskDelegation::commit_delegations() {
   Transaction txn = committer_.guarded_transaction();
   std::vector<DelegationWrite> batch;
-  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  const auto max_writes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (auto& [key, job] : model_.jobs()) {
     if (!job->delegated_here() || job->record.cancelled || job->progress_inflight || job->cleanup_inflight)
       continue;
-    const bool give_back = gives_back(*job);
+    const bool return_waiting = should_return_waiting(*job);
     // Until the delegation is complete its completions are kept in the journal's segments.
     const bool due = (!job->unsaved.empty() && job->complete()) || job->fold_due;
-    if (!give_back && !due) continue;
-    if (txn.then.size() + 1 > most) break;
-    if (fit_delegation(*job)) batch.push_back(add_write(txn, key, job, give_back));
+    if (!return_waiting && !due) continue;
+    if (txn.then.size() + 1 > max_writes) break;
+    if (trim_to_record_size(*job)) batch.push_back(add_write(txn, key, job, return_waiting));
   }
   if (batch.empty()) return false;
   committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn,
@@ -239,26 +243,26 @@
 }
 
 // Other shards' work that goes before best-effort work gets the room of best-effort tasks too.
-bool TaskDelegation::others_wait() const {
+bool TaskDelegation::offers_preemptible_room() const {
   const std::vector<WaitingHint>& hints = model_.demand_elsewhere();
-  return preemptor_.best_effort_here() &&
+  return preemptor_.has_best_effort_jobs() &&
          std::any_of(hints.begin(), hints.end(), [](const WaitingHint& hint) { return hint.startable; });
 }
 
 // The room of this shard's machines; for other shards' work, with what best-effort tasks hold.
-DelegationPlanner::FreeRooms TaskDelegation::free_rooms(bool for_others) const {
+DelegationPlanner::FreeRooms TaskDelegation::free_rooms(bool include_preemptible) const {
   DelegationPlanner::FreeRooms out;
   for (const auto& [name, machine] : model_.machines()) {
     if (!planner_.has_usable_room(*machine)) continue;
     Resources room = machine->room;
-    if (for_others) {
-      const Preemptor::PreemptibleRoom free = preemptor_.preemptible_room(*machine);
-      room = free.room;
-      for (const PreemptionCandidate& each : free.candidates) {
+    if (include_preemptible) {
+      const Preemptor::PreemptibleRoom preemptible = preemptor_.preemptible_room(*machine);
+      room = preemptible.room;
+      for (const PreemptionCandidate& each : preemptible.candidates) {
         for (std::size_t r = 0; r < room.size(); r++) room[r] += each.held[r];
       }
     }
-    if (room[0] < kLeastCoresOffered) continue;
+    if (room[0] < kMinOfferedCores) continue;
     machine->reserved_for_large = rules_.reserves_for_large(*machine);
     out.emplace_back(machine.get(), room);
   }
@@ -266,10 +270,11 @@
 }
 
 // Takes out of the rooms what this shard's own waiting tasks will use.
-void TaskDelegation::use_rooms(DelegationPlanner::FreeRooms& rooms, bool for_others) const {
+void TaskDelegation::subtract_own_demand(DelegationPlanner::FreeRooms& rooms,
+                                         bool include_preemptible) const {
   for (const auto& [name, job] : model_.jobs()) {
     // (A gang that fits here is placed; the room that it can't use is offered.)
-    if (job->is_over() || job->is_gang() || (for_others && rules_.is_preemptible(*job))) continue;
+    if (job->is_over() || job->is_gang() || (include_preemptible && rules_.is_preemptible(*job))) continue;
     int left = std::min(job->waiting.size(), model_.teams().tasks_within(job->team, job->demand));
     for (auto& [machine, room] : rooms) {
       if (machine->reserved_for_large && rules_.fits_smaller_type(*job, machine->type)) continue;
@@ -279,21 +284,21 @@
 }
 
 TaskRequest TaskDelegation::task_request() const {
-  const bool for_others = others_wait();
-  DelegationPlanner::FreeRooms rooms = free_rooms(for_others);
-  use_rooms(rooms, for_others);
+  const bool include_preemptible = offers_preemptible_room();
+  DelegationPlanner::FreeRooms rooms = free_rooms(include_preemptible);
+  subtract_own_demand(rooms, include_preemptible);
   TaskRequest out;
   out.shard = ctx_.shard;
   out.fencing_token = ctx_.fencing_token;
   for (const auto& [machine, room] : rooms) {
-    if (room[0] < kLeastCoresOffered || out.offers.size() >= kMaxOffers) continue;
+    if (room[0] < kMinOfferedCores || out.offers.size() >= kMaxOffers) continue;
     RoomOffer offer{machine->record.machine_type,
                     machine->record.zone,
                     machine->record.spot,
                     room,
                     machine->cordoned || machine->reserved_for_large,
                     {},
-                    for_others};
+                    include_preemptible};
     for (const auto& [image, gb] : machine->images) offer.images.push_back(model_.images().name(image));
     out.offers.push_back(std::move(offer));
   }
@@ -304,20 +309,22 @@
 
 void TaskDelegation::request_tasks() {
   const double now = ctx_.env->now();
-  if (task_request_open_ || now < next_task_request_ || committer_.state_silent() || !ctx_.exclusive_owner())
+  if (task_request_inflight_ || now < next_task_request_at_ || committer_.state_silent() ||
+      !ctx_.exclusive_owner())
     return;
-  next_task_request_ = now + kTaskRequestInterval;
+  next_task_request_at_ = now + kTaskRequestIntervalSeconds;
   const TaskRequest request = task_request();
   if (request.offers.empty()) return;
-  asked_for_tasks_ = ctx_.next_shard(asked_for_tasks_);
-  task_request_open_ = true;
-  ctx_.ask(asked_for_tasks_, peer_paths::kTaskRequest, request.to_json(), alive_([this](const Json& answer) {
-             task_request_open_ = false;
+  last_shard_asked_ = ctx_.next_shard(last_shard_asked_);
+  task_request_inflight_ = true;
+  ctx_.ask(last_shard_asked_, peer_paths::kTaskRequest, request.to_json(),
+           callback_guard_([this](const Json& answer) {
+             task_request_inflight_ = false;
              const bool delegated = TaskReply::from_json(answer).delegated > 0;
              // Asking costs processor time on both sides: seldom while the fleet knows of nothing that waits.
-             next_task_request_ = ctx_.env->now() + (delegated || !model_.demand_elsewhere().empty()
-                                                         ? kTaskRequestInterval
-                                                         : kTaskRequestIdleInterval);
+             next_task_request_at_ = ctx_.env->now() + (delegated || !model_.demand_elsewhere().empty()
+                                                            ? kTaskRequestIntervalSeconds
+                                                            : kIdleTaskRequestIntervalSeconds);
            }));
 }
 
@@ -329,10 +336,10 @@
   int delegated = gangs_.delegate_gangs(request);
   std::vector<SurplusJob> jobs = planner_.surplus_jobs();
   if (!jobs.empty()) {
-    std::map<int, Resources> lacking;  // by team
-    for (const RoomOffer& offer : request.offers) planner_.choose_for(offer, request, jobs, lacking);
+    std::map<int, Resources> missing_quota;  // by team
+    for (const RoomOffer& offer : request.offers) planner_.choose_tasks(offer, request, jobs, missing_quota);
     delegated += delegate_chosen(jobs, request);
-    transfer_lacking(lacking, to);
+    transfer_missing_quota(missing_quota, to);
   }
   if (delegated > 0) committer_.send_due_writes();
   return {delegated};
@@ -354,26 +361,26 @@
 
 // Room without quota is of no use: what is not needed of this shard's share moves along. The tasks in
 // question have no place here, so nothing is held back for them; what this shard lacks too, others may have.
-void TaskDelegation::transfer_lacking(const std::map<int, Resources>& lacking, int to) {
-  for (const auto& [team, more] : lacking) {
-    if (more[0] > model_.teams().spare_cores(team) || more[2] > model_.teams().spare_gpus(team))
-      quotas_.set_shortage(team, more);
-    quotas_.transfer_quota(team, to, more[0], more[2], false);
+void TaskDelegation::transfer_missing_quota(const std::map<int, Resources>& missing_quota, int to) {
+  for (const auto& [team, needed] : missing_quota) {
+    if (needed[0] > model_.teams().spare_cores(team) || needed[2] > model_.teams().spare_gpus(team))
+      quotas_.set_shortage(team, needed);
+    quotas_.transfer_quota(team, to, needed[0], needed[2], false);
   }
 }
 
 // Bytes that the record of a delegation of the job has for ranges.
-double TaskDelegation::delegation_budget(const Job& job) const {
-  return committer_.value_bytes() - kDelegationFrame -
+double TaskDelegation::range_budget_bytes(const Job& job) const {
+  return committer_.value_bytes() - kDelegationFrameBytes -
          static_cast<double>(dump_json(job.record.to_json()).size());
 }
 
 void TaskDelegation::delegate_tasks(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count) {
   DelegatedTasks delegated;
-  const double budget = delegation_budget(*job);
+  const double budget_bytes = range_budget_bytes(*job);
   for (int i = 0; i < count && !job->waiting.empty(); i++) {
     // (The tasks of a gang are done together, or none is: their ranges stay short.)
-    if (!job->is_gang() && !delegated.range.empty() && delegation_bytes(delegated.range) > budget) break;
+    if (!job->is_gang() && !delegated.range.empty() && max_range_bytes(delegated.range) > budget_bytes) break;
     const int index = *job->waiting.first();
     job->waiting.erase(index);
     delegated.range.insert(index);
--- a/src/coordination/shard/task_delegation.hpp
+++ b/src/coordination/shard/task_delegation.hpp
@@ -33,7 +33,7 @@
   void add_delegated_job(const std::string& key, DelegationRecord record, std::uint64_t revision);
   // The job was cancelled at home: its tasks here are stopped, and the delegation goes when the last one is
   // gone.
-  void drop_delegated(const JobPtr& job);
+  void cancel_delegated_job(const JobPtr& job);
   // Events of one watch come in order. Delegations to this shard are taken up only here: an answer that
   // overtook or trailed them could bring back a delegation that is already completed and deleted.
   void on_delegation_event(const Json& event);
@@ -64,17 +64,17 @@
   };
   void on_received_delegation(const std::string& key, const Json& event);
   void on_sent_delegation(const std::string& key, const Json& event);
-  [[nodiscard]] bool others_wait() const;
-  [[nodiscard]] DelegationPlanner::FreeRooms free_rooms(bool for_others) const;
-  void use_rooms(DelegationPlanner::FreeRooms& rooms, bool for_others) const;
+  [[nodiscard]] bool offers_preemptible_room() const;
+  [[nodiscard]] DelegationPlanner::FreeRooms free_rooms(bool include_preemptible) const;
+  void subtract_own_demand(DelegationPlanner::FreeRooms& rooms, bool include_preemptible) const;
   [[nodiscard]] TaskRequest task_request() const;
   int delegate_chosen(const std::vector<SurplusJob>& jobs, const TaskRequest& request);
-  void transfer_lacking(const std::map<int, Resources>& lacking, int to);
-  [[nodiscard]] bool gives_back(const Job& job) const;
-  DelegationWrite add_write(Transaction& txn, const std::string& key, const JobPtr& job, bool give_back);
+  void transfer_missing_quota(const std::map<int, Resources>& missing_quota, int to);
+  [[nodiscard]] bool should_return_waiting(const Job& job) const;
+  DelegationWrite add_write(Transaction& txn, const std::string& key, const JobPtr& job, bool return_waiting);
   void on_delegations_written(const std::vector<DelegationWrite>& batch, std::uint64_t revision);
-  [[nodiscard]] bool fit_delegation(Job& job) const;
-  [[nodiscard]] double delegation_budget(const Job& job) const;
+  [[nodiscard]] bool trim_to_record_size(Job& job) const;
+  [[nodiscard]] double range_budget_bytes(const Job& job) const;
 
   const ShardContext& ctx_;
   ShardModel& model_;
@@ -86,12 +86,12 @@
   Preemptor& preemptor_;
   QuotaShares& quotas_;
   WorkerCommands& commands_;
-  CallbackGuard alive_;
-  bool task_request_open_ = false;  // a shard was asked and has not answered yet
-  double next_task_request_ = 0;
+  CallbackGuard callback_guard_;
+  bool task_request_inflight_ = false;  // a shard was asked and has not answered yet
+  double next_task_request_at_ = 0;
   // (One counter for task and quota requests made the two take turns: some shards were asked only ever for
   // tasks, and the quota that they did not use never moved.)
-  int asked_for_tasks_ = 0;  // the shard asked last
+  int last_shard_asked_ = 0;  // the shard asked last
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -87,7 +87,7 @@
 bool TaskPlacement::has_quota(const Job& job, const FillPass& pass) {
   const auto saved = pass.quota_saved_for.find(job.team);
   if (rules_.within_quota(job)) return saved == pass.quota_saved_for.end();
-  if (saved == pass.quota_saved_for.end() || saved->second == &job) quotas_.note_shortage(job);
+  if (saved == pass.quota_saved_for.end() || saved->second == &job) quotas_.add_shortage(job);
   return false;
 }
 
@@ -95,7 +95,7 @@
   if (!may_start(job, machine) || !has_quota(job, pass)) return false;
   // Others have room for what can go anywhere; what cannot is still taken.
   if ((machine.cordoned || pass.keep_for_large) && rules_.fits_smaller_type(job, machine.type)) return false;
-  return !rules_.is_preemptible(job) || preemptor_.open_to_best_effort(job, machine, pass.quiet);
+  return !rules_.is_preemptible(job) || preemptor_.may_start_best_effort(job, machine, pass.quiet);
 }
 
 ResourceRequest TaskPlacement::request_for(const Job& job, const Machine& machine) const {
@@ -117,7 +117,7 @@
   FillPass pass;
   pass.keep_for_large = rules_.reserves_for_large(machine);
   pass.quota_saved_for = rules_.quota_saved_for();
-  pass.quiet = preemptor_.best_effort_here() && preemptor_.quiet(machine);
+  pass.quiet = preemptor_.has_best_effort_jobs() && preemptor_.is_uncontended(machine);
   Candidates first;
   Candidates best_effort;  // placed in what the others leave
   for (const auto& [name, job] : model_.jobs()) {
@@ -189,7 +189,7 @@
   }
   machine.placements.push_back(std::move(placement));
   if (rules_.is_preemptible(*job)) {
-    preemptor_.use_headroom(job->demand[0]);
+    preemptor_.on_best_effort_placed(job->demand[0]);
   } else {
     machine.last_wanted_at = now;
   }
--- a/src/coordination/shard/worker_commands.cpp
+++ b/src/coordination/shard/worker_commands.cpp
@@ -85,7 +85,7 @@
 bool WorkerCommands::launch_wanted(const Placement& placement) const {
   const Job& job = *placement.job;
   const bool unwanted =
-      job.cancel_requested() || job.done.contains(placement.index) || gangs_.attempt_over(job);
+      job.cancel_requested() || job.done.contains(placement.index) || gangs_.is_attempt_ending(job);
   return !unwanted && !placement.preempted && gangs_.gang_may_be_launched(job);
 }
 
--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -124,8 +124,9 @@
                               : placement.sent_sequence < report.sequence;
   if (!settled) return;
   const Job& job = *placement.job;
-  const bool unwanted = job.is_over() || job.cancelling || placement.preempted || gangs_.attempt_over(job) ||
-                        !machine.schedulable() || job.done.contains(placement.index);
+  const bool unwanted = job.is_over() || job.cancelling || placement.preempted ||
+                        gangs_.is_attempt_ending(job) || !machine.schedulable() ||
+                        job.done.contains(placement.index);
   if (unwanted) model_.free_placement(placement, 0);
 }
 
