--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -144,17 +144,17 @@
 SpareQuota QuotaShares::transferable_quota(int team, int to, bool keep_own) const {
   SpareQuota spare{model_.teams().spare_cores(team), model_.teams().spare_gpus(team)};
   if (!keep_own) return spare;
-  bool needed = false;
+  bool has_waiting_tasks = false;
   for (const auto& [name, job] : model_.jobs()) {
     if (job->is_over() || job->team != team || job->waiting.empty()) continue;
-    needed = true;
+    has_waiting_tasks = true;
     int tasks = job->waiting.size();
     if (job->demand[0] > 0) tasks = std::min(tasks, static_cast<int>(spare.cores / job->demand[0]));
     if (job->demand[2] > 0) tasks = std::min(tasks, static_cast<int>(spare.gpus / job->demand[2]));
     spare.cores -= tasks * job->demand[0];
     spare.gpus -= tasks * job->demand[2];
   }
-  return needed && to > ctx_.shard ? SpareQuota{} : spare;
+  return has_waiting_tasks && to > ctx_.shard ? SpareQuota{} : spare;
 }
 
 bool QuotaShares::transfer_quota(int team, int to, double cores, double gpus, bool keep_own) {
@@ -167,18 +167,19 @@
   const double give_gpus = round_down_to_step(std::clamp(gpus, 0.0, std::max(0.0, spare.gpus)));
   if (give_cores <= 0 && give_gpus <= 0) return false;
   QuotaSplit split = splits_.at(team);
-  const auto from_at = static_cast<std::size_t>(ctx_.shard);
-  const auto to_at = static_cast<std::size_t>(to);
-  if (to_at >= split.cores.size() || to_at >= split.gpus.size()) return false;
-  split.cores[from_at] -= give_cores;
-  split.cores[to_at] += give_cores;
-  split.gpus[from_at] -= give_gpus;
-  split.gpus[to_at] += give_gpus;
+  const auto from_index = static_cast<std::size_t>(ctx_.shard);
+  const auto to_index = static_cast<std::size_t>(to);
+  if (to_index >= split.cores.size() || to_index >= split.gpus.size()) return false;
+  split.cores[from_index] -= give_cores;
+  split.cores[to_index] += give_cores;
+  split.gpus[from_index] -= give_gpus;
+  split.gpus[to_index] += give_gpus;
   Transaction txn = committer_.guarded_transaction();
   txn.guard(keys::quota_split(team), model_.teams().revision(team));
   txn.put(keys::quota_split(team), split.to_json());
   // Given up before it is written: whenever the write takes effect, this shard does not use it any more.
-  model_.teams().set_quota(team, split.cores[from_at], split.gpus[from_at], model_.teams().revision(team));
+  model_.teams().set_quota(team, split.cores[from_index], split.gpus[from_index],
+                           model_.teams().revision(team));
   transferring_teams_.insert(team);
   model_.counters().moves++;
   commit_quota(team, std::make_shared<std::string>(txn.body()), split);
