--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -5,7 +5,7 @@
 namespace mothslip {
 
 namespace {
-// The time that a task of the job may take, by its estimate; estimates are often too low.
+// Factor on the estimated duration of a task, because estimates are often too low.
 constexpr double kEstimateSafetyFactor = 1.3;
 }  // namespace
 
@@ -36,12 +36,13 @@
   if (job.delegated_here() || job.is_gang() || job.is_over() || job.cancelling || job.waiting.empty())
     return false;
   if (job.is_faulty() || !job.cancel_waiters.empty()) return false;
-  // Where the tasks of a job are bound to each other one shard must see all that are placed: they go whole.
+  // A job with placement constraints is delegated as a whole, because one shard must know all of its placed
+  // tasks.
   return !job.has_placement_constraints() ||
          (job.placed == 0 && job.delegated_open() == 0 && job.backoff.empty());
 }
 
-// Takes the room of those that find some.
+// Returns how many waiting tasks find no room. The demand of the others is subtracted from the rooms.
 int DelegationPlanner::tasks_without_room(const Job& job, FreeRooms& rooms) const {
   int left = job.waiting.size();
   int within_quota = std::min(left, model_.teams().tasks_within(job.team, job.demand));
@@ -91,9 +92,9 @@
     const Job& job = *each.job;
     const JobSpec& spec = job.spec();
     if (!rules_.allows_machine(spec, offer.machine_type, offer.zone, offer.spot)) continue;
-    // Cordoned or kept for large tasks, the machine takes only what can go nowhere else.
+    // A machine that is cordoned or reserved for large tasks takes only tasks that fit no smaller type.
     if (offer.only_large && type >= 0 && rules_.fits_smaller_type(job, type)) continue;
-    // Best-effort work does not travel where it would not be started, or where other work is to go.
+    // Best-effort work is not delegated to machines that would not start it or are meant for other work.
     const bool excludes_best_effort = offer.no_best_effort || (!offer.spot && spec.allows_spot);
     if (excludes_best_effort && rules_.is_preemptible(job) && !rules_.long_unplaced(job)) continue;
     out.requests.push_back(each.request);
--- a/src/coordination/shard/delegation_planner.hpp
+++ b/src/coordination/shard/delegation_planner.hpp
@@ -1,5 +1,5 @@
-// Which waiting tasks go to a shard that offers room: those for which this shard's own machines have none, by
-// the same preference as if the offered room were here.
+// Chooses the waiting tasks that are delegated to a shard which offers room: tasks for which this shard's own
+// machines have no room, by the same preference as if the offered room were here.
 #pragma once
 
 #include <map>
@@ -13,15 +13,15 @@
 
 namespace mothslip {
 
-// Takes the demand out of the room, where it fits.
+// Subtracts the demand from the room if it fits. Returns whether it fits.
 bool take_room(Resources& room, const Resources& demand);
 
-// A job of which tasks wait that find no room on this shard's machines.
+// A job with waiting tasks that find no room on this shard's machines.
 struct SurplusJob {
   JobPtr job;
   ResourceRequest request;
-  int surplus = 0;  // tasks without room here
-  int chosen = 0;   // of these, to be delegated
+  int surplus = 0;  // waiting tasks without room here
+  int chosen = 0;   // those among them that are chosen for delegation
 };
 
 class DelegationPlanner {
@@ -30,16 +30,18 @@
   DelegationPlanner(const ShardContext& context, ShardModel& model, PlacementRules& rules)
       : ctx_(context), model_(model), rules_(rules) {}
 
-  // Whether the machine's room counts: new tasks may be started there, and its last report is fresh.
+  // Whether the machine's room can be used: new tasks may be started there, its last report is recent, and
+  // the machine is not reserved for a gang.
   [[nodiscard]] bool has_usable_room(const Machine& machine) const;
   [[nodiscard]] std::vector<SurplusJob> surplus_jobs() const;
-  // Chooses tasks for one offer. `request.spare` shrinks by what they use of their teams' quota; `lacking`
-  // gets, by team, what a task would need for which there is room but no quota.
+  // Chooses tasks for one offer. The quota that they use is subtracted from `request.spare`. For each team
+  // with tasks for which there is room but no quota, `missing_quota` receives the largest demand of such a
+  // task.
   void choose_tasks(const RoomOffer& offer, TaskRequest& request, std::vector<SurplusJob>& jobs,
                     std::map<int, Resources>& missing_quota) const;
 
  private:
-  // Jobs that compete for one offer.
+  // The jobs whose tasks may use one offer, with their requests.
   struct Candidates {
     std::vector<ResourceRequest> requests;
     std::vector<SurplusJob*> jobs;
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -16,20 +16,26 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRoundingTolerance = 1e-9;  // cores or GPUs: sums of decimal fractions come out a hair off
-constexpr double kPlacementRetrySeconds = 0.3;  // seconds between two searches for places of one gang
-constexpr double kReplacementWindowFraction =
-    0.6;  // of gang_wait_s: later than this a lost task is not replaced
-constexpr double kIncompleteTimeoutSeconds =
-    12.0;                                     // an attempt that can't be placed whole for so long is given up
-constexpr double kReserveAfterSeconds = 4.0;  // a gang that finds no room for so long has machines reserved
-constexpr double kReservationRefreshSeconds = 10.0;  // and others may do better after this time
-constexpr double kMaxReservationSeconds = 150.0;     // no gang keeps machines from others for longer,
-constexpr double kReservationPauseSeconds = 30.0;    // and then not for this long
+// In cores or GPUs. Sums of decimal fractions have rounding errors.
+constexpr double kRoundingTolerance = 1e-9;
+// Interval between two searches for places of the same gang.
+constexpr double kPlacementRetrySeconds = 0.3;
+// A lost task is replaced only within this fraction of gang_wait_s after the launch.
+constexpr double kReplacementWindowFraction = 0.6;
+// An attempt fails if not all of its placements are durable within this time.
+constexpr double kIncompleteTimeoutSeconds = 12.0;
+// Machines are reserved for a gang that has found no room for this time.
+constexpr double kReserveAfterSeconds = 4.0;
+// The machines are chosen again after this time, because other machines may suit the gang better by then.
+constexpr double kReservationRefreshSeconds = 10.0;
+// No gang keeps machines from other jobs for longer than kMaxReservationSeconds. No machines are reserved for
+// it again during the following kReservationPauseSeconds.
+constexpr double kMaxReservationSeconds = 150.0;
+constexpr double kReservationPauseSeconds = 30.0;
 constexpr double kCapacityRequestIntervalSeconds = 2.0;
 constexpr double kGangStateReportIntervalSeconds = 2.0;
-constexpr double kGangStateReportValidSeconds =
-    6.0;  // what a delegate has said of a gang is believed this long
+// A delegate's report that a gang runs is valid for this time.
+constexpr double kGangStateReportValidSeconds = 6.0;
 constexpr double kStopMarginSeconds = 5.0;
 double weighted_sum(const Resources& amounts, const Resources& weights) {
   double sum = 0;
@@ -68,7 +74,7 @@
          ctx_.env->now() - launched_at < kReplacementWindowFraction * ctx_.settings->gang_wait_s;
 }
 
-// Nothing of it is placed, delegated or paused.
+// Returns whether the whole gang waits: none of its tasks is placed, delegated or paused.
 bool GangScheduler::gang_waits(const Job& job) const {
   return job.is_gang() && job.attempt.number == 0 && !job.is_over() && !job.cancel_requested() &&
          gang_may_be_placed(job);
@@ -119,8 +125,8 @@
   }
   GangAttempt& attempt = job->attempt;
   if (attempt.number == 0) {
-    // Larger than that of any attempt before, also at another shard: what ended that one, and brought the
-    // gang here, are revisions that are known here.
+    // The number must exceed that of every earlier attempt, also of attempts at other shards. The changes
+    // that ended those attempts and brought the gang here have revisions that this shard knows.
     const std::uint64_t revision =
         std::max({ctx_.fencing_token, model_.watched(), job->job_revision, job->delegation_revision});
     attempt.number = (revision << kAttemptCounterBits) + model_.next_count();
@@ -147,7 +153,7 @@
 }
 
 void GangScheduler::stop_gang(const JobPtr& job, const char* reason) {
-  spdlog::info("{} is stopped: {}", job->spec().ref, reason);
+  spdlog::info("job {}: stopping all tasks of the gang: {}", job->spec().ref, reason);
   job->attempt.stopping = true;
   job->attempt.stopping_since = ctx_.env->now();
   for (const auto& [machine, placement] : model_.placements_of(*job)) {
@@ -182,7 +188,7 @@
   const double now = ctx_.env->now();
   if (attempt.stopping && now - attempt.stopping_since >
                               spec.checkpoint_cost_s + 2 * ctx_.settings->gang_peer_s + kStopMarginSeconds)
-    attempt.failed = true;  // whoever is left has nothing to save any more
+    attempt.failed = true;  // the remaining tasks have had enough time to save their progress
   if (attempt.launched_at == 0 && now - attempt.placed_at > kIncompleteTimeoutSeconds) attempt.failed = true;
   if (attempt.failed) {
     if (!attempt.failure_stops_sent) {
@@ -201,7 +207,7 @@
   if (!attempt.started) {
     attempt.failed = true;
   } else if (spec.can_checkpoint()) {
-    stop_gang(job, "a machine of it will be taken");
+    stop_gang(job, "one of its machines is being evicted, or drained as faulty");
   }
 }
 
@@ -210,8 +216,9 @@
   reserved_gang_.reset();
 }
 
-// Small tasks that take every bit of room as it comes free would keep a gang waiting for ever. Machines are
-// kept for one gang at a time, the first in order, so that two do not hold half of their room each.
+// Small tasks that take all room as it becomes free would keep a gang waiting indefinitely. Machines are
+// reserved for one gang at a time, the first in order of priority, because two gangs with reservations could
+// each hold half of the room that they need.
 void GangScheduler::update_reservation() {
   const double now = ctx_.env->now();
   const double wall_time = ctx_.env->wall_time();
@@ -240,7 +247,8 @@
   reserve_for(first);
 }
 
-// The machines that hold it when they are empty, those with most of their room free first.
+// Returns machines that could hold the whole gang if they were empty. Machines with most of their room free
+// are preferred. Returns none if not all tasks fit.
 std::vector<Machine*> GangScheduler::find_machines_with_capacity(const Job& job) const {
   std::vector<Machine*> machines;
   std::vector<GangMachine> rooms;
@@ -248,13 +256,15 @@
     if (!may_use_machine(job, *machine)) continue;
     Resources capacity = machine->capacity;
     for (const Placement& placement : machine->placements) {
-      // Another gang runs at its own pace; what is placed of it counts as taken.
+      // The room that another gang holds counts as taken, because that gang ends at its own pace.
       if (!placement.job->is_gang()) continue;
       for (std::size_t r = 0; r < capacity.size(); r++) capacity[r] -= placement.job->demand[r];
     }
     const double capacity_sum = std::max(1e-9, weighted_sum(machine->capacity, rules_.weights().resource));
     const double busy_share = 1 - weighted_sum(machine->room, rules_.weights().resource) / capacity_sum;
     machines.push_back(machine.get());
+    // GangMachine::fetch_s does not hold a fetch time here: it holds the machine's busy share, in quarters
+    // from 0 to 4. find_gang_places prefers low values, and therefore machines that are mostly free.
     rooms.push_back({capacity, machine->zone, std::round(busy_share * 4)});
   }
   std::vector<Machine*> out;
@@ -268,13 +278,13 @@
   if (machines.empty()) return;
   for (Machine* machine : machines) machine->reserved_for = job;
   if (job->reserved_since == ctx_.env->now())
-    spdlog::info("{}: {} machines are reserved", job->spec().ref, machines.size());
+    spdlog::info("job {}: {} machines are reserved for the gang", job->spec().ref, machines.size());
   reserved_gang_ = job;
   reserved_at_ = ctx_.env->now();
 }
 
-// Where this shard's machines could not hold a gang even if they were empty, another shard's may: it is
-// delegated to a shard that says so, and that shard reserves machines for it.
+// If this shard's machines could not hold a starving gang even when empty, those of another shard may be able
+// to. The gang is delegated to a shard that confirms this, and that shard reserves machines for it.
 void GangScheduler::request_capacity() {
   const double now = ctx_.env->now();
   if (ctx_.shard_count < 2 || now < next_capacity_request_at_ || capacity_request_inflight_ ||
@@ -305,7 +315,7 @@
   return {!find_machines_with_capacity(*job).empty(), ctx_.fencing_token};
 }
 
-// In the order in which they are served.
+// Returns the gangs that wait here, in order of priority.
 std::vector<JobPtr> GangScheduler::gangs_to_delegate() const {
   std::vector<JobPtr> out;
   for (const auto& [name, job] : model_.jobs()) {
@@ -319,7 +329,7 @@
 }
 
 int GangScheduler::delegate_gangs(TaskRequest& request) {
-  if (!request.gangs) return 0;  // an earlier version, which could not read them
+  if (!request.gangs) return 0;  // earlier versions cannot read delegated gangs
   int delegated = 0;
   std::vector<Resources> rooms;
   for (const RoomOffer& offer : request.offers) rooms.push_back(offer.room);
@@ -332,7 +342,7 @@
     const std::vector<GangShare> shares = find_offered_places(*job, request.offers, rooms);
     if (shares.empty()) continue;
     if (!has_quota) {
-      // Room without quota is of no use: what is not needed of this shard's share moves along.
+      // Room is of no use without quota, so unused quota of this shard's share is transferred as well.
       quotas_.transfer_quota(job->team, request.shard, needs[0], needs[2], false);
       if (!rules_.starving(*job)) continue;
     }
@@ -373,7 +383,7 @@
   return find_gang_places(gang_needs(job), machines);
 }
 
-// Only the delegate knows whether a gang runs; its home's owner tells the users.
+// Only the delegate knows whether a gang runs, but the owner of the home shard answers the users.
 void GangScheduler::report_to_home(const JobPtr& job) {
   const double now = ctx_.env->now();
   const bool running = job->gang_runs();
--- a/src/coordination/shard/gang_scheduler.hpp
+++ b/src/coordination/shard/gang_scheduler.hpp
@@ -1,10 +1,11 @@
-// Gangs: jobs whose tasks start together or not at all.
+// Schedules gangs: jobs whose tasks start together or not at all.
 //
-// All tasks of an attempt share one attempt number and are placed in one durable write; nothing is launched
-// before. A task that is lost before the gang has started is replaced under the same number. Once it has
-// started, or when it does not become complete in time, the attempt has failed: nothing of it is launched any
-// more, all of it is stopped, and the next attempt begins when evidence shows that every old task is gone. A
-// gang that has to give way is stopped as a whole, once that decision is durable.
+// All tasks of an attempt share one attempt number and are placed in one durable write; no task is launched
+// before that write. A task that is lost before the gang has started is replaced under the same attempt
+// number. The attempt fails if a task is lost after the start, or if the attempt does not become complete in
+// time: none of its tasks is launched any more, all of them are stopped, and the next attempt begins when
+// there is evidence that every old task is gone. A gang that must leave its machines is stopped as a whole,
+// once the decision to stop it is durable.
 #pragma once
 
 #include <set>
@@ -34,28 +35,32 @@
                 PlacementRules& rules, TaskPlacement& placement, TaskDelegation& delegation,
                 QuotaShares& quotas, WorkerCommands& commands);
 
-  // The attempt has failed or is being stopped: nothing of it is launched any more.
+  // Whether the attempt has failed or is being stopped. None of its tasks is launched any more.
   [[nodiscard]] static bool is_attempt_ending(const Job& job);
-  // Users are told that a gang runs only while all its tasks do.
+  // The number of running tasks that users see: all tasks of the gang while all of them run, otherwise 0.
   [[nodiscard]] int gang_tasks_running(const Job& job) const;
-  // Places may be looked for: for the whole gang, or for tasks lost before it started.
+  // Whether places may be searched for: for the whole gang, or for tasks that were lost before it started.
   [[nodiscard]] bool gang_may_be_placed(const Job& job) const;
-  // All its places are durable. True of arrays.
+  // Whether all placements of a gang are durable, so that its tasks may be launched. Always true for arrays.
   [[nodiscard]] static bool gang_may_be_launched(const Job& job);
-  // Places all tasks that wait: the whole gang, or those that were lost before it started.
+  // Places all waiting tasks: the whole gang, or those that were lost before it started. Returns false if not
+  // all of them can be placed.
   bool place_gang(const JobPtr& job);
-  // New placements of these gangs are durable. Once all are, they may be launched.
+  // New placements of these gangs are durable. A gang may be launched once all its placements are.
   void on_gangs_recorded(const std::set<JobPtr>& gangs);
-  // All must be told within gang_peer_s of the first: directly, and in answers to reports.
+  // The decision to stop is durable for more placements of these gangs. Once it is durable for all of a
+  // gang's placements, the tasks are ordered to stop. All of them must receive the order within gang_peer_s
+  // of the first, so it is sent directly and also in answers to reports.
   void on_stops_recorded(const std::set<JobPtr>& gangs);
-  // Every half second: attempts, reservations, and what the home shard is told.
+  // Runs every half second: checks attempts, updates the reservation, asks other shards for capacity, and
+  // reports to home shards.
   void maintain();
-  // Another shard asks whether the machines here could hold a gang if they were empty.
+  // Answers another shard's question whether the machines here could hold a gang if they were empty.
   [[nodiscard]] GangCapacityReply on_gang_capacity_request(const GangCapacityRequest& request);
-  // Delegates gangs that find no room here, whole, where the asking shard has offered room for all their
-  // tasks.
+  // Delegates gangs that find no room here, each as a whole, if the asking shard has offered room for all of
+  // its tasks. Returns the number of delegated tasks.
   int delegate_gangs(TaskRequest& request);
-  // A delegate says whether a gang of this home shard runs.
+  // Handles a delegate's report on whether a gang of this home shard runs.
   void on_gang_state(const GangState& state);
 
  private:
@@ -87,10 +92,10 @@
   QuotaShares& quotas_;
   WorkerCommands& commands_;
   CallbackGuard callback_guard_;
-  int last_shard_asked_ = 0;                // the shard asked last
-  bool capacity_request_inflight_ = false;  // a shard was asked for it and has not answered yet
+  int last_shard_asked_ = 0;  // the shard that received the last capacity request
+  bool capacity_request_inflight_ = false;
   double next_capacity_request_at_ = 0;
-  JobPtr reserved_gang_;  // the gang for which machines are kept
+  JobPtr reserved_gang_;  // the gang for which machines are reserved
   double reserved_at_ = 0;
 };
 
--- a/src/coordination/shard/preemptor.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -9,28 +9,32 @@
 namespace mothslip {
 
 namespace {
-// Other work waits this long for room to come free by itself.
+// Other work waits this long for room to become free without preemption.
 constexpr double kPreemptAfterSeconds = 0.8;
-// Room is kept from it for other shards' work no longer than this: it may be of no use to that work.
+// Best-effort work is excluded from room in favour of other shards' work for at most this time, because that
+// work may be unable to use the room.
 constexpr double kMaxExclusionSeconds = 20.0;
-// Best-effort work starts on a machine that no other work has wanted or been given for this long. Started in
-// every gap of a busy cluster, it was stopped again within seconds, and again, until it might not be any
-// more.
+// Best-effort work starts on a machine that no other work has needed or been given for this time. When it was
+// started in every gap of a busy cluster, it was stopped again within seconds, and repeatedly, until it had
+// reached its limit of preemptions.
 constexpr double kUncontendedSeconds = 8.0;
-// A task is stopped so many times at the most, and never shortly before its expected end.
+// A task is stopped at most kMaxPreemptionsPerTask times, and never within kNearlyDoneSeconds of its expected
+// end.
 constexpr int kMaxPreemptionsPerTask = 4;
 constexpr double kNearlyDoneSeconds = 5.0;
-// Work that may be lost for a task, in seconds of that task's own cores.
+// Limit on the work that is lost in order to start a task, in seconds of that task's own cores.
 constexpr double kMaxLostWorkSeconds = 30.0;
-constexpr double kKeptHeadroomFraction = 0.5;  // of the headroom that the fleet plans with
-constexpr double kRestartSeconds =
-    3.0;  // seconds until a stopped task runs again elsewhere: its record, its image
+// Fraction of the fleet's planned headroom that is kept free of best-effort work.
+constexpr double kKeptHeadroomFraction = 0.5;
+// Time until a stopped task runs again elsewhere: its new record is written, and its image is fetched.
+constexpr double kRestartSeconds = 3.0;
 constexpr std::size_t kMaxStopsPerTick = 48;
-// Long tasks that cannot save and leave most of their machine free are packed onto machines that have such
-// tasks already: one of them on every machine would leave no room for large tasks anywhere.
+// Long tasks that cannot save their progress and leave at least half of their machine free are packed onto
+// machines that already run such tasks. One of them on every machine would leave no room for large tasks
+// anywhere. A job is no longer packed once kPackingTimeoutSeconds have passed since its submission.
 constexpr double kLongTaskSeconds = 30.0;
 constexpr double kPackingTimeoutSeconds = 5.0;
-// So short a task is over about when it could have been stopped for others.
+// A task this short ends at about the time at which it could have been stopped for other work.
 constexpr double kShortTaskSeconds = 8.0;
 bool fragments_machine(const Job& job, const Machine& machine) {
   const JobSpec& spec = job.spec();
@@ -43,7 +47,7 @@
                      PlacementRules& rules, WorkerCommands& commands)
     : ctx_(context), model_(model), committer_(committer), rules_(rules), commands_(commands) {}
 
-// Work that goes first waits for room on such a machine: here, or at another shard.
+// Returns whether work other than best-effort waits for room on such a machine, here or at another shard.
 bool Preemptor::is_wanted_by_others(Machine& machine) const {
   for (const auto& [name, job] : model_.jobs()) {
     if (rules_.waits_for_room(*job) && !rules_.is_preemptible(*job) && fits(job->demand, machine.capacity) &&
@@ -76,7 +80,7 @@
   const bool is_wanted_now = machine.last_wanted_at == ctx_.env->now();
   const bool is_short_task = job.spec().estimated_s <= kShortTaskSeconds;
   if (is_short_task ? is_wanted_now : !uncontended || cores_beyond_headroom_ < job.demand[0]) return false;
-  // Ordinary machines are dear, and go back as soon as they are idle.
+  // Ordinary machines are expensive, and are returned as soon as they are idle.
   if (!machine.record.spot && job.spec().allows_spot) return false;
   if (!fragments_machine(job, machine)) return true;
   const bool is_fragmented =
@@ -97,7 +101,7 @@
       for (std::size_t r = 0; r < out.room.size(); r++) out.room[r] += job.demand[r];
       continue;
     }
-    // (A gang would have to be stopped as a whole.)
+    // Tasks of gangs are not preempted, because a gang would have to be stopped as a whole.
     if (placement.stage != Placement::Stage::kRecorded || !rules_.is_preemptible(job) || job.is_gang())
       continue;
     const double ran_s = placement.running_since == 0 ? 0 : now - placement.running_since;
@@ -159,7 +163,8 @@
   if (has_best_effort_jobs_) measure_headroom();
 }
 
-// What other work will want next is best found free: a task that must be stopped first saves for seconds.
+// Headroom is kept free for other work that arrives next: a task that must be stopped first takes seconds to
+// save its progress.
 void Preemptor::measure_headroom() {
   double free_cores = 0;
   double all_cores = 0;
@@ -171,7 +176,7 @@
   cores_beyond_headroom_ = free_cores - kKeptHeadroomFraction * headroom_share_ * all_cores;
 }
 
-// Best-effort tasks leave the machines that are kept for a gang, unless it is one of theirs.
+// Stops best-effort tasks on machines that are reserved for a gang, unless the gang itself is preemptible.
 void Preemptor::preempt_on_reserved_machines(std::size_t& stops_left) {
   for (auto& [name, machine] : model_.machines()) {
     if (!machine->reserved_for || rules_.is_preemptible(*machine->reserved_for)) continue;
@@ -194,7 +199,7 @@
   const double wall_time = ctx_.env->wall_time();
   std::vector<const Job*> waiting;
   for (const auto& [name, job] : model_.jobs()) {
-    // (Room for a gang is made where it is reserved.)
+    // Room for a gang is made on the machines that are reserved for it.
     if (rules_.waits_for_room(*job) && !rules_.is_preemptible(*job) && !job->is_gang() &&
         wall_time - job->record.submitted_at > kPreemptAfterSeconds)
       waiting.push_back(job.get());
--- a/src/coordination/shard/preemptor.hpp
+++ b/src/coordination/shard/preemptor.hpp
@@ -1,5 +1,5 @@
-// Best-effort work gives way: it is started only where nothing else wants the room, and stopped for other
-// work that waits under its team's limit.
+// Preempts best-effort work: it is started only where no other work needs the room, and it is stopped for
+// other work that waits and is within its team's limit.
 #pragma once
 
 #include <vector>
@@ -18,27 +18,28 @@
  public:
   Preemptor(const ShardContext& context, ShardModel& model, RecordCommitter& committer, PlacementRules& rules,
             WorkerCommands& commands);
-  // What a machine has free, will have once the tasks that are being stopped are gone, and could have.
+  // The room of a machine that is free or will be once the tasks that are being stopped are gone, and the
+  // best-effort tasks whose preemption would free more.
   struct PreemptibleRoom {
     Machine* machine = nullptr;
-    Resources room{};  // free, or free soon
+    Resources room{};  // free now or soon
     std::vector<PreemptionCandidate> candidates;
   };
   [[nodiscard]] bool has_best_effort_jobs() const { return has_best_effort_jobs_; }
   void set_headroom_share(double share) { headroom_share_ = share; }
-  // Best-effort work was placed on so many cores.
+  // Best-effort work with this many cores was placed.
   void on_best_effort_placed(double cores) { cores_beyond_headroom_ -= cores; }
 
-  // No other work has wanted the machine for a while.
+  // Whether other work has neither needed the machine nor been given it recently.
   [[nodiscard]] bool is_uncontended(Machine& machine) const;
-  // Whether best-effort work may start on the machine at all. (What has waited for long beside room may.)
+  // Whether the best-effort job may start on the machine. A job that has been unplaced for long always may.
   [[nodiscard]] bool may_start_best_effort(const Job& job, const Machine& machine, bool uncontended) const;
-  // What a machine has free, will have once the tasks that are being stopped are gone, and would have without
-  // any best-effort work.
+  // Returns the machine's room that is free or will be soon, and the best-effort tasks that may be preempted
+  // there.
   [[nodiscard]] PreemptibleRoom preemptible_room(Machine& machine) const;
-  // Without any, all of this costs nothing.
+  // Determines whether the shard has best-effort jobs. Without any, preemption is skipped at no cost.
   void detect_best_effort();
-  // Stops best-effort tasks for other work that has waited for room for a moment.
+  // Stops best-effort tasks for other work that has waited for room for a short time.
   void preempt();
 
  private:
@@ -53,9 +54,9 @@
   RecordCommitter& committer_;
   PlacementRules& rules_;
   WorkerCommands& commands_;
-  double headroom_share_ = 0;          // of the machines' cores, kept free of preemptible work
-  bool has_best_effort_jobs_ = false;  // a job of the shard is best-effort work
-  double cores_beyond_headroom_ = 0;   // cores that are free beyond the headroom
+  double headroom_share_ = 0;  // the fleet's planned headroom, as a share of the machines' cores
+  bool has_best_effort_jobs_ = false;
+  double cores_beyond_headroom_ = 0;  // free cores in excess of the headroom
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -12,7 +12,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kStepsPerUnit = 64;  // quota shares move in steps of 1/64, so that sums stay exact
+// Quota is transferred in steps of 1/64 core or GPU, so that sums are exact.
+constexpr double kStepsPerUnit = 64;
 double round_down_to_step(double amount) { return std::floor(amount * kStepsPerUnit + 1e-9) / kStepsPerUnit; }
 }  // namespace
 
@@ -39,7 +40,7 @@
   QuotaSplit out;
   out.cores.assign(static_cast<std::size_t>(ctx_.shard_count), cores);
   out.gpus.assign(static_cast<std::size_t>(ctx_.shard_count), gpus);
-  // The first shard has what does not divide evenly.
+  // The first shard gets the remainder that does not divide evenly.
   out.cores[0] = limits.cpus_max - cores * others;
   out.gpus[0] = limits.gpus_max - gpus * others;
   return out;
@@ -48,7 +49,8 @@
 void QuotaShares::set_split(int team, const QuotaSplit& split, std::uint64_t revision) {
   const auto index = static_cast<std::size_t>(ctx_.shard);
   if (index >= split.cores.size() || index >= split.gpus.size()) {
-    spdlog::error("record {} cannot be read", keys::quota_split(team));
+    spdlog::error("quota split record {} is ignored: it has no entry for this shard",
+                  keys::quota_split(team));
     return;
   }
   model_.teams().set_quota(team, split.cores[index], split.gpus[index], revision);
@@ -59,7 +61,7 @@
   try {
     set_split(team, QuotaSplit::from_json(record), revision);
   } catch (const MalformedMessage&) {
-    spdlog::error("record {} cannot be read", keys::quota_split(team));
+    spdlog::error("quota split record {} is ignored: it is malformed", keys::quota_split(team));
   }
 }
 
@@ -70,13 +72,13 @@
   if (team < 0 || team >= static_cast<int>(model_.teams().size()) ||
       revision <= model_.teams().revision(team))
     return;
-  if (transferring_teams_.count(team) > 0) return;  // the move under way finds out
+  if (transferring_teams_.count(team) > 0) return;  // the transfer in flight detects the change
   read_split(team, event["data"], revision);
 }
 
 void QuotaShares::add_shortage(const Job& job) {
   if (rules_.starving(job)) {
-    // All that others can spare is for one task of it.
+    // Other shards are asked for the quota that this job alone needs to start: one task, or a whole gang.
     shortages_[job.team] = job.start_demand();
     starving_teams_.insert(job.team);
     return;
@@ -86,7 +88,7 @@
   for (std::size_t r = 0; r < 3; r++) needed[r] = std::max(needed[r], job.demand[r] * job.waiting.size());
 }
 
-// What the team's waiting tasks would take of the room that the shard's machines have.
+// Returns how much of the free room on the shard's machines the team's waiting tasks could use.
 Resources QuotaShares::startable_demand(int team) const {
   Resources room{};
   for (const auto& [name, machine] : model_.machines()) {
@@ -127,10 +129,12 @@
   if (to < 0 || to >= ctx_.shard_count || to == ctx_.shard) return;
   const std::map<int, const Job*> saved_for = rules_.quota_saved_for();
   for (const QuotaWant& want : request.wants) {
-    // Two that save up for the same team would hand it to and fro: the lower shard number goes first.
+    // Two shards that save up quota for the same team would pass it back and forth, so the shard with the
+    // lower number goes first.
     if (saved_for.count(want.team) > 0 && (!want.starving || to > ctx_.shard)) continue;
-    // What nobody here waits for goes at once, for all that could start there: task by task, with a round of
-    // questions in between, a shard with room stood idle for a minute.
+    // Quota that no task here waits for is transferred at once, for all tasks that could start at the other
+    // shard. When it was transferred task by task, with a round of requests in between, a shard with room
+    // stood idle for a minute.
     if (want.starving && want.startable &&
         transfer_quota(want.team, to, want.startable->cores, want.startable->gpus)) {
       continue;
@@ -139,8 +143,9 @@
   }
 }
 
-// What of the shard's share of the team's quota its own waiting tasks leave. Nothing, for a shard of a higher
-// number, where some wait: two shards that each lack a little would otherwise hand the remainder to and fro.
+// Returns the part of the shard's share of the team's quota that its own waiting tasks leave unused. While
+// such tasks wait, a shard with a higher number gets nothing: two shards that each lack a little would
+// otherwise pass the remainder back and forth.
 SpareQuota QuotaShares::transferable_quota(int team, int to, bool keep_own) const {
   SpareQuota spare{model_.teams().spare_cores(team), model_.teams().spare_gpus(team)};
   if (!keep_own) return spare;
@@ -177,7 +182,8 @@
   Transaction txn = committer_.guarded_transaction();
   txn.guard(keys::quota_split(team), model_.teams().revision(team));
   txn.put(keys::quota_split(team), split.to_json());
-  // Given up before it is written: whenever the write takes effect, this shard does not use it any more.
+  // The quota is given up before the write is sent, so that this shard no longer uses it, whenever the write
+  // takes effect.
   model_.teams().set_quota(team, split.cores[from_index], split.gpus[from_index],
                            model_.teams().revision(team));
   transferring_teams_.insert(team);
@@ -193,7 +199,7 @@
           transferring_teams_.erase(team);
           set_split(team, split, reply.revision());
         } else if (reply.outcome == Outcome::kConflict) {
-          // Another move came first, or an unanswered copy of this one: the key tells.
+          // Another transfer came first, or a copy of this one whose answer was lost. The record shows which.
           reload_team(team);
         } else {
           ctx_.env->after(0.3,
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -19,19 +19,23 @@
 namespace {
 constexpr double kTaskRequestIntervalSeconds = 0.4;
 constexpr double kIdleTaskRequestIntervalSeconds = 0.9;
-constexpr double kReturnAfterSeconds =
-    2.5;  // waiting tasks of a delegation that found no place this long go home
-constexpr double kStarvingReturnAfterSeconds = 30;  // longer where room or quota share is saved up for it
+// A delegate gives back waiting tasks if no task of the delegation has been placed for this time. The limit
+// is longer for starving jobs, because room or quota is saved up for them.
+constexpr double kReturnAfterSeconds = 2.5;
+constexpr double kStarvingReturnAfterSeconds = 30;
 constexpr double kStarvingGangReturnAfterSeconds = 60;
 constexpr std::size_t kMaxOffers = 40;
 constexpr double kMinOfferedCores = 0.5;
-constexpr std::size_t kMaxUnwrittenDelegations = 8;  // not written yet
-constexpr int kMaxDelegationsPerRequest = 4;         // per request
-constexpr double kDelegationFrameBytes =
-    120;                                  // bytes of a delegation's record without its job and its ranges
-constexpr double kMaxBytesPerRange = 14;  // of text, at the most
-constexpr double kMaxBytesPerTask = 1.4;  // and that much more however scattered some of the tasks are done
-// What the ranges of a delegation's record may come to take, whichever of its tasks are done or given back.
+constexpr std::size_t kMaxUnwrittenDelegations = 8;
+constexpr int kMaxDelegationsPerRequest = 4;
+// Size of a delegation's record without its job and its ranges.
+constexpr double kDelegationFrameBytes = 120;
+// Limits on the size of ranges as text: for each range, and in addition for each task, however scattered the
+// completed tasks are.
+constexpr double kMaxBytesPerRange = 14;
+constexpr double kMaxBytesPerTask = 1.4;
+// Returns the largest size that the ranges of a delegation's record can reach, whichever of its tasks are
+// completed or given back.
 double max_range_bytes(const RangeSet& range) {
   return 2 * (kMaxBytesPerRange * static_cast<double>(range.range_count()) + kMaxBytesPerTask * range.size());
 }
@@ -74,8 +78,8 @@
   if (job->record.cancelled) return;
   job->record.cancelled = true;
   job->cancelled_at = ctx_.env->now();
-  // (While records are loaded, the waiting tasks tell which placements of the segments still count: what runs
-  // on a machine that cannot be asked uses its team's limit, cancelled or not.)
+  // While records are being loaded, the waiting tasks determine which placements in the segments still count:
+  // a task on a machine that cannot be asked counts against its team's limit, even if it is cancelled.
   if (!model_.active()) return;
   job->waiting.clear();
   job->backoff.clear();
@@ -104,12 +108,12 @@
     model_.counters().tasks_received += static_cast<std::uint64_t>(record->range.size());
     add_delegated_job(key, std::move(*record), revision);
   } else if (!put && it != model_.jobs().end() && revision > it->second->delegation_revision) {
-    // Deleted by its home: every task in it is done.
+    // The home shard deletes a delegation when all its tasks are done.
     if (it->second->placed == 0) model_.forget(key);
   }
 }
 
-// Home shard: the delegate has noted completions or given tasks back, or the delegation is gone.
+// Home shard: the delegate has recorded completions or given tasks back, or the delegation was deleted.
 void TaskDelegation::on_sent_delegation(const std::string& key, const Json& event) {
   const auto slash = key.rfind('/');
   const auto tilde = key.rfind('~');
@@ -158,9 +162,9 @@
   delegated.done = done;
 }
 
-// A delegation that was made under larger limits may no longer fit into a record. Once nothing of it runs
-// here, so many of its tasks go home as do not fit, done or not: their results are kept, and starting them
-// again ends at once.
+// A delegation that was made under larger limits may no longer fit into a record. Once none of its tasks is
+// placed here, as many tasks as do not fit are given back to the home shard, whether completed or not. Their
+// results are kept, so that a completed task which is started again ends at once.
 bool TaskDelegation::trim_to_record_size(Job& job) const {
   const auto too_large = [this, &job] {
     return static_cast<double>(dump_json(delegation_record(job).to_json()).size()) > committer_.value_bytes();
@@ -179,7 +183,9 @@
   return true;
 }
 
-// Waiting tasks that found no place here for long go home, unless others of the job are bound to stay.
+// Returns whether the waiting tasks are to be given back to the home shard, because they have not found a
+// place here for long. If the job has placement constraints, they stay while other tasks of it
+// are placed or delayed here.
 bool TaskDelegation::should_return_waiting(const Job& job) const {
   const double return_after_s = !rules_.starving(job) ? kReturnAfterSeconds
                                 : job.is_gang()       ? kStarvingGangReturnAfterSeconds
@@ -188,7 +194,7 @@
          (!job.has_placement_constraints() || (job.placed == 0 && job.backoff.empty()));
 }
 
-// Adds what the delegate writes of one delegation to the transaction.
+// Adds the delegate's write of one delegation to the transaction.
 TaskDelegation::DelegationWrite TaskDelegation::add_write(Transaction& txn, const std::string& key,
                                                           const JobPtr& job, bool return_waiting) {
   DelegationWrite out{job, job->range, job->done, false};
@@ -196,8 +202,8 @@
   if (return_waiting) {
     model_.counters().tasks_returned += static_cast<std::uint64_t>(job->waiting.size());
     out.range.erase(job->waiting);
-    // From here on they belong to the home shard, whatever becomes of the write: it is repeated until it is
-    // done.
+    // From now on the tasks belong to the home shard, even if this write fails: it is repeated until it
+    // succeeds.
     job->waiting.clear();
     job->range = out.range;
   }
@@ -220,7 +226,7 @@
     if (!job->delegated_here() || job->record.cancelled || job->progress_inflight || job->cleanup_inflight)
       continue;
     const bool return_waiting = should_return_waiting(*job);
-    // Until the delegation is complete its completions are kept in the journal's segments.
+    // Until a delegation is complete, its completions are kept in the journal's segments.
     const bool due = (!job->unsaved.empty() && job->complete()) || job->fold_due;
     if (!return_waiting && !due) continue;
     if (txn.then.size() + 1 > max_writes) break;
@@ -242,14 +248,16 @@
   }
 }
 
-// Other shards' work that goes before best-effort work gets the room of best-effort tasks too.
+// Returns whether the room of best-effort tasks is offered too, because work that has precedence over them
+// waits at other shards.
 bool TaskDelegation::offers_preemptible_room() const {
   const std::vector<WaitingHint>& hints = model_.demand_elsewhere();
   return preemptor_.has_best_effort_jobs() &&
          std::any_of(hints.begin(), hints.end(), [](const WaitingHint& hint) { return hint.startable; });
 }
 
-// The room of this shard's machines; for other shards' work, with what best-effort tasks hold.
+// Returns the free room of this shard's machines. The room that best-effort tasks hold counts as free if
+// `include_preemptible` is set.
 DelegationPlanner::FreeRooms TaskDelegation::free_rooms(bool include_preemptible) const {
   DelegationPlanner::FreeRooms out;
   for (const auto& [name, machine] : model_.machines()) {
@@ -269,11 +277,11 @@
   return out;
 }
 
-// Takes out of the rooms what this shard's own waiting tasks will use.
+// Subtracts from the rooms what this shard's own waiting tasks will use.
 void TaskDelegation::subtract_own_demand(DelegationPlanner::FreeRooms& rooms,
                                          bool include_preemptible) const {
   for (const auto& [name, job] : model_.jobs()) {
-    // (A gang that fits here is placed; the room that it can't use is offered.)
+    // A gang that fits here has been placed, so room that a waiting gang cannot use is offered.
     if (job->is_over() || job->is_gang() || (include_preemptible && rules_.is_preemptible(*job))) continue;
     int left = std::min(job->waiting.size(), model_.teams().tasks_within(job->team, job->demand));
     for (auto& [machine, room] : rooms) {
@@ -321,7 +329,8 @@
            callback_guard_([this](const Json& answer) {
              task_request_inflight_ = false;
              const bool delegated = TaskReply::from_json(answer).delegated > 0;
-             // Asking costs processor time on both sides: seldom while the fleet knows of nothing that waits.
+             // Requests cost processor time on both sides, so they are less frequent while nothing waits
+             // elsewhere.
              next_task_request_at_ = ctx_.env->now() + (delegated || !model_.demand_elsewhere().empty()
                                                             ? kTaskRequestIntervalSeconds
                                                             : kIdleTaskRequestIntervalSeconds);
@@ -359,8 +368,9 @@
   return tasks;
 }
 
-// Room without quota is of no use: what is not needed of this shard's share moves along. The tasks in
-// question have no place here, so nothing is held back for them; what this shard lacks too, others may have.
+// Room is of no use without quota, so unused quota of this shard's share is transferred as well. The tasks in
+// question find no room here, so no quota is held back for them. If this shard lacks the quota too, it
+// requests the quota from other shards, which may have it.
 void TaskDelegation::transfer_missing_quota(const std::map<int, Resources>& missing_quota, int to) {
   for (const auto& [team, needed] : missing_quota) {
     if (needed[0] > model_.teams().spare_cores(team) || needed[2] > model_.teams().spare_gpus(team))
@@ -369,7 +379,7 @@
   }
 }
 
-// Bytes that the record of a delegation of the job has for ranges.
+// Returns how many bytes a delegation's record has for ranges.
 double TaskDelegation::range_budget_bytes(const Job& job) const {
   return committer_.value_bytes() - kDelegationFrameBytes -
          static_cast<double>(dump_json(job.record.to_json()).size());
@@ -379,7 +389,7 @@
   DelegatedTasks delegated;
   const double budget_bytes = range_budget_bytes(*job);
   for (int i = 0; i < count && !job->waiting.empty(); i++) {
-    // (The tasks of a gang are done together, or none is: their ranges stay short.)
+    // The tasks of a gang complete together or not at all, so their ranges stay short.
     if (!job->is_gang() && !delegated.range.empty() && max_range_bytes(delegated.range) > budget_bytes) break;
     const int index = *job->waiting.first();
     job->waiting.erase(index);
@@ -390,7 +400,7 @@
                           std::to_string(model_.next_count());
   model_.counters().delegations++;
   model_.counters().tasks_delegated += static_cast<std::uint64_t>(delegated.range.size());
-  spdlog::debug("{}: {} tasks delegated to shard {}", ref, delegated.range.size(), to);
+  spdlog::debug("job {}: {} tasks delegated to shard {}", ref, delegated.range.size(), to);
   job->delegated[key] = std::move(delegated);
   journal_.add_delegation({job, key, to, to_fencing_token});
 }
--- a/src/coordination/shard/task_delegation.hpp
+++ b/src/coordination/shard/task_delegation.hpp
@@ -1,7 +1,7 @@
-// Delegation of waiting tasks between shards. A shard whose machines have room that its own tasks do not fill
-// asks the other shards in turn; the asked home shard delegates some of a job's tasks by one conditional
-// write. From then on the delegate schedules them, notes completions in the delegation's record, and gives
-// back what found no place.
+// Delegates waiting tasks between shards. A shard whose machines have room that its own tasks do not fill
+// asks the other shards in turn. The home shard that is asked delegates some of a job's tasks by one
+// conditional write. From then on the delegate schedules them, writes completions to the delegation's record,
+// and gives back the tasks that it cannot place.
 #pragma once
 
 #include <map>
@@ -29,33 +29,38 @@
                  PlacementRules& rules, GangScheduler& gangs, Preemptor& preemptor, QuotaShares& quotas,
                  WorkerCommands& commands);
 
-  // Tasks that another shard has delegated to this one.
+  // Adds tasks that another shard has delegated to this one.
   void add_delegated_job(const std::string& key, DelegationRecord record, std::uint64_t revision);
-  // The job was cancelled at home: its tasks here are stopped, and the delegation goes when the last one is
-  // gone.
+  // Handles the cancellation of a job at its home shard: its tasks here are stopped. The delegation is
+  // deleted once the last of them is gone.
   void cancel_delegated_job(const JobPtr& job);
-  // Events of one watch come in order. Delegations to this shard are taken up only here: an answer that
-  // overtook or trailed them could bring back a delegation that is already completed and deleted.
+  // Handles an event of the watch, which delivers events in order. Delegations to this shard are accepted
+  // only here: an answer that arrived earlier or later than its event could restore a delegation that is
+  // already completed and deleted.
   void on_delegation_event(const Json& event);
-  // The record of the tasks that are delegated to this shard.
+  // Returns the record of the tasks that are delegated to this shard.
   [[nodiscard]] static DelegationRecord delegation_record(const Job& job);
-  // The delegate noted completions, or gave tasks back by shrinking the range.
+  // Home shard: adopts the completions that the delegate has recorded, and requeues the tasks that it has
+  // given back by shrinking the range.
   void reclaim_tasks(const JobPtr& job, const std::string& key, const RangeSet& range, const RangeSet& done);
-  // Delegate: writes completions, and gives back tasks that found no place; false: nothing is due.
+  // Delegate: writes completions, and gives back tasks that cannot be placed. Returns false if nothing is
+  // due.
   bool commit_delegations();
-  // With room that this shard's own waiting tasks do not fill, the other shards are asked in turn.
+  // Asks the other shards in turn for tasks while there is room that this shard's own waiting tasks do not
+  // fill.
   void request_tasks();
-  // Another shard offers room: delegates tasks for which this shard's own machines have none. Throws
-  // MalformedMessage.
+  // Handles another shard's offer of room: delegates tasks for which this shard's own machines have no room.
+  // Throws MalformedMessage.
   TaskReply on_task_request(TaskRequest request);
-  // One conditional write a delegation: it holds while this leader owns the home shard, the delegate its
-  // shard, and the job is open. It rides in the journal's next write: a copy of that write which comes late
-  // finds the active segment changed and fails. (Its own key would not tell: a delegation that was made,
-  // given back and deleted left no trace, and a late copy brought it back while its tasks ran elsewhere.)
+  // Delegates tasks by one conditional write per delegation. The write succeeds only while this leader owns
+  // the home shard, the delegate owns its shard, and the job is open. It is part of the journal's next write:
+  // a late copy of that write finds the active segment changed and fails. A condition on the delegation's own
+  // key would not suffice: a delegation that had been made, given back and deleted left no trace, and a late
+  // copy restored it while its tasks ran elsewhere.
   void delegate_tasks(const JobPtr& job, int to, std::uint64_t to_fencing_token, int count);
 
  private:
-  // What a transaction writes of one delegation.
+  // The part of a transaction that concerns one delegation.
   struct DelegationWrite {
     JobPtr job;
     RangeSet range;
@@ -87,11 +92,11 @@
   QuotaShares& quotas_;
   WorkerCommands& commands_;
   CallbackGuard callback_guard_;
-  bool task_request_inflight_ = false;  // a shard was asked and has not answered yet
+  bool task_request_inflight_ = false;
   double next_task_request_at_ = 0;
-  // (One counter for task and quota requests made the two take turns: some shards were asked only ever for
-  // tasks, and the quota that they did not use never moved.)
-  int last_shard_asked_ = 0;  // the shard asked last
+  // Task requests and quota requests have separate counters. With a shared one they took turns, so that some
+  // shards were only asked for tasks, and quota that those shards did not use never moved.
+  int last_shard_asked_ = 0;  // the shard that received the last task request
 };
 
 }  // namespace mothslip
