--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -95,13 +95,13 @@
   context.types = &machine_types_.types();
   context.zones = &zones_;
   context.shard_count = ownership_.shard_count();
-  context.ask = [this](int other, const std::string& path, const Json& body,
-                       std::function<void(Json)> answer) {
+  context.call_leader = [this](int other, const std::string& path, const Json& body,
+                               std::function<void(Json)> answer) {
     shard_router_.ask(other, path, body, std::move(answer));
   };
   context.exclusive_owner = [this, shard] { return exclusive_owner(shard); };
   context.may_renew = [this, shard] { return ownership_.may_renew(shard); };
-  context.owner_since = [this](int other) { return ownership_.owner(other).fencing_token; };
+  context.owner_change_revision = [this](int other) { return ownership_.owner(other).fencing_token; };
   // Both end the leader that calls: they run after its own code has returned.
   context.restart_shard = [this, shard, fencing_token](const std::string& why) {
     env_.after(0, [this, shard, fencing_token, why] {
@@ -110,13 +110,13 @@
       if (leader != nullptr && leader->fencing_token() == fencing_token) ownership_.restart_shard(shard, why);
     });
   };
-  context.deposed = [this, shard](std::uint64_t newer) {
+  context.on_deposed = [this, shard](std::uint64_t newer) {
     env_.after(0, [this, shard, newer] { ownership_.heard(shard, "", newer); });
   };
-  context.contradicted = [this](const std::string& what) {
+  context.on_state_contradiction = [this](const std::string& what) {
     if (monitor_ != nullptr) monitor_->on_contradiction(what);
   };
-  context.ended = [this](const std::string& ref, const JobStatus& status) {
+  context.on_job_ended = [this](const std::string& ref, const JobStatus& status) {
     user_api_.note_terminal(ref, status);
   };
   return context;
@@ -212,9 +212,9 @@
         "{}, "
         "returned {}, errors {}, preempted {}, freed by lease {} incarnation {} return {}; journal writes {} "
         "with {} changes, delegations {}, quota transfers {}, endings {}",
-        index, c.reports, c.launches, c.fetches, c.relaunches, c.completions, c.tasks_delegated,
+        index, c.reports, c.launches, c.image_fetches, c.relaunches, c.completions, c.tasks_delegated,
         c.tasks_received, c.tasks_returned, c.errors, c.preempted, c.freed_by_lease, c.freed_by_incarnation,
-        c.freed_by_return, c.journal_writes, c.journal_changes, c.delegations, c.moves, c.endings);
+        c.freed_by_removal, c.journal_writes, c.journal_changes, c.delegations, c.quota_transfers, c.endings);
   }
   env_.after(kCountersIntervalSeconds, [this] { log_counters(); });
 }
--- a/src/coordination/node/shard_router.cpp
+++ b/src/coordination/node/shard_router.cpp
@@ -25,7 +25,7 @@
   if (shards_.find(shard) != nullptr) {
     env_.after(0, [this, shard, path, body, answer = std::move(answer)] {
       ShardLeader* leader = shards_.find(shard);
-      answer(leader == nullptr ? Json() : leader->on_peer(path, body));
+      answer(leader == nullptr ? Json() : leader->on_peer_request(path, body));
     });
     return;
   }
@@ -52,7 +52,7 @@
   }
   ShardLeader* leader = shards_.find(message->shard);
   if (leader == nullptr) return responder.send(421, R"({"error":"not the owner"})");
-  responder.send(200, dump_json(leader->on_peer(request.path, message->body)));
+  responder.send(200, dump_json(leader->on_peer_request(request.path, message->body)));
 }
 
 void ShardRouter::report_to_fleet() {
--- a/src/coordination/node/user_api.cpp
+++ b/src/coordination/node/user_api.cpp
@@ -319,7 +319,7 @@
     return;
   }
   if (ShardLeader* leader = ctx_.shard(home_shard(ref)); leader != nullptr) {
-    if (leader->knows(ref)) {
+    if (leader->has_job(ref)) {
       leader->cancel(ref, responder);
     } else {
       cancel_unknown_here(ref, responder);
--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -107,7 +107,7 @@
         return keys::delegation_target(item.first) == shard && !item.second.complete() &&
                !item.second.cancellation_acknowledged;
       });
-      if (!holds || ctx_.owner_since(shard) > job->job_revision) {
+      if (!holds || ctx_.owner_change_revision(shard) > job->job_revision) {
         it = job->unacknowledged_shards.erase(it);
         continue;
       }
@@ -129,20 +129,20 @@
 }
 
 void Cancellation::ask_delegate(const JobPtr& job, int shard) {
-  ctx_.ask(shard, peer_paths::kJobCancelled, CancellationNotice{job->spec().ref}.to_json(),
-           alive_([this, job, shard](const Json& answer) {
-             const auto reply = CancellationReply::from_json(answer);
-             if (!reply) return check_owner_changed(job, shard, 0);
-             if (!reply->noted) {
-               job->asked_shards.erase(shard);  // it knows, and its machines are still stopping
-             } else if (reply->lease_valid) {
-               job->asked_shards.erase(shard);
-               job->unacknowledged_shards.erase(shard);
-               retry_cancellations();
-             } else {
-               check_owner_changed(job, shard, reply->fencing_token);
-             }
-           }));
+  ctx_.call_leader(shard, peer_paths::kJobCancelled, CancellationNotice{job->spec().ref}.to_json(),
+                   alive_([this, job, shard](const Json& answer) {
+                     const auto reply = CancellationReply::from_json(answer);
+                     if (!reply) return check_owner_changed(job, shard, 0);
+                     if (!reply->acknowledged) {
+                       job->asked_shards.erase(shard);  // it knows, and its machines are still stopping
+                     } else if (reply->lease_valid) {
+                       job->asked_shards.erase(shard);
+                       job->unacknowledged_shards.erase(shard);
+                       retry_cancellations();
+                     } else {
+                       check_owner_changed(job, shard, reply->fencing_token);
+                     }
+                   }));
 }
 
 // `noted`: the token of the owner that has taken note, but whose lease may be over.
@@ -169,7 +169,7 @@
     waiter.responder.send(200, cancellation_body(ref, JobPhase::kCancelled));
   }
   job->cancel_waiters.clear();
-  ctx_.ended(ref, {JobPhase::kCancelled, 0, 0});
+  ctx_.on_job_ended(ref, {JobPhase::kCancelled, 0, 0});
 }
 
 // Its tasks are gone, as far as can be waited for: a launch on its way has arrived and is stopped.
--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -18,7 +18,7 @@
 bool DelegationPlanner::has_usable_room(const Machine& machine) const {
   const double now = ctx_.env->now();
   if (machine.type < 0 || !machine.schedulable() || now < machine.no_fill_until) return false;
-  return machine.has_reported && now - machine.last_report_at <= ctx_.report_freshness_s() &&
+  return machine.has_reported && now - machine.last_report_at <= ctx_.max_report_age_s() &&
          !machine.reserved_for;
 }
 
@@ -91,9 +91,9 @@
     const JobSpec& spec = job.spec();
     if (!rules_.allows_machine(spec, offer.machine_type, offer.zone, offer.spot)) continue;
     // Cordoned or kept for large tasks, the machine takes only what can go nowhere else.
-    if (offer.only_large && type >= 0 && rules_.fits_smaller_type(job, type)) continue;
+    if (offer.large_tasks_only && type >= 0 && rules_.fits_smaller_type(job, type)) continue;
     // Best-effort work does not travel where it would not be started, or where other work is to go.
-    const bool unwelcome = offer.no_best_effort || (!offer.spot && spec.allows_spot);
+    const bool unwelcome = offer.excludes_best_effort || (!offer.spot && spec.allows_spot);
     if (unwelcome && rules_.is_preemptible(job) && !rules_.long_unplaced(job)) continue;
     out.requests.push_back(each.request);
     out.requests.back().image_is_cached =
@@ -108,7 +108,7 @@
   for (std::size_t k = 0; k < competitors.jobs.size();) {
     const SurplusJob& each = *competitors.jobs[k];
     const Job& job = *each.job;
-    const SpareQuota& spare = request.spare_of(job.team);
+    const QuotaAmount& spare = request.spare_quota_of(job.team);
     const bool has_room = each.chosen < each.surplus && fits(job.demand, room);
     // Quota for a task of a starving job is saved up at the delegate.
     const bool has_quota = (job.demand[0] <= spare.cores && job.demand[2] <= spare.gpus) ||
@@ -138,7 +138,7 @@
     const Job& job = *chosen.job;
     take_room(room, job.demand);
     chosen.chosen++;
-    SpareQuota& spare = request.spare_of(job.team);
+    QuotaAmount& spare = request.spare_quota_of(job.team);
     spare.cores -= job.demand[0];
     spare.gpus -= job.demand[2];
   }
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -87,7 +87,7 @@
   const double now = ctx_.env->now();
   if (machine.type < 0 || !machine.schedulable() || !machine.token_acknowledged || !machine.has_reported)
     return false;
-  if (now < machine.no_fill_until || now - machine.last_report_at > ctx_.report_freshness_s()) return false;
+  if (now < machine.no_fill_until || now - machine.last_report_at > ctx_.max_report_age_s()) return false;
   if (machine.reserved_for && machine.reserved_for.get() != &job) return false;
   return !(machine.cordoned && rules_.fits_smaller_type(job, machine.type)) &&
          rules_.allowed_on(job, machine);
@@ -116,9 +116,9 @@
   if (attempt.number == 0) {
     // Larger than that of any attempt before, also at another shard: what ended that one, and brought the
     // gang here, are revisions that are known here.
-    const std::uint64_t revision =
-        std::max({ctx_.fencing_token, model_.watched(), job->job_revision, job->delegation_revision});
-    attempt.number = (revision << kAttemptCounterBits) + model_.next_count();
+    const std::uint64_t revision = std::max(
+        {ctx_.fencing_token, model_.watched_revision(), job->job_revision, job->delegation_revision});
+    attempt.number = (revision << kAttemptCounterBits) + model_.next_unique_number();
     attempt.placed_at = now;
   }
   const std::uint64_t number = attempt.number;
@@ -279,13 +279,14 @@
     if (!capacity_for(*job).empty()) continue;
     asked_for_capacity_ = ctx_.next_shard(asked_for_capacity_);
     seeking_ = true;
-    ctx_.ask(asked_for_capacity_, peer_paths::kGangCapacity, GangCapacityRequest{job->spec()}.to_json(),
-             alive_([this, job = job, shard = asked_for_capacity_](const Json& answer) {
-               seeking_ = false;
-               const auto reply = GangCapacityReply::from_json(answer);
-               if (reply.capacity && gang_waits(*job))
-                 delegation_.delegate_tasks(job, shard, reply.fencing_token, job->waiting.size());
-             }));
+    ctx_.call_leader(asked_for_capacity_, peer_paths::kGangCapacity,
+                     GangCapacityRequest{job->spec()}.to_json(),
+                     alive_([this, job = job, shard = asked_for_capacity_](const Json& answer) {
+                       seeking_ = false;
+                       const auto reply = GangCapacityReply::from_json(answer);
+                       if (reply.has_capacity && gang_waits(*job))
+                         delegation_.delegate_tasks(job, shard, reply.fencing_token, job->waiting.size());
+                     }));
     return;
   }
 }
@@ -312,13 +313,13 @@
 }
 
 int GangScheduler::delegate_gangs(TaskRequest& request) {
-  if (!request.gangs) return 0;  // an earlier version, which could not read them
+  if (!request.can_run_gangs) return 0;  // an earlier version, which could not read them
   int delegated = 0;
   std::vector<Resources> rooms;
   for (const RoomOffer& offer : request.offers) rooms.push_back(offer.room);
   for (const JobPtr& job : gangs_to_delegate()) {
     if (finds_local_room(*job)) continue;
-    const SpareQuota& spare = request.spare_of(job->team);
+    const QuotaAmount& spare = request.spare_quota_of(job->team);
     const Resources needs = job->start_demand();
     const bool quota = needs[0] <= spare.cores + kQuotaSlop && needs[2] <= spare.gpus + kQuotaSlop;
     const std::vector<GangShare> shares = find_offered_places(*job, request.offers, rooms);
@@ -355,7 +356,7 @@
     const int type = ctx_.types->find(offer.machine_type);
     const bool open = type >= 0 &&
                       rules_.allows_machine(job.spec(), offer.machine_type, offer.zone, offer.spot) &&
-                      !(offer.only_large && rules_.fits_smaller_type(job, type));
+                      !(offer.large_tasks_only && rules_.fits_smaller_type(job, type));
     const bool local =
         std::find(offer.images.begin(), offer.images.end(), job.spec().image) != offer.images.end();
     const double fetch = local || type < 0 ? 0 : image_fetch_s(job.spec(), ctx_.types->at(type));
@@ -372,14 +373,14 @@
     return;
   job->delegated_gang_runs = running;
   job->delegated_gang_reported_at = now;
-  ctx_.ask(job->home_shard, peer_paths::kGangState, GangState{job->spec().ref, running}.to_json(),
-           [](const Json&) {});
+  ctx_.call_leader(job->home_shard, peer_paths::kGangState, GangState{job->spec().ref, running}.to_json(),
+                   [](const Json&) {});
 }
 
 void GangScheduler::on_gang_state(const GangState& state) {
   const auto it = model_.jobs().find(state.ref);
   if (it == model_.jobs().end() || !it->second->is_gang()) return;
-  it->second->delegated_gang_runs = state.running;
+  it->second->delegated_gang_runs = state.is_running;
   it->second->delegated_gang_reported_at = ctx_.env->now();
 }
 
--- a/src/coordination/shard/job_completion.cpp
+++ b/src/coordination/shard/job_completion.cpp
@@ -77,10 +77,10 @@
   for (const Job::CancelWaiter& waiter : job->cancel_waiters) {
     waiter.responder.send(200, cancellation_body(ref, JobPhase::kDone));
   }
-  ctx_.ended(ref, {JobPhase::kDone, job->spec().task_count, 0});
+  ctx_.on_job_ended(ref, {JobPhase::kDone, job->spec().task_count, 0});
   job->unsaved.clear();
   progress_.discard_progress_chunks(*job);
-  model_.forget(ref);
+  model_.remove_job(ref);
 }
 
 bool JobCompletion::only_cancelled(const std::vector<std::string>& failed) const {
@@ -154,7 +154,7 @@
     if (it == model_.jobs().end()) continue;
     if (!it->second->delegated_here()) cancellation_.confirm(it->second);
     progress_.discard_progress_chunks(*it->second);
-    model_.forget(name);
+    model_.remove_job(name);
   }
 }
 
--- a/src/coordination/shard/placement_rules.cpp
+++ b/src/coordination/shard/placement_rules.cpp
@@ -169,7 +169,7 @@
     if (other->type < 0 || !other->schedulable() || other->cordoned ||
         ctx_.types->at(other->type).cores >= cores)
       continue;
-    if (now - other->last_report_at > ctx_.report_freshness_s() || now < other->no_fill_until) continue;
+    if (now - other->last_report_at > ctx_.max_report_age_s() || now < other->no_fill_until) continue;
     double slots_here = kMostSlots;
     for (std::size_t r = 0; r < demand.size(); r++) {
       if (demand[r] > 0) slots_here = std::min(slots_here, other->room[r] / demand[r] + kRoundingSlack);
--- a/src/coordination/shard/preemptor.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -199,7 +199,7 @@
   bool any = false;
   for (auto& [name, machine] : model_.machines()) {
     if (machine->type < 0 || !machine->schedulable() || !machine->token_acknowledged) continue;
-    if (now - machine->last_report_at > ctx_.report_freshness_s()) continue;
+    if (now - machine->last_report_at > ctx_.max_report_age_s()) continue;
     machines.push_back(preemptible_room(*machine));
     any = any || !machines.back().candidates.empty();
   }
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -109,29 +109,30 @@
   for (const auto& [team, more] : short_of_) {
     const double spare_cores = model_.teams().spare_cores(team);
     const double spare_gpus = model_.teams().spare_gpus(team);
-    QuotaWant want{team, more[0] - spare_cores, more[2] - spare_gpus, starving_teams_.count(team) > 0, {}};
+    QuotaShortfall want{
+        team, more[0] - spare_cores, more[2] - spare_gpus, starving_teams_.count(team) > 0, {}};
     if (want.starving) {
       const Resources all = startable_demand(team);
-      want.startable = SpareQuota{all[0] - spare_cores, all[2] - spare_gpus};
+      want.startable_shortfall = QuotaAmount{all[0] - spare_cores, all[2] - spare_gpus};
     }
-    request.wants.push_back(want);
+    request.shortfalls.push_back(want);
   }
   short_of_.clear();
   starving_teams_.clear();
-  ctx_.ask(asked_for_quota_, peer_paths::kQuotaRequest, request.to_json(), [](const Json&) {});
+  ctx_.call_leader(asked_for_quota_, peer_paths::kQuotaRequest, request.to_json(), [](const Json&) {});
 }
 
 void QuotaShares::on_quota_request(const QuotaRequest& request) {
   const int to = request.shard;
   if (to < 0 || to >= ctx_.shard_count || to == ctx_.shard) return;
   const std::map<int, const Job*> saved_for = rules_.quota_saved_for();
-  for (const QuotaWant& want : request.wants) {
+  for (const QuotaShortfall& want : request.shortfalls) {
     // Two that save up for the same team would hand it to and fro: the lower shard number goes first.
     if (saved_for.count(want.team) > 0 && (!want.starving || to > ctx_.shard)) continue;
     // What nobody here waits for goes at once, for all that could start there: task by task, with a round of
     // questions in between, a shard with room stood idle for a minute.
-    if (want.starving && want.startable &&
-        transfer_quota(want.team, to, want.startable->cores, want.startable->gpus)) {
+    if (want.starving && want.startable_shortfall &&
+        transfer_quota(want.team, to, want.startable_shortfall->cores, want.startable_shortfall->gpus)) {
       continue;
     }
     transfer_quota(want.team, to, want.cores, want.gpus, !want.starving);
@@ -140,8 +141,8 @@
 
 // What of the shard's share of the team's quota its own waiting tasks leave. Nothing, for a shard of a higher
 // number, where some wait: two shards that each lack a little would otherwise hand the remainder to and fro.
-SpareQuota QuotaShares::transferable(int team, int to, bool keep_own) const {
-  SpareQuota spare{model_.teams().spare_cores(team), model_.teams().spare_gpus(team)};
+QuotaAmount QuotaShares::transferable(int team, int to, bool keep_own) const {
+  QuotaAmount spare{model_.teams().spare_cores(team), model_.teams().spare_gpus(team)};
   if (!keep_own) return spare;
   bool needed = false;
   for (const auto& [name, job] : model_.jobs()) {
@@ -153,7 +154,7 @@
     spare.cores -= tasks * job->demand[0];
     spare.gpus -= tasks * job->demand[2];
   }
-  return needed && to > ctx_.shard ? SpareQuota{} : spare;
+  return needed && to > ctx_.shard ? QuotaAmount{} : spare;
 }
 
 bool QuotaShares::transfer_quota(int team, int to, double cores, double gpus, bool keep_own) {
@@ -161,7 +162,7 @@
       splits_.count(team) == 0) {
     return false;
   }
-  const SpareQuota spare = transferable(team, to, keep_own);
+  const QuotaAmount spare = transferable(team, to, keep_own);
   const double give_cores = grains(std::clamp(cores, 0.0, std::max(0.0, spare.cores)));
   const double give_gpus = grains(std::clamp(gpus, 0.0, std::max(0.0, spare.gpus)));
   if (give_cores <= 0 && give_gpus <= 0) return false;
@@ -179,7 +180,7 @@
   // Given up before it is written: whenever the write takes effect, this shard does not use it any more.
   model_.teams().set_quota(team, split.cores[from_at], split.gpus[from_at], model_.teams().revision(team));
   moving_.insert(team);
-  model_.counters().moves++;
+  model_.counters().quota_transfers++;
   commit_quota(team, std::make_shared<std::string>(txn.body()), split);
   return true;
 }
--- a/src/coordination/shard/quota_shares.hpp
+++ b/src/coordination/shard/quota_shares.hpp
@@ -44,7 +44,7 @@
   void set_split(int team, const QuotaSplit& split, std::uint64_t revision);
   // The record of a split; a malformed one is logged and changes nothing.
   void read_split(int team, const Json& record, std::uint64_t revision);
-  [[nodiscard]] SpareQuota transferable(int team, int to, bool keep_own) const;
+  [[nodiscard]] QuotaAmount transferable(int team, int to, bool keep_own) const;
   [[nodiscard]] Resources startable_demand(int team) const;
   void commit_quota(int team, const std::shared_ptr<std::string>& body, const QuotaSplit& split);
   void reload_team(int team);
--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -122,7 +122,8 @@
   const bool segment = std::any_of(failed.begin(), failed.end(), [this](const std::string& key) {
     return key.rfind(keys::segments(ctx_.shard), 0) == 0;
   });
-  if (owner && segment && !write->unanswered) ctx_.contradicted("a page of the journal has changed");
+  if (owner && segment && !write->unanswered)
+    ctx_.on_state_contradiction("a page of the journal has changed");
   const bool too_large = reply.outcome == Outcome::kInvalid && !write->unanswered && shrink_writes();
   if ((too_large || (!failed.empty() && owner && !own)) && write->conflict && write->conflict(failed)) {
     stuck_since_ = 0;
--- a/src/coordination/shard/shard_context.hpp
+++ b/src/coordination/shard/shard_context.hpp
@@ -26,17 +26,18 @@
   // The leases of the shard's workers may be renewed (Ownership::may_renew).
   std::function<bool()> may_renew;
   // The revision at which the shard got the owner that is known of, or lost its last one.
-  std::function<std::uint64_t(int shard)> owner_since;
+  std::function<std::uint64_t(int shard)> owner_change_revision;
   // Asks the leader of another shard; a null answer when it cannot be reached.
-  std::function<void(int shard, const std::string& path, const Json& body, std::function<void(Json)>)> ask;
+  std::function<void(int shard, const std::string& path, const Json& body, std::function<void(Json)>)>
+      call_leader;
   // Gives the shard up and loads it anew under a new fencing token.
   std::function<void(std::string why)> restart_shard;
   // The state service contradicts what it has answered before.
-  std::function<void(const std::string& what)> contradicted;
+  std::function<void(const std::string& what)> on_state_contradiction;
   // A worker has seen a higher fencing token.
-  std::function<void(std::uint64_t fencing_token)> deposed;
+  std::function<void(std::uint64_t fencing_token)> on_deposed;
   // A job's terminal state is durable, and users may be told.
-  std::function<void(const std::string& ref, const JobStatus& status)> ended;
+  std::function<void(const std::string& ref, const JobStatus& status)> on_job_ended;
 
   // Set by the leader.
   int shard = 0;
@@ -44,15 +45,15 @@
 
   // No worker's lease outlasts this time after the report that renewed it, in seconds of this node's clock.
   [[nodiscard]] double worker_lease_bound_s() const {
-    constexpr double kDrift = 0.002;       // of two clocks, relative
-    constexpr double kLeaseMarginS = 1.0;  // steps of the worker's clock, and messages
-    return settings->lease_s * (1 + kDrift) + kLeaseMarginS;
+    constexpr double kMaxClockDriftFraction = 0.002;  // of two clocks, relative
+    constexpr double kLeaseMarginSeconds = 1.0;       // steps of the worker's clock, and messages
+    return settings->lease_s * (1 + kMaxClockDriftFraction) + kLeaseMarginSeconds;
   }
   // A machine's room counts while its last report is no older, in seconds. (An idle one's reports are held.)
-  [[nodiscard]] double report_freshness_s() const { return 2 * settings->report_s + 2; }
+  [[nodiscard]] double max_report_age_s() const { return 2 * settings->report_s + 2; }
   // The shard that is asked after this one: all others in turn.
-  [[nodiscard]] int next_shard(int after) const {
-    const int next = (after + 1) % shard_count;
+  [[nodiscard]] int next_shard(int previous_shard) const {
+    const int next = (previous_shard + 1) % shard_count;
     return next == shard ? (next + 1) % shard_count : next;
   }
 };
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -8,14 +8,15 @@
 namespace mothslip {
 
 namespace {
-constexpr double kTick = 0.5;            // seconds
-constexpr double kAnswerPatience = 1.2;  // workers drop answers after 4 s; committing rarely takes this long
+constexpr double kTickSeconds = 0.5;  // seconds
+constexpr double kMaxAnswerDelaySeconds =
+    1.2;  // workers drop answers after 4 s; committing rarely takes this long
 // Machines without a task are answered when there is work, or this much later, in seconds. Workers wait 4 s,
 // and their lease counts from when the report was sent.
-constexpr double kHold = 2.7;
+constexpr double kIdleReportHoldSeconds = 2.7;
 // One with tasks and room likewise, but shortly: ends of its tasks are reported only after the answer.
-constexpr double kRoomyHold = 0.4;
-constexpr std::size_t kMaxEarly = 10000;  // reports that wait while a shard loads: one a machine
+constexpr double kBusyReportHoldSeconds = 0.4;
+constexpr std::size_t kMaxEarlyReports = 10000;  // reports that wait while a shard loads: one a machine
 }  // namespace
 
 ShardLeader::ShardLeader(Context context, int id, std::uint64_t fencing_token)
@@ -84,8 +85,8 @@
 
 void ShardLeader::on_report(Report report, bool relayed, Responder responder) {
   if (!model_.active()) {
-    if (early_.size() < kMaxEarly) {
-      early_.push_back({std::move(report), relayed, std::move(responder)});
+    if (early_reports_.size() < kMaxEarlyReports) {
+      early_reports_.push_back({std::move(report), relayed, std::move(responder)});
     } else {
       responder.send(503, R"({"error":"loading"})", 1);
     }
@@ -95,7 +96,7 @@
   if (report.fencing_token > ctx_.fencing_token) {
     // The worker obeys a newer leader: this one was deposed and has not heard of it yet.
     responder.send(503, R"({"error":"not the owner"})", 1);
-    ctx_.deposed(report.fencing_token);
+    ctx_.on_deposed(report.fencing_token);
     return;
   }
   // Late copies of reports, even of machines long returned, are evidence of nothing. Without a token the
@@ -110,14 +111,15 @@
     return;
   }
   machine.answer = std::move(responder);
-  machine.answer_by = ctx_.env->now() + kAnswerPatience;
+  machine.answer_by = ctx_.env->now() + kMaxAnswerDelaySeconds;
   placement_.fill(machine);
-  const bool has_new = std::any_of(machine.placements.begin(), machine.placements.end(),
-                                   [](const Placement& p) { return p.stage == Placement::Stage::kNew; });
-  if (const double hold = hold_s(machine); !has_new && !relayed && hold > 0) {
+  const bool has_new_placement =
+      std::any_of(machine.placements.begin(), machine.placements.end(),
+                  [](const Placement& p) { return p.stage == Placement::Stage::kNew; });
+  if (const double hold_s = report_hold_s(machine); !has_new_placement && !relayed && hold_s > 0) {
     machine.report_held = true;
-    machine.answer_by = ctx_.env->now() + hold;
-  } else if (!has_new) {
+    machine.answer_by = ctx_.env->now() + hold_s;
+  } else if (!has_new_placement) {
     commands_.answer(machine);
   }
   send_due_writes();
@@ -126,23 +128,23 @@
 // For how long a report is held for new work, in seconds. An idle machine has nothing to tell: its report is
 // answered when there is work, or a little later. (Workers wait 4 s, and their lease counts from when the
 // report was sent.)
-double ShardLeader::hold_s(const Machine& machine) const {
-  const bool nothing_to_say = machine.unmatched.empty() && machine.token_acknowledged &&
-                              machine.schedulable() && ctx_.exclusive_owner();
-  if (!nothing_to_say) return 0;
-  if (machine.placements.empty()) return std::min(kHold, ctx_.settings->lease_s / 4);
-  const bool all_seen = std::all_of(
+double ShardLeader::report_hold_s(const Machine& machine) const {
+  const bool nothing_to_send = machine.unmatched.empty() && machine.token_acknowledged &&
+                               machine.schedulable() && ctx_.exclusive_owner();
+  if (!nothing_to_send) return 0;
+  if (machine.placements.empty()) return std::min(kIdleReportHoldSeconds, ctx_.settings->lease_s / 4);
+  const bool all_reported = std::all_of(
       machine.placements.begin(), machine.placements.end(),
       [&machine](const Placement& p) { return p.seen_sequence == machine.sequence && !p.job->is_over(); });
-  return machine.room[0] >= 1 && all_seen ? kRoomyHold : 0;
+  return machine.room[0] >= 1 && all_reported ? kBusyReportHoldSeconds : 0;
 }
 
 void ShardLeader::on_loaded() {
   model_.set_active();
-  std::size_t placed = 0;
-  for (const auto& [name, machine] : model_.machines()) placed += machine->placements.size();
+  std::size_t placement_count = 0;
+  for (const auto& [name, machine] : model_.machines()) placement_count += machine->placements.size();
   spdlog::info("shard {} active, fencing token {}: {} open jobs, {} machines, {} placements", ctx_.shard,
-               ctx_.fencing_token, model_.jobs().size(), model_.machines().size(), placed);
+               ctx_.fencing_token, model_.jobs().size(), model_.machines().size(), placement_count);
   loader_.watch();
   for (const auto& [name, job] : model_.jobs()) {
     if (!job->record.cancelled) continue;
@@ -159,37 +161,39 @@
     attempt.stop_recorded = attempt.stopping;
   }
   commands_.announce_fencing_token();
-  auto early = std::move(early_);
-  early_.clear();
-  for (EarlyReport& each : early) on_report(std::move(each.report), each.relayed, std::move(each.responder));
+  auto early_reports = std::move(early_reports_);
+  early_reports_.clear();
+  for (EarlyReport& each : early_reports)
+    on_report(std::move(each.report), each.relayed, std::move(each.responder));
   tick();
 }
 
 // Whatever is due, the most urgent first: cancellations, the journal, endings and progress, delegations, the
 // rest.
 void ShardLeader::send_due_writes() {
-  if (!model_.active() || sending_) return;
-  sending_ = true;
-  const auto room = [this](RecordCommitter::Slot slot) { return committer_.has_room(slot); };
-  while (room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancels()) {
+  if (!model_.active() || sending_writes_) return;
+  sending_writes_ = true;
+  const auto has_room = [this](RecordCommitter::Slot slot) { return committer_.has_room(slot); };
+  while (has_room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancels()) {
   }
   if (journal_.has_freed_placements()) journal_.release_freed();
   journal_.write_journal();
-  while (room(RecordCommitter::kDoneSlot) && (completion_.commit_endings() || progress_.commit_progress())) {
+  while (has_room(RecordCommitter::kDoneSlot) &&
+         (completion_.commit_endings() || progress_.commit_progress())) {
   }
-  while (room(RecordCommitter::kDoneSlot) && delegation_.commit_delegations()) {
+  while (has_room(RecordCommitter::kDoneSlot) && delegation_.commit_delegations()) {
   }
-  while (room(RecordCommitter::kRestSlot) &&
+  while (has_room(RecordCommitter::kRestSlot) &&
          (completion_.commit_cancelled_cleanup() || cancellation_.record_seen_cancellations() ||
           progress_.commit_discarded())) {
   }
-  sending_ = false;
+  sending_writes_ = false;
 }
 
 void ShardLeader::tick() {
   for (auto& [name, job] : model_.jobs()) {
     cancellation_.expire_waiters(*job);
-    requeue_due(job);
+    requeue_due_tasks(job);
   }
   std::erase_if(model_.machines(), [](const auto& item) {
     if (!item.second->removed || !item.second->placements.empty()) return false;
@@ -210,11 +214,11 @@
     delegation_.request_tasks();
     quotas_.request_quota();
   }
-  ctx_.env->after(kTick, alive_([this] { tick(); }));
+  ctx_.env->after(kTickSeconds, callback_guard_([this] { tick(); }));
 }
 
 // Tasks whose pause after a failure is over wait again.
-void ShardLeader::requeue_due(const JobPtr& job) {
+void ShardLeader::requeue_due_tasks(const JobPtr& job) {
   const double now = ctx_.env->now();
   for (std::size_t i = 0; i < job->backoff.size();) {
     if (job->backoff[i].first > now) {
@@ -243,7 +247,7 @@
   send_due_writes();
 }
 
-Json ShardLeader::on_peer(const std::string& path, const Json& body) {
+Json ShardLeader::on_peer_request(const std::string& path, const Json& body) {
   // A cancellation is durable already, whoever says so and however late: taking note of it needs no valid
   // lease. While records are being read, too: delegations that are not read yet are checked after they have
   // been.
--- a/src/coordination/shard/shard_leader.hpp
+++ b/src/coordination/shard/shard_leader.hpp
@@ -62,12 +62,12 @@
   void admit(JobRecord job_record, std::uint64_t revision);
   // What may be told about a job of this shard as long as nobody else can own the shard.
   [[nodiscard]] JobFinding find(const std::string& ref) const;
-  [[nodiscard]] bool knows(const std::string& ref) const { return model_.jobs().count(ref) > 0; }
+  [[nodiscard]] bool has_job(const std::string& ref) const { return model_.jobs().count(ref) > 0; }
   // Answers the responder once the cancellation is durable and all who may run tasks of the job know of it,
   // or shortly with 503. The job must be known.
   void cancel(const std::string& ref, Responder responder);
   // What another shard's leader asks; the answer to it. `path` as in Context::ask.
-  Json on_peer(const std::string& path, const Json& body);
+  Json on_peer_request(const std::string& path, const Json& body);
 
   // For the fleet manager, and what it orders in return.
   [[nodiscard]] ShardSummary summary() const;
@@ -95,12 +95,12 @@
   void on_loaded();
   Json dispatch(const std::string& path, const Json& body);
   void tick();
-  void requeue_due(const JobPtr& job);
+  void requeue_due_tasks(const JobPtr& job);
   void send_due_writes();
-  [[nodiscard]] double hold_s(const Machine& machine) const;
+  [[nodiscard]] double report_hold_s(const Machine& machine) const;
 
   const ShardContext ctx_;
-  CallbackGuard alive_;
+  CallbackGuard callback_guard_;
   ShardModel model_;
   RecordCommitter committer_;
   Journal journal_;
@@ -118,8 +118,8 @@
   ShardLoader loader_;
   UnaccountedTasks unaccounted_tasks_;
   SummaryBuilder summaries_;
-  std::vector<EarlyReport> early_;  // that came while loading
-  bool sending_ = false;
+  std::vector<EarlyReport> early_reports_;  // that came while loading
+  bool sending_writes_ = false;
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/shard_loader.cpp
+++ b/src/coordination/shard/shard_loader.cpp
@@ -15,10 +15,10 @@
 namespace mothslip {
 
 namespace {
-constexpr double kLoadRetryS = 0.2;
+constexpr double kLoadRetryDelaySeconds = 0.2;
 // A watch whose answer is lost tells nothing until it is over: not for long.
-constexpr double kWatchS = 8.0;
-constexpr double kWatchGapS = 0.25;  // at the least from one answer to the next
+constexpr double kWatchTimeoutSeconds = 8.0;
+constexpr double kMinWatchIntervalSeconds = 0.25;  // at the least from one answer to the next
 }  // namespace
 
 ShardLoader::ShardLoader(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -42,14 +42,14 @@
 }
 
 void ShardLoader::retry_load(void (ShardLoader::*step)()) {
-  ctx_.env->after(kLoadRetryS, alive_([this, step] { (this->*step)(); }));
+  ctx_.env->after(kLoadRetryDelaySeconds, callback_guard_([this, step] { (this->*step)(); }));
 }
 
 void ShardLoader::load_unaccounted() {
   const std::string prefix = keys::kUnaccounted + std::to_string(ctx_.shard) + "/";
   ctx_.state->list(
       RequestPriority::kLease, prefix,
-      alive_([this, prefix](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
+      callback_guard_([this, prefix](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
         if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_unaccounted);
         for (const StateItem& item : items) {
           auto record = UnaccountedRecord::from_json(item.data);
@@ -62,29 +62,31 @@
 }
 
 void ShardLoader::load_job_records() {
-  ctx_.state->list(RequestPriority::kLease, keys::job_records(ctx_.shard),
-                   alive_([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t revision) {
-                     if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_job_records);
-                     model_.watched_up_to(revision);
-                     for (StateItem& item : items) {
-                       auto job_record = JobRecord::from_json(item.data);
-                       if (job_record) {
-                         model_.add_job(std::move(*job_record), item.revision);
-                       } else {
-                         spdlog::error("record {} cannot be read", item.key);
-                       }
-                     }
-                     load_progress();
-                   }));
+  ctx_.state->list(
+      RequestPriority::kLease, keys::job_records(ctx_.shard),
+      callback_guard_([this](Outcome outcome, std::vector<StateItem> items, std::uint64_t revision) {
+        if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_job_records);
+        model_.advance_watched_revision(revision);
+        for (StateItem& item : items) {
+          auto job_record = JobRecord::from_json(item.data);
+          if (job_record) {
+            model_.add_job(std::move(*job_record), item.revision);
+          } else {
+            spdlog::error("record {} cannot be read", item.key);
+          }
+        }
+        load_progress();
+      }));
 }
 
 void ShardLoader::load_progress() {
-  ctx_.state->list(RequestPriority::kLease, keys::progress_records(ctx_.shard),
-                   alive_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
-                     if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_progress);
-                     for (const StateItem& item : items) load_progress_record(item);
-                     load_delegations();
-                   }));
+  ctx_.state->list(
+      RequestPriority::kLease, keys::progress_records(ctx_.shard),
+      callback_guard_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
+        if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_progress);
+        for (const StateItem& item : items) load_progress_record(item);
+        load_delegations();
+      }));
 }
 
 void ShardLoader::load_progress_record(const StateItem& item) {
@@ -112,16 +114,17 @@
 }
 
 void ShardLoader::load_delegations() {
-  ctx_.state->list(RequestPriority::kLease, keys::kDelegations,
-                   alive_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
-                     if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_delegations);
-                     for (const StateItem& item : items) load_delegation_record(item);
-                     std::set<int> homes;
-                     for (const auto& [name, job] : model_.jobs()) {
-                       if (job->delegated_here()) homes.insert(job->home_shard);
-                     }
-                     check_delegated(std::move(homes));
-                   }));
+  ctx_.state->list(
+      RequestPriority::kLease, keys::kDelegations,
+      callback_guard_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
+        if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_delegations);
+        for (const StateItem& item : items) load_delegation_record(item);
+        std::set<int> home_shards;
+        for (const auto& [name, job] : model_.jobs()) {
+          if (job->delegated_here()) home_shards.insert(job->home_shard);
+        }
+        check_delegated_jobs(std::move(home_shards));
+      }));
 }
 
 // A delegation of tasks of this shard's jobs, or to this shard; others are of no concern.
@@ -140,64 +143,67 @@
     job.done.insert(record->done);
     return;
   }
-  const std::string own = keys::kDelegations + std::to_string(ctx_.shard) + "/";
-  if (item.key.compare(0, own.size(), own) == 0)
+  const std::string own_prefix = keys::kDelegations + std::to_string(ctx_.shard) + "/";
+  if (item.key.compare(0, own_prefix.size(), own_prefix) == 0)
     delegation_.add_delegated_job(item.key, std::move(*record), item.revision);
 }
 
 // A job can have been cancelled while this shard had no leader. One list a home: asked for one by one, a
 // hundred delegations kept a shard from becoming active for 15 s while the state service was slow.
-void ShardLoader::check_delegated(std::set<int> homes) {
-  if (homes.empty()) {
-    load_teams();
+void ShardLoader::check_delegated_jobs(std::set<int> home_shards) {
+  if (home_shards.empty()) {
+    load_quota_splits();
     return;
   }
-  const int home = *homes.begin();
+  const int home_shard = *home_shards.begin();
   ctx_.state->list(
-      RequestPriority::kLease, keys::job_records(home),
-      alive_([this, home, homes = std::move(homes)](Outcome outcome, const std::vector<StateItem>& items,
-                                                    std::uint64_t) mutable {
+      RequestPriority::kLease, keys::job_records(home_shard),
+      callback_guard_([this, home_shard, home_shards = std::move(home_shards)](
+                          Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) mutable {
         if (outcome != Outcome::kOk) {
-          ctx_.env->after(kLoadRetryS, alive_([this, homes = std::move(homes)]() mutable {
-                            check_delegated(std::move(homes));
+          ctx_.env->after(kLoadRetryDelaySeconds,
+                          callback_guard_([this, home_shards = std::move(home_shards)]() mutable {
+                            check_delegated_jobs(std::move(home_shards));
                           }));
           return;
         }
-        std::set<std::string> open;
+        std::set<std::string> open_refs;
         for (const StateItem& item : items) {
           if (item.data.is_object() && item.data.value("phase", "") != "aborted")
-            open.insert(item.key.substr(keys::job_records(home).size()));
+            open_refs.insert(item.key.substr(keys::job_records(home_shard).size()));
         }
         for (const auto& [name, job] : model_.jobs()) {
-          if (job->delegated_here() && job->home_shard == home && open.count(job->spec().ref) == 0)
+          if (job->delegated_here() && job->home_shard == home_shard && open_refs.count(job->spec().ref) == 0)
             delegation_.drop_delegated(job);
         }
-        homes.erase(home);
-        check_delegated(std::move(homes));
+        home_shards.erase(home_shard);
+        check_delegated_jobs(std::move(home_shards));
       }));
 }
 
-void ShardLoader::load_teams() {
-  ctx_.state->list(RequestPriority::kLease, keys::kQuotaSplits,
-                   alive_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
-                     if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_teams);
-                     quotas_.load(items);
-                     load_segments();
-                   }));
+void ShardLoader::load_quota_splits() {
+  ctx_.state->list(
+      RequestPriority::kLease, keys::kQuotaSplits,
+      callback_guard_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
+        if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_quota_splits);
+        quotas_.load(items);
+        load_segments();
+      }));
 }
 
 void ShardLoader::load_segments() {
-  ctx_.state->list(RequestPriority::kLease, keys::segments(ctx_.shard),
-                   alive_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
-                     if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_segments);
-                     if (load_segment_records(items)) on_loaded_();
-                   }));
+  ctx_.state->list(
+      RequestPriority::kLease, keys::segments(ctx_.shard),
+      callback_guard_([this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
+        if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_segments);
+        if (load_segment_records(items)) on_loaded_();
+      }));
 }
 
 // False: a record cannot be read. What runs is not known then: nothing may be placed, the rest is still
 // answered.
 bool ShardLoader::load_segment_records(const std::vector<StateItem>& items) {
-  std::vector<std::pair<int, SegmentRecord>> read;  // with their numbers
+  std::vector<std::pair<int, SegmentRecord>> records;  // with their numbers
   for (const StateItem& item : items) {
     const int number = std::atoi(item.key.c_str() + keys::segments(ctx_.shard).size());
     auto record = SegmentRecord::from_json(item.data);
@@ -206,11 +212,11 @@
       return false;
     }
     journal_.add_loaded_segment(number, item.revision, dump_json(item.data).size());
-    read.emplace_back(number, std::move(*record));
+    records.emplace_back(number, std::move(*record));
   }
   // Completions first: what is done is placed nowhere, whatever a segment still says.
-  for (const auto& [number, record] : read) load_completions(number, record);
-  for (const auto& [number, record] : read) load_placements(number, record);
+  for (const auto& [number, record] : records) load_completions(number, record);
+  for (const auto& [number, record] : records) load_placements(number, record);
   return true;
 }
 
@@ -232,29 +238,29 @@
 
 void ShardLoader::load_placements(int number, const SegmentRecord& segment) {
   for (const auto& [name, record] : segment.machines) {
-    for (const PlacementRecord& from : record.placements) {
-      const JobPtr job = model_.find_task(from.ref, from.index);
+    for (const PlacementRecord& placement_record : record.placements) {
+      const JobPtr job = model_.find_job_of_task(placement_record.ref, placement_record.index);
       // An ended job, or a task whose completion is durable: it was seen gone before that was written. (A
       // task is in one place only: what ended without completing is gone from its segment before it is placed
       // anew.)
-      if (job == nullptr || !job->waiting.contains(from.index)) continue;
+      if (job == nullptr || !job->waiting.contains(placement_record.index)) continue;
       Machine& machine = model_.find_or_add_machine(name, record);
       machine.record.worker_incarnation =
           std::max(machine.record.worker_incarnation, record.worker_incarnation);
       Placement placement;
       placement.job = job;
-      placement.index = from.index;
-      placement.attempt = from.attempt;
+      placement.index = placement_record.index;
+      placement.attempt = placement_record.attempt;
       placement.stage = Placement::Stage::kRecorded;
       placement.segment = number;
       placement.inherited = true;
       if (job->is_gang()) {
-        job->attempt.number = from.attempt;
+        job->attempt.number = placement_record.attempt;
         placement.stop_recorded = std::find(record.stopping_attempts.begin(), record.stopping_attempts.end(),
-                                            from.attempt) != record.stopping_attempts.end();
+                                            placement_record.attempt) != record.stopping_attempts.end();
         job->attempt.stopping |= placement.stop_recorded;
       }
-      job->waiting.erase(from.index);
+      job->waiting.erase(placement_record.index);
       model_.occupy_room(machine, *job);
       machine.placements.push_back(std::move(placement));
     }
@@ -262,23 +268,24 @@
 }
 
 void ShardLoader::watch() {
-  const double asked = ctx_.env->now();
-  ctx_.state->watch(keys::kWatched, model_.watched(), kWatchS, alive_([this, asked](const StateReply& reply) {
-                      const double took = ctx_.env->now() - asked;
-                      double wait = took < 1 ? 0.3 : 0.0;
+  const double requested_at = ctx_.env->now();
+  ctx_.state->watch(keys::kWatched, model_.watched_revision(), kWatchTimeoutSeconds,
+                    callback_guard_([this, requested_at](const StateReply& reply) {
+                      const double elapsed_s = ctx_.env->now() - requested_at;
+                      double delay_s = elapsed_s < 1 ? 0.3 : 0.0;
                       if (reply.ok()) {
                         const auto events = reply.body.find("events");
                         if (events != reply.body.end() && events->is_array()) {
                           for (const Json& event : *events) on_event(event);
                         }
-                        model_.watched_up_to(reply.revision());
-                        wait = std::max(0.0, kWatchGapS - took);
+                        model_.advance_watched_revision(reply.revision());
+                        delay_s = std::max(0.0, kMinWatchIntervalSeconds - elapsed_s);
                         committer_.send_due_writes();
                       } else if (reply.outcome == Outcome::kGone) {
                         ctx_.restart_shard("watch too old");
                         return;
                       }
-                      ctx_.env->after(wait, alive_([this] { watch(); }));
+                      ctx_.env->after(delay_s, callback_guard_([this] { watch(); }));
                     }));
 }
 
@@ -297,12 +304,12 @@
 void ShardLoader::on_job_event(const Json& event) {
   const bool put = event.contains("put");
   const std::string key = event.value(put ? "put" : "delete", "");
-  const std::string own = keys::job_records(ctx_.shard);
+  const std::string own_prefix = keys::job_records(ctx_.shard);
   const std::string ref = key.substr(key.rfind('/') + 1);
-  if (key.compare(0, own.size(), own) != 0) {
+  if (key.compare(0, own_prefix.size(), own_prefix) != 0) {
     // A job of another shard: what was delegated to this shard of it is unwanted once it is cancelled.
-    const bool over = !put || (event.contains("data") && event["data"].value("phase", "") == "aborted");
-    if (!over) return;
+    const bool is_over = !put || (event.contains("data") && event["data"].value("phase", "") == "aborted");
+    if (!is_over) return;
     const std::string prefix = keys::delegations(ctx_.shard, ref);
     for (auto it = model_.jobs().lower_bound(prefix);
          it != model_.jobs().end() && it->first.rfind(prefix, 0) == 0; ++it) {
@@ -313,14 +320,14 @@
   if (!put || !event.contains("data")) return;
   auto job_record = JobRecord::from_json(event["data"]);
   if (!job_record || job_record->cancelled) return;
-  adopt(std::move(*job_record), event.value("stamp", std::uint64_t{0}));
+  add_if_new(std::move(*job_record), event.value("stamp", std::uint64_t{0}));
 }
 
 void ShardLoader::admit(JobRecord job_record, std::uint64_t revision) {
-  if (revision > model_.watched()) adopt(std::move(job_record), revision);
+  if (revision > model_.watched_revision()) add_if_new(std::move(job_record), revision);
 }
 
-void ShardLoader::adopt(JobRecord job_record, std::uint64_t revision) {
+void ShardLoader::add_if_new(JobRecord job_record, std::uint64_t revision) {
   const std::string& ref = job_record.spec.ref;
   if (model_.jobs().count(ref) > 0 || model_.is_over_ahead_of_watch(ref)) return;
   model_.add_job(std::move(job_record), revision);
--- a/src/coordination/shard/shard_loader.hpp
+++ b/src/coordination/shard/shard_loader.hpp
@@ -41,15 +41,15 @@
   void load_progress_record(const StateItem& item);
   void load_delegations();
   void load_delegation_record(const StateItem& item);
-  void check_delegated(std::set<int> homes);
-  void load_teams();
+  void check_delegated_jobs(std::set<int> home_shards);
+  void load_quota_splits();
   void load_segments();
   bool load_segment_records(const std::vector<StateItem>& items);
   void load_completions(int number, const SegmentRecord& record);
   void load_placements(int number, const SegmentRecord& record);
   void on_event(const Json& event);
   void on_job_event(const Json& event);
-  void adopt(JobRecord job_record, std::uint64_t revision);
+  void add_if_new(JobRecord job_record, std::uint64_t revision);
 
   const ShardContext& ctx_;
   ShardModel& model_;
@@ -58,7 +58,7 @@
   ProgressRecords& progress_;
   TaskDelegation& delegation_;
   QuotaShares& quotas_;
-  CallbackGuard alive_;
+  CallbackGuard callback_guard_;
   std::function<void()> on_loaded_;
 };
 
--- a/src/coordination/shard/shard_messages.cpp
+++ b/src/coordination/shard/shard_messages.cpp
@@ -6,11 +6,11 @@
 
 // Reads a message; whatever the JSON lacks becomes a MalformedMessage.
 template <typename Read>
-auto read_message(const char* what, Read read) {
+auto read_message(const char* message_name, Read read) {
   try {
     return read();
   } catch (const Json::exception& error) {
-    throw MalformedMessage(std::string(what) + ": " + error.what());
+    throw MalformedMessage(std::string(message_name) + ": " + error.what());
   }
 }
 
@@ -28,8 +28,9 @@
 };
 
 Json offer_to_json(const RoomOffer& offer) {
-  return {offer.machine_type, offer.zone,       offer.spot,         offer.room[0],       offer.room[1],
-          offer.room[2],      offer.only_large, Json(offer.images), offer.no_best_effort};
+  return {offer.machine_type,     offer.zone,         offer.spot,
+          offer.room[0],          offer.room[1],      offer.room[2],
+          offer.large_tasks_only, Json(offer.images), offer.excludes_best_effort};
 }
 
 RoomOffer offer_from_json(const Json& value) {
@@ -39,62 +40,63 @@
   out.spot = value.at(kOfferSpot).get<bool>();
   out.room = {value.at(kOfferCores).get<double>(), value.at(kOfferMemory).get<double>(),
               value.at(kOfferAccelerators).get<double>()};
-  out.only_large = value.at(kOfferOnlyLarge).get<bool>();
+  out.large_tasks_only = value.at(kOfferOnlyLarge).get<bool>();
   out.images = value.at(kOfferImages).get<std::vector<std::string>>();
-  out.no_best_effort = value.size() > kOfferNoBestEffort && value.at(kOfferNoBestEffort).get<bool>();
+  out.excludes_best_effort = value.size() > kOfferNoBestEffort && value.at(kOfferNoBestEffort).get<bool>();
   return out;
 }
 
 // A want travels as a list; the last two items are there only with `starving`.
-enum WantField : std::size_t {
-  kWantTeam = 0,
-  kWantCores,
-  kWantGpus,
-  kWantStarving,
-  kWantStartableCores,
-  kWantStartableGpus,
+enum ShortfallField : std::size_t {
+  kShortfallTeam = 0,
+  kShortfallCores,
+  kShortfallGpus,
+  kShortfallStarving,
+  kShortfallStartableCores,
+  kShortfallStartableGpus,
 };
 
-Json want_to_json(const QuotaWant& want) {
-  Json out = {want.team, want.cores, want.gpus, want.starving};
-  if (want.startable) {
-    out.push_back(want.startable->cores);
-    out.push_back(want.startable->gpus);
+Json shortfall_to_json(const QuotaShortfall& shortfall) {
+  Json out = {shortfall.team, shortfall.cores, shortfall.gpus, shortfall.starving};
+  if (shortfall.startable_shortfall) {
+    out.push_back(shortfall.startable_shortfall->cores);
+    out.push_back(shortfall.startable_shortfall->gpus);
   }
   return out;
 }
 
-QuotaWant want_from_json(const Json& value) {
-  QuotaWant out;
-  out.team = value.at(kWantTeam).get<int>();
-  out.cores = value.at(kWantCores).get<double>();
-  out.gpus = value.at(kWantGpus).get<double>();
-  out.starving = value.at(kWantStarving).get<bool>();
-  if (value.size() > kWantStartableGpus) {
-    out.startable =
-        SpareQuota{value.at(kWantStartableCores).get<double>(), value.at(kWantStartableGpus).get<double>()};
+QuotaShortfall shortfall_from_json(const Json& value) {
+  QuotaShortfall out;
+  out.team = value.at(kShortfallTeam).get<int>();
+  out.cores = value.at(kShortfallCores).get<double>();
+  out.gpus = value.at(kShortfallGpus).get<double>();
+  out.starving = value.at(kShortfallStarving).get<bool>();
+  if (value.size() > kShortfallStartableGpus) {
+    out.startable_shortfall = QuotaAmount{value.at(kShortfallStartableCores).get<double>(),
+                                          value.at(kShortfallStartableGpus).get<double>()};
   }
   return out;
 }
 
 }  // namespace
 
-SpareQuota& TaskRequest::spare_of(int team) {
-  const auto at = static_cast<std::size_t>(team);
-  if (at >= spare.size()) throw MalformedMessage("task request: no quota of team " + std::to_string(team));
-  return spare[at];
+QuotaAmount& TaskRequest::spare_quota_of(int team) {
+  const auto index = static_cast<std::size_t>(team);
+  if (index >= spare_quotas.size())
+    throw MalformedMessage("task request: no quota of team " + std::to_string(team));
+  return spare_quotas[index];
 }
 
 Json TaskRequest::to_json() const {
   Json rooms = Json::array();
   for (const RoomOffer& offer : offers) rooms.push_back(offer_to_json(offer));
   Json quotas = Json::array();
-  for (const SpareQuota& quota : spare) quotas.push_back({quota.cores, quota.gpus});
+  for (const QuotaAmount& quota : spare_quotas) quotas.push_back({quota.cores, quota.gpus});
   return {{"part", shard},
           {"baton", fencing_token},
           {"rooms", std::move(rooms)},
           {"spare", std::move(quotas)},
-          {"gangs", gangs}};
+          {"gangs", can_run_gangs}};
 }
 
 TaskRequest TaskRequest::from_json(const Json& value) {
@@ -104,8 +106,8 @@
     out.fencing_token = value.at("baton").get<std::uint64_t>();
     for (const Json& offer : value.at("rooms")) out.offers.push_back(offer_from_json(offer));
     for (const Json& quota : value.at("spare"))
-      out.spare.push_back({quota.at(0).get<double>(), quota.at(1).get<double>()});
-    out.gangs = value.value("gangs", false);
+      out.spare_quotas.push_back({quota.at(0).get<double>(), quota.at(1).get<double>()});
+    out.can_run_gangs = value.value("gangs", false);
     return out;
   });
 }
@@ -116,7 +118,7 @@
 
 Json QuotaRequest::to_json() const {
   Json list = Json::array();
-  for (const QuotaWant& want : wants) list.push_back(want_to_json(want));
+  for (const QuotaShortfall& shortfall : shortfalls) list.push_back(shortfall_to_json(shortfall));
   return {{"part", shard}, {"wants", std::move(list)}};
 }
 
@@ -124,7 +126,7 @@
   return read_message("quota request", [&value] {
     QuotaRequest out;
     out.shard = value.at("part").get<int>();
-    for (const Json& want : value.at("wants")) out.wants.push_back(want_from_json(want));
+    for (const Json& shortfall : value.at("wants")) out.shortfalls.push_back(shortfall_from_json(shortfall));
     return out;
   });
 }
@@ -141,14 +143,14 @@
   });
 }
 
-Json GangCapacityReply::to_json() const { return {{"capacity", capacity}, {"baton", fencing_token}}; }
+Json GangCapacityReply::to_json() const { return {{"capacity", has_capacity}, {"baton", fencing_token}}; }
 
 GangCapacityReply GangCapacityReply::from_json(const Json& value) {
   if (!value.is_object()) return {};
   return {value.value("capacity", false), value.value("baton", std::uint64_t{0})};
 }
 
-Json GangState::to_json() const { return {{"ref", ref}, {"running", running}}; }
+Json GangState::to_json() const { return {{"ref", ref}, {"running", is_running}}; }
 
 GangState GangState::from_json(const Json& value) {
   return read_message("gang state", [&value] {
@@ -161,7 +163,7 @@
 CancellationNotice CancellationNotice::from_json(const Json& value) { return {value.value("ref", "")}; }
 
 Json CancellationReply::to_json() const {
-  return {{"noted", noted}, {"valid", lease_valid}, {"baton", fencing_token}};
+  return {{"noted", acknowledged}, {"valid", lease_valid}, {"baton", fencing_token}};
 }
 
 std::optional<CancellationReply> CancellationReply::from_json(const Json& value) {
--- a/src/coordination/shard/shard_messages.hpp
+++ b/src/coordination/shard/shard_messages.hpp
@@ -34,13 +34,13 @@
   std::string zone;
   bool spot = false;
   Resources room{};
-  bool only_large = false;          // for tasks that fit no smaller machine type
-  std::vector<std::string> images;  // that the machine has
-  bool no_best_effort = false;      // other work waits for the room
+  bool large_tasks_only = false;      // for tasks that fit no smaller machine type
+  std::vector<std::string> images;    // that the machine has
+  bool excludes_best_effort = false;  // other work waits for the room
 };
 
 // What a team may still use of the asking shard's quota share.
-struct SpareQuota {
+struct QuotaAmount {
   double cores = 0;
   double gpus = 0;
 };
@@ -50,11 +50,11 @@
   int shard = 0;                    // that asks
   std::uint64_t fencing_token = 0;  // of its leader
   std::vector<RoomOffer> offers;
-  std::vector<SpareQuota> spare;  // by team
-  bool gangs = true;              // it can run gangs; earlier versions can't
+  std::vector<QuotaAmount> spare_quotas;  // by team
+  bool can_run_gangs = true;              // it can run gangs; earlier versions can't
 
   // Throws MalformedMessage for a team that the asking shard does not know.
-  [[nodiscard]] SpareQuota& spare_of(int team);
+  [[nodiscard]] QuotaAmount& spare_quota_of(int team);
   [[nodiscard]] Json to_json() const;
   static TaskRequest from_json(const Json& value);
 };
@@ -68,18 +68,18 @@
 };
 
 // What a shard lacks of a team's quota.
-struct QuotaWant {
+struct QuotaShortfall {
   int team = 0;
   double cores = 0;
   double gpus = 0;
   bool starving = false;  // for a job of which nothing has begun for long
   // With `starving`: what all waiting tasks of the team could use on the shard's machines.
-  std::optional<SpareQuota> startable;
+  std::optional<QuotaAmount> startable_shortfall;
 };
 
 struct QuotaRequest {
   int shard = 0;  // that asks
-  std::vector<QuotaWant> wants;
+  std::vector<QuotaShortfall> shortfalls;
   [[nodiscard]] Json to_json() const;
   static QuotaRequest from_json(const Json& value);
 };
@@ -92,7 +92,7 @@
 };
 
 struct GangCapacityReply {
-  bool capacity = false;
+  bool has_capacity = false;
   std::uint64_t fencing_token = 0;  // of the asked shard's leader
   [[nodiscard]] Json to_json() const;
   // No answer, or another one: no capacity.
@@ -102,7 +102,7 @@
 // A delegate tells the home shard whether all tasks of a gang run.
 struct GangState {
   std::string ref;
-  bool running = false;
+  bool is_running = false;
   [[nodiscard]] Json to_json() const;
   static GangState from_json(const Json& value);
 };
@@ -115,7 +115,7 @@
 };
 
 struct CancellationReply {
-  bool noted = false;               // the delegate knows, and its machines have stopped the tasks
+  bool acknowledged = false;        // the delegate knows, and its machines have stopped the tasks
   bool lease_valid = false;         // nobody else owned the delegate's shard when it answered
   std::uint64_t fencing_token = 0;  // of the delegate's leader
   [[nodiscard]] Json to_json() const;
--- a/src/coordination/shard/shard_model.cpp
+++ b/src/coordination/shard/shard_model.cpp
@@ -8,7 +8,7 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kRemembered = 10000;  // removed machines
+constexpr std::size_t kMaxRememberedRemovedMachines = 10000;  // removed machines
 }  // namespace
 
 ShardModel::ShardModel(const ShardContext& context, Hooks hooks)
@@ -19,7 +19,7 @@
   for (WaitingHint& hint : demand_elsewhere_) hint.least_cores = least_cores(std::nullopt, hint.demand);
 }
 
-JobPtr ShardModel::find_task(const std::string& ref, int index) const {
+JobPtr ShardModel::find_job_of_task(const std::string& ref, int index) const {
   const auto home = jobs_.find(ref);
   if (home != jobs_.end()) return home->second;
   const std::string prefix = keys::delegations(ctx_.shard, ref);
@@ -54,18 +54,18 @@
   jobs_.emplace(spec.ref, job);
 }
 
-void ShardModel::forget(const std::string& name) {
+void ShardModel::remove_job(const std::string& name) {
   const auto it = jobs_.find(name);
   if (it == jobs_.end()) return;
   const Job& job = *it->second;
-  const std::uint64_t known_at = job.delegated_here() ? job.delegation_revision : job.job_revision;
-  if (known_at > watched_) over_ahead_of_watch_[name] = known_at;
+  const std::uint64_t known_revision = job.delegated_here() ? job.delegation_revision : job.job_revision;
+  if (known_revision > watched_revision_) over_ahead_of_watch_[name] = known_revision;
   jobs_.erase(it);
 }
 
-void ShardModel::watched_up_to(std::uint64_t revision) {
-  watched_ = std::max(watched_, revision);
-  std::erase_if(over_ahead_of_watch_, [this](const auto& item) { return item.second <= watched_; });
+void ShardModel::advance_watched_revision(std::uint64_t revision) {
+  watched_revision_ = std::max(watched_revision_, revision);
+  std::erase_if(over_ahead_of_watch_, [this](const auto& item) { return item.second <= watched_revision_; });
 }
 
 Machine& ShardModel::find_or_add_machine(const Report& report) {
@@ -110,16 +110,16 @@
 void ShardModel::remove_machine(Machine& machine) {
   if (machine.removed) return;
   machine.removed = true;
-  removed_.insert(machine.name);
+  removed_machines_.insert(machine.name);
   removed_order_.push_back(machine.name);
-  if (removed_order_.size() > kRemembered) {
-    removed_.erase(removed_order_.front());
+  if (removed_order_.size() > kMaxRememberedRemovedMachines) {
+    removed_machines_.erase(removed_order_.front());
     removed_order_.pop_front();
   }
   for (Placement& placement : machine.placements) {
     if (placement.stage == Placement::Stage::kFreeing) continue;
     free_placement(placement, 0);
-    counters_.freed_by_return++;
+    counters_.freed_by_removal++;
   }
 }
 
@@ -158,28 +158,28 @@
   for (std::size_t r = 0; r < machine.room.size(); r++) machine.room[r] += job.demand[r];
 }
 
-void ShardModel::free_placement(Placement& placement, double delay) {
+void ShardModel::free_placement(Placement& placement, double delay_s) {
   if (placement.stage == Placement::Stage::kFreeing) return;
   if (placement.job->is_gang()) on_gang_task_lost(*placement.job);
   placement.stage = Placement::Stage::kFreeing;
-  placement.requeue_delay_s = delay;
-  hooks_.placement_freed(placement.segment);
+  placement.requeue_delay_s = delay_s;
+  hooks_.on_placement_freed(placement.segment);
 }
 
-void ShardModel::drop_placement(Machine& machine, std::size_t at) {
-  const Placement placement = machine.placements[at];
-  machine.placements.erase(machine.placements.begin() + static_cast<std::ptrdiff_t>(at));
+void ShardModel::drop_placement(Machine& machine, std::size_t position) {
+  const Placement placement = machine.placements[position];
+  machine.placements.erase(machine.placements.begin() + static_cast<std::ptrdiff_t>(position));
   release_room(machine, *placement.job);
   requeue(placement.job, placement.index, placement.requeue_delay_s);
 }
 
-void ShardModel::requeue(const JobPtr& job, int index, double delay) {
+void ShardModel::requeue(const JobPtr& job, int index, double delay_s) {
   if (job->is_over() || job->done.contains(index)) return;
-  if (delay > 0) {
-    job->backoff.emplace_back(ctx_.env->now() + delay, index);
+  if (delay_s > 0) {
+    job->backoff.emplace_back(ctx_.env->now() + delay_s, index);
   } else {
     job->waiting.insert(index);
-    hooks_.work_waiting();
+    hooks_.on_work_waiting();
   }
 }
 
@@ -193,37 +193,38 @@
   job->waiting.erase(job->waiting.slice(first, last));
   std::erase_if(job->backoff,
                 [first, last](const auto& item) { return item.second >= first && item.second < last; });
-  hooks_.completion_added();
+  hooks_.on_completion_added();
 }
 
-bool ShardModel::failed_on_one(const std::string& ref) const {
-  std::set<std::string> on;
+bool ShardModel::has_failed_on_one_machine(const std::string& ref) const {
+  std::set<std::string> failing_machines;
   const std::string prefix = keys::delegations(ctx_.shard, ref);
-  const auto add = [&on](const Job& job) {
-    for (const auto& [name, failing] : job.failures_by_machine) on.insert(name);
+  const auto add = [&failing_machines](const Job& job) {
+    for (const auto& [name, failing] : job.failures_by_machine) failing_machines.insert(name);
   };
   if (const auto home = jobs_.find(ref); home != jobs_.end()) add(*home->second);
   for (auto it = jobs_.lower_bound(prefix); it != jobs_.end() && it->first.rfind(prefix, 0) == 0; ++it)
     add(*it->second);
-  return on.size() == 1;
+  return failing_machines.size() == 1;
 }
 
 double ShardModel::least_cores(const std::optional<std::vector<std::string>>& machine_types,
                                const Resources& demand) const {
-  double least = std::numeric_limits<double>::infinity();
+  double smallest_cores = std::numeric_limits<double>::infinity();
   for (const MachineType& type : ctx_.types->all()) {
     if (machine_types &&
         std::find(machine_types->begin(), machine_types->end(), type.name) == machine_types->end())
       continue;
-    if (fits(demand, {type.cores, type.memory_gb, type.accelerators})) least = std::min(least, type.cores);
+    if (fits(demand, {type.cores, type.memory_gb, type.accelerators}))
+      smallest_cores = std::min(smallest_cores, type.cores);
   }
-  return least;
+  return smallest_cores;
 }
 
 std::uint64_t ShardModel::next_attempt() {
   const std::uint64_t revision =
-      ctx_.settings->tuning.recovery ? std::max(ctx_.fencing_token, watched_) : ctx_.fencing_token;
-  return (revision << kAttemptCounterBits) + next_count();
+      ctx_.settings->tuning.recovery ? std::max(ctx_.fencing_token, watched_revision_) : ctx_.fencing_token;
+  return (revision << kAttemptCounterBits) + next_unique_number();
 }
 
 // Called when it is known that a task of the attempt is gone, or will never be launched.
--- a/src/coordination/shard/shard_model.hpp
+++ b/src/coordination/shard/shard_model.hpp
@@ -23,10 +23,10 @@
 
 // Events since the leader took over, for the log and for tests.
 struct ShardCounters {
-  std::uint64_t reports = 0, launches = 0, completions = 0, fetches = 0, tasks_delegated = 0,
+  std::uint64_t reports = 0, launches = 0, completions = 0, image_fetches = 0, tasks_delegated = 0,
                 tasks_received = 0, tasks_returned = 0, errors = 0, freed_by_lease = 0,
-                freed_by_incarnation = 0, freed_by_return = 0, relaunches = 0, preempted = 0,
-                journal_writes = 0, journal_changes = 0, delegations = 0, moves = 0, endings = 0;
+                freed_by_incarnation = 0, freed_by_removal = 0, relaunches = 0, preempted = 0,
+                journal_writes = 0, journal_changes = 0, delegations = 0, quota_transfers = 0, endings = 0;
 };
 
 class ShardModel {
@@ -35,9 +35,9 @@
   using Machines = std::map<std::string, std::unique_ptr<Machine>>;  // by name
   // What the model tells those that act on its changes.
   struct Hooks {
-    std::function<void()> work_waiting;                // a task waits that did not before
-    std::function<void(int segment)> placement_freed;  // of the journal, where it is recorded; 0: nowhere
-    std::function<void()> completion_added;            // that is not durable yet
+    std::function<void()> on_work_waiting;                // a task waits that did not before
+    std::function<void(int segment)> on_placement_freed;  // of the journal, where it is recorded; 0: nowhere
+    std::function<void()> on_completion_added;            // that is not durable yet
   };
   ShardModel(const ShardContext& context, Hooks hooks);
 
@@ -61,16 +61,16 @@
   void set_demand_elsewhere(std::vector<WaitingHint> hints);
 
   // The job, or the delegation to this shard, that a task on one of the shard's machines belongs to.
-  [[nodiscard]] JobPtr find_task(const std::string& ref, int index) const;
+  [[nodiscard]] JobPtr find_job_of_task(const std::string& ref, int index) const;
   // A job of this shard that is not among the open ones yet.
   [[nodiscard]] JobPtr make_job(JobRecord job_record, std::uint64_t revision);
   void add_job(JobRecord job_record, std::uint64_t revision);
   // The job or delegation is over here.
-  void forget(const std::string& name);
+  void remove_job(const std::string& name);
 
   // Changes up to this revision are known, from loading or from the watch.
-  [[nodiscard]] std::uint64_t watched() const { return watched_; }
-  void watched_up_to(std::uint64_t revision);
+  [[nodiscard]] std::uint64_t watched_revision() const { return watched_revision_; }
+  void advance_watched_revision(std::uint64_t revision);
   // The job or delegation is over here while the watch has yet to tell of its beginning.
   [[nodiscard]] bool is_over_ahead_of_watch(const std::string& name) const {
     return over_ahead_of_watch_.count(name) > 0;
@@ -83,7 +83,7 @@
   // (d) the cloud has confirmed that the machine and everything on it are gone.
   void remove_machine(Machine& machine);
   // A removed machine's late reports are evidence of nothing. (The last ones are remembered.)
-  [[nodiscard]] bool is_removed(const std::string& name) const { return removed_.count(name) > 0; }
+  [[nodiscard]] bool is_removed(const std::string& name) const { return removed_machines_.count(name) > 0; }
 
   // (The tasks of a gang share an attempt number, and some of them a machine.)
   Placement* find_placement(const std::string& machine, std::uint64_t attempt, int index);
@@ -93,15 +93,15 @@
   void release_room(Machine& machine, Job& job);
   // The placement has ended without completing. It counts until the journal is durable without it; then its
   // task waits again after `delay` seconds.
-  void free_placement(Placement& placement, double delay);
+  void free_placement(Placement& placement, double delay_s);
   // It is durable that the placement is over.
-  void drop_placement(Machine& machine, std::size_t at);
+  void drop_placement(Machine& machine, std::size_t position);
   // The task waits again, after `delay` seconds.
-  void requeue(const JobPtr& job, int index, double delay);
+  void requeue(const JobPtr& job, int index, double delay_s);
   // The task has completed; of a gang, all its tasks have.
   void mark_done(const JobPtr& job, int index);
   // The job has failed on exactly one of the shard's machines.
-  [[nodiscard]] bool failed_on_one(const std::string& ref) const;
+  [[nodiscard]] bool has_failed_on_one_machine(const std::string& ref) const;
 
   // Cores of the smallest allowed machine type that can hold such a task; infinite where none can.
   [[nodiscard]] double least_cores(const std::optional<std::vector<std::string>>& machine_types,
@@ -111,9 +111,9 @@
   // revision.
   [[nodiscard]] std::uint64_t next_attempt();
   // Counts up, for numbers and names that are unique under the leader's fencing token.
-  [[nodiscard]] std::uint64_t next_count() { return ++count_; }
+  [[nodiscard]] std::uint64_t next_unique_number() { return ++last_unique_number_; }
   // Work is waiting that machines with held reports may start.
-  void notify_work_waiting() const { hooks_.work_waiting(); }
+  void notify_work_waiting() const { hooks_.on_work_waiting(); }
 
   // What is handed over when the state service has lost records (src/recovery).
   [[nodiscard]] ShardMemory memory() const;
@@ -125,8 +125,8 @@
   const ShardContext& ctx_;
   Hooks hooks_;
   bool active_ = false;
-  std::uint64_t count_ = 0;
-  std::uint64_t watched_ = 0;
+  std::uint64_t last_unique_number_ = 0;
+  std::uint64_t watched_revision_ = 0;
   Jobs jobs_;
   std::map<std::string, UnaccountedRecord> unaccounted_;
   Machines machines_;
@@ -136,7 +136,7 @@
   // was not enough: behind a watch that lagged, older ones came back.)
   std::map<std::string, std::uint64_t> over_ahead_of_watch_;
   std::deque<std::string> removed_order_;  // removed machines, oldest first
-  std::set<std::string> removed_;
+  std::set<std::string> removed_machines_;
   std::vector<WaitingHint> demand_elsewhere_;
   ShardCounters counters_;
 };
--- a/src/coordination/shard/summary_builder.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -8,7 +8,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kUnreachableLeases = 2.5;  // lease durations until a machine out of reach counts as faulty
+constexpr double kFaultyAfterUnreachableLeases =
+    2.5;  // lease durations until a machine out of reach counts as faulty
 
 // How long, in seconds, a placed task may still hold its room. Estimates are often too low: one that is
 // overdue is taken to need a part of what it has had.
@@ -16,8 +17,8 @@
   const JobSpec& spec = placement.job->spec();
   if (placement.running_since == 0)
     return spec.estimated_s + 0.5 * spec.image_gb / std::max(0.01, fetch_gb_per_s);
-  const double ran = now - placement.running_since;
-  return std::max(spec.estimated_s - ran, 0.25 * std::max(ran, 4.0));
+  const double ran_s = now - placement.running_since;
+  return std::max(spec.estimated_s - ran_s, 0.25 * std::max(ran_s, 4.0));
 }
 }  // namespace
 
@@ -27,28 +28,28 @@
 void SummaryBuilder::add_ordinary_use(const Job& job, double cores, OrdinaryUse& use) {
   use.cores += cores;
   use.squares += cores * cores;
-  const double at_once = job.is_gang() ? job.spec().task_count : 1;
+  const double concurrent_tasks = job.is_gang() ? job.spec().task_count : 1;
   for (std::size_t r = 0; r < use.largest.size(); r++)
-    use.largest[r] = std::max(use.largest[r], at_once * job.demand[r]);
+    use.largest[r] = std::max(use.largest[r], concurrent_tasks * job.demand[r]);
 }
 
 // The machine's room now, and as its tasks come to their ends; what best-effort work holds yields to other
 // work.
 std::vector<FleetRoom> SummaryBuilder::rooms_of(const Machine& machine, double now) const {
-  constexpr double kBucketS = 5;   // ends of tasks that are closer count as one
-  std::map<int, Resources> rooms;  // by bucket; 0: now
-  std::map<int, Resources> yielding;
+  constexpr double kBucketSeconds = 5;  // ends of tasks that are closer count as one
+  std::map<int, Resources> rooms;       // by bucket; 0: now
+  std::map<int, Resources> preemptible_rooms;
   rooms[0] = machine.room;
   for (const Placement& placement : machine.placements) {
-    const double rate = machine.type >= 0 ? ctx_.types->at(machine.type).fetch_gb_per_s : 1;
-    const int bucket = 1 + static_cast<int>(remaining_s(placement, rate, now) / kBucketS);
-    Resources& room = rules_.is_preemptible(*placement.job) ? yielding[bucket] : rooms[bucket];
+    const double fetch_gb_per_s = machine.type >= 0 ? ctx_.types->at(machine.type).fetch_gb_per_s : 1;
+    const int bucket = 1 + static_cast<int>(remaining_s(placement, fetch_gb_per_s, now) / kBucketSeconds);
+    Resources& room = rules_.is_preemptible(*placement.job) ? preemptible_rooms[bucket] : rooms[bucket];
     for (std::size_t r = 0; r < room.size(); r++) room[r] += placement.job->demand[r];
   }
   std::vector<FleetRoom> out;
-  out.reserve(rooms.size() + yielding.size());
-  for (const auto& [bucket, room] : rooms) out.push_back({bucket * kBucketS, room, false});
-  for (const auto& [bucket, room] : yielding) out.push_back({bucket * kBucketS, room, true});
+  out.reserve(rooms.size() + preemptible_rooms.size());
+  for (const auto& [bucket, room] : rooms) out.push_back({bucket * kBucketSeconds, room, false});
+  for (const auto& [bucket, room] : preemptible_rooms) out.push_back({bucket * kBucketSeconds, room, true});
   std::stable_sort(out.begin(), out.end(), [](const FleetRoom& a, const FleetRoom& b) {
     return a.available_in_s < b.available_in_s;
   });
@@ -65,9 +66,9 @@
   out.schedulable =
       machine.type >= 0 && machine.schedulable() && now - machine.last_report_at < ctx_.settings->lease_s / 2;
   // One that has not been reached for long is of no use either.
-  out.faulty = machine.faulty ||
-               (machine.inbound_unreachable &&
-                now - machine.inbound_unreachable_since > kUnreachableLeases * ctx_.worker_lease_bound_s());
+  out.faulty = machine.faulty || (machine.inbound_unreachable &&
+                                  now - machine.inbound_unreachable_since >
+                                      kFaultyAfterUnreachableLeases * ctx_.worker_lease_bound_s());
   out.draining = machine.draining;
   // Nothing is placed, and every completion it showed is durable and acknowledged.
   out.empty = machine.placements.empty() && machine.unmatched.empty();
@@ -92,7 +93,7 @@
   }
 }
 
-DemandSummary SummaryBuilder::demand_of(const Job& job, int count, double wall) const {
+DemandSummary SummaryBuilder::demand_of(const Job& job, int count, double wall_time) const {
   const JobSpec& spec = job.spec();
   DemandSummary out;
   out.demand = job.demand;
@@ -102,7 +103,7 @@
   out.urgency = rules_.is_preemptible(job) ? 0 : std::max(1, static_cast<int>(spec.urgency));
   out.estimated_s = spec.estimated_s;
   out.image_gb = spec.image_gb;
-  if (spec.deadline_s) out.time_left_s = job.record.submitted_at + *spec.deadline_s - wall;
+  if (spec.deadline_s) out.time_left_s = job.record.submitted_at + *spec.deadline_s - wall_time;
   out.job_class = spec.job_class;
   out.allows_spot = spec.allows_spot;
   if (spec.machine_types) out.machine_types = *spec.machine_types;
@@ -119,7 +120,7 @@
   out.shard = ctx_.shard;
   out.fencing_token = ctx_.fencing_token;
   for (const auto& [name, machine] : model_.machines()) out.machines.push_back(summarize(*machine, now));
-  const double wall = ctx_.env->wall_time();
+  const double wall_time = ctx_.env->wall_time();
   for (const auto& [name, job] : model_.jobs()) {
     if (job->is_over()) continue;
     JobTasks tasks;
@@ -129,7 +130,7 @@
       tasks.wanted = tasks.waiting + static_cast<int>(job->backoff.size());
     }
     add_use(*job, tasks, out);
-    if (tasks.wanted > 0) out.demands.push_back(demand_of(*job, tasks.wanted, wall));
+    if (tasks.wanted > 0) out.demands.push_back(demand_of(*job, tasks.wanted, wall_time));
   }
   return out;
 }
--- a/src/coordination/shard/summary_builder.hpp
+++ b/src/coordination/shard/summary_builder.hpp
@@ -28,7 +28,7 @@
   [[nodiscard]] std::vector<FleetRoom> rooms_of(const Machine& machine, double now) const;
   [[nodiscard]] MachineSummary summarize(const Machine& machine, double now) const;
   void add_use(const Job& job, const JobTasks& tasks, ShardSummary& out) const;
-  [[nodiscard]] DemandSummary demand_of(const Job& job, int count, double wall) const;
+  [[nodiscard]] DemandSummary demand_of(const Job& job, int count, double wall_time) const;
 
   const ShardContext& ctx_;
   ShardModel& model_;
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -103,7 +103,7 @@
     add_delegated_job(key, std::move(*record), revision);
   } else if (!put && it != model_.jobs().end() && revision > it->second->delegation_revision) {
     // Deleted by its home: every task in it is done.
-    if (it->second->placed == 0) model_.forget(key);
+    if (it->second->placed == 0) model_.remove_job(key);
   }
 }
 
@@ -234,7 +234,7 @@
     write.job->progress_inflight = false;
     write.job->delegation_revision = revision;
     journal_.on_completions_recorded(write.job, write.job->delegation, write.done);
-    if (write.erase) model_.forget(write.job->delegation);
+    if (write.erase) model_.remove_job(write.job->delegation);
   }
 }
 
@@ -298,7 +298,7 @@
     out.offers.push_back(std::move(offer));
   }
   for (int team = 0; team < static_cast<int>(model_.teams().size()); team++)
-    out.spare.push_back({model_.teams().spare_cores(team), model_.teams().spare_gpus(team)});
+    out.spare_quotas.push_back({model_.teams().spare_cores(team), model_.teams().spare_gpus(team)});
   return out;
 }
 
@@ -311,14 +311,15 @@
   if (request.offers.empty()) return;
   asked_for_tasks_ = ctx_.next_shard(asked_for_tasks_);
   task_request_open_ = true;
-  ctx_.ask(asked_for_tasks_, peer_paths::kTaskRequest, request.to_json(), alive_([this](const Json& answer) {
-             task_request_open_ = false;
-             const bool delegated = TaskReply::from_json(answer).delegated > 0;
-             // Asking costs processor time on both sides: seldom while the fleet knows of nothing that waits.
-             next_task_request_ = ctx_.env->now() + (delegated || !model_.demand_elsewhere().empty()
-                                                         ? kTaskRequestInterval
-                                                         : kTaskRequestIdleInterval);
-           }));
+  ctx_.call_leader(
+      asked_for_tasks_, peer_paths::kTaskRequest, request.to_json(), alive_([this](const Json& answer) {
+        task_request_open_ = false;
+        const bool delegated = TaskReply::from_json(answer).delegated > 0;
+        // Asking costs processor time on both sides: seldom while the fleet knows of nothing that waits.
+        next_task_request_ =
+            ctx_.env->now() + (delegated || !model_.demand_elsewhere().empty() ? kTaskRequestInterval
+                                                                               : kTaskRequestIdleInterval);
+      }));
 }
 
 TaskReply TaskDelegation::on_task_request(TaskRequest request) {
@@ -380,7 +381,7 @@
   }
   const std::string& ref = job->spec().ref;
   const std::string key = keys::delegations(to, ref) + std::to_string(ctx_.fencing_token) + "." +
-                          std::to_string(model_.next_count());
+                          std::to_string(model_.next_unique_number());
   model_.counters().delegations++;
   model_.counters().tasks_delegated += static_cast<std::uint64_t>(delegated.range.size());
   spdlog::debug("{}: {} tasks delegated to shard {}", ref, delegated.range.size(), to);
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -184,7 +184,7 @@
   job->idle_since = now;
   model_.occupy_room(machine, *job);
   if (!machine.has_image(job->image)) {
-    model_.counters().fetches++;
+    model_.counters().image_fetches++;
     machine.use_image(job->image, job->spec().image_gb, ctx_.types->at(machine.type).cache_gb);
   }
   machine.placements.push_back(std::move(placement));
--- a/src/coordination/shard/unaccounted_tasks.cpp
+++ b/src/coordination/shard/unaccounted_tasks.cpp
@@ -16,19 +16,19 @@
 bool UnaccountedTasks::resolve(const std::string& ref, Decision decision) {
   const auto found = model_.unaccounted().find(ref);
   if (found == model_.unaccounted().end()) return false;
-  const auto known = model_.jobs().find(ref);
-  if (known == model_.jobs().end()) {
+  const auto open_job = model_.jobs().find(ref);
+  if (open_job == model_.jobs().end()) {
     resolve_without_description(ref, decision);
     return true;
   }
-  const JobPtr job = known->second;
+  const JobPtr job = open_job->second;
   if (job->is_over() || job->finishing || job->cancelling) return true;
   switch (decision) {
     case Decision::kDone:
       count_held_as_done(job);
       break;
     case Decision::kRerun:
-      start_held(job);
+      rerun_held(job);
       break;
     case Decision::kCancelled:
       job->cancel_waiters.push_back({Responder(), ctx_.env->now()});
@@ -49,7 +49,7 @@
   committer_.send_due_writes();
 }
 
-void UnaccountedTasks::start_held(const JobPtr& job) {
+void UnaccountedTasks::rerun_held(const JobPtr& job) {
   const std::string& ref = job->spec().ref;
   Transaction txn = committer_.guarded_transaction();
   txn.remove(keys::unaccounted(ctx_.shard, ref));
@@ -81,7 +81,7 @@
             ending_json(wire_name(done ? JobPhase::kDone : JobPhase::kCancelled), 0));
     txn.remove(key);
   }
-  const auto written = [this, ref, decision](std::uint64_t) {
+  const auto on_written = [this, ref, decision](std::uint64_t) {
     const auto found = model_.unaccounted().find(ref);
     if (found == model_.unaccounted().end()) return;
     if (decision == Decision::kRerun) {
@@ -91,7 +91,7 @@
     }
   };
   // (The description has come meanwhile: the operator says it again.)
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, written,
+  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, on_written,
                     [](const std::vector<std::string>&) { return true; });
 }
 
--- a/src/coordination/shard/unaccounted_tasks.hpp
+++ b/src/coordination/shard/unaccounted_tasks.hpp
@@ -23,7 +23,7 @@
 
  private:
   void count_held_as_done(const JobPtr& job);
-  void start_held(const JobPtr& job);
+  void rerun_held(const JobPtr& job);
   void resolve_without_description(const std::string& ref, Decision decision);
 
   const ShardContext& ctx_;
--- a/src/coordination/shard/worker_commands.cpp
+++ b/src/coordination/shard/worker_commands.cpp
@@ -95,7 +95,7 @@
                                                          const TaskReport& task) const {
   const std::string name = task_name(task.ref, task.index);
   if (task.phase != TaskPhase::kExited) return Order{Order::Verb::kStop, name, task.attempt, 0};
-  const JobPtr job = model_.find_task(task.ref, task.index);
+  const JobPtr job = model_.find_job_of_task(task.ref, task.index);
   const bool held =
       std::any_of(machine.placements.begin(), machine.placements.end(), [&task](const Placement& placement) {
         return placement.attempt == task.attempt && placement.index == task.index;
@@ -131,7 +131,7 @@
   auto report = parse_report(parse_json(reply.body));
   if (!report || report->machine_name != machine.name) return;
   if (report->fencing_token > ctx_.fencing_token) {
-    ctx_.deposed(report->fencing_token);
+    ctx_.on_deposed(report->fencing_token);
     return;
   }
   if (liveness_.apply_heartbeat(machine, *report, true)) committer_.send_due_writes();
--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -145,7 +145,7 @@
 void WorkerLiveness::note_unmatched_completions(const TaskReports& unmatched) {
   for (const auto& [attempt, task] : unmatched) {
     if (task->phase != TaskPhase::kExited || task->cause != ExitCause::kDone) continue;
-    const JobPtr job = model_.find_task(task->ref, task->index);
+    const JobPtr job = model_.find_job_of_task(task->ref, task->index);
     if (job == nullptr || job->is_over() || task->index >= job->spec().task_count) continue;
     model_.mark_done(job, task->index);
   }
@@ -247,7 +247,7 @@
     // with a mistake may well meet on one machine.)
     const auto only_here =
         std::count_if(machine.failed_jobs.begin(), machine.failed_jobs.end(),
-                      [this](const std::string& ref) { return model_.failed_on_one(ref); });
+                      [this](const std::string& ref) { return model_.has_failed_on_one_machine(ref); });
     const bool several = only_here >= kOnlyHere;
     const bool job_works = machine.error_streak >= 2 && (job->succeeded_elsewhere || !job->done.empty());
     if (!machine.faulty && (several || job_works)) {
