--- a/src/coordination/shard/shard_context.hpp
+++ b/src/coordination/shard/shard_context.hpp
@@ -1,5 +1,5 @@
-// What the collaborators of a shard's leader share of the outside world: clock, state service, settings,
-// other shards, and the node that the leader runs on.
+// The environment that all parts of a shard's leader share: the clock, the state service, the settings, the
+// other shards and the node on which the leader runs.
 #pragma once
 
 #include <cstdint>
@@ -21,37 +21,40 @@
   const MachineTypes* types = nullptr;
   NameTable* zones = nullptr;
   int shard_count = 1;
-  // Nobody else can own this shard now (Ownership::exclusive).
+  // Whether no other node can own this shard now (Ownership::exclusive).
   std::function<bool()> exclusive_owner;
-  // The leases of the shard's workers may be renewed (Ownership::may_renew).
+  // Whether the leases of the shard's workers may be renewed (Ownership::may_renew).
   std::function<bool()> may_renew;
-  // The revision at which the shard got the owner that is known of, or lost its last one.
+  // Returns the revision of the last ownership change of a shard that this node has observed: when its
+  // current owner claimed it, or when its last owner lost it.
   std::function<std::uint64_t(int shard)> owner_change_revision;
-  // Asks the leader of another shard; a null answer when it cannot be reached.
+  // Sends a request to the leader of another shard. The answer is null if the leader cannot be reached.
   std::function<void(int shard, const std::string& path, const Json& body, std::function<void(Json)>)>
       call_leader;
-  // Gives the shard up and loads it anew under a new fencing token.
+  // Gives up the shard and loads it again under a new fencing token.
   std::function<void(std::string why)> restart_shard;
-  // The state service contradicts what it has answered before.
+  // Called when an answer of the state service contradicts an earlier one.
   std::function<void(const std::string& what)> on_state_contradiction;
-  // A worker has seen a higher fencing token.
+  // Called when a worker reports a higher fencing token than this leader's.
   std::function<void(std::uint64_t fencing_token)> on_deposed;
-  // A job's terminal state is durable, and users may be told.
+  // Called when a job's terminal state is durable and users may be informed of it.
   std::function<void(const std::string& ref, const JobStatus& status)> on_job_ended;
 
-  // Set by the leader.
+  // The following are set by the leader.
   int shard = 0;
   std::uint64_t fencing_token = 0;
 
-  // No worker's lease outlasts this time after the report that renewed it, in seconds of this node's clock.
+  // The longest time that a worker's lease can last after the report that renewed it, measured by this node's
+  // clock.
   [[nodiscard]] double worker_lease_bound_s() const {
-    constexpr double kMaxClockDriftFraction = 0.002;  // of two clocks, relative
-    constexpr double kLeaseMarginSeconds = 1.0;       // steps of the worker's clock, and messages
+    constexpr double kMaxClockDriftFraction = 0.002;  // relative drift of two clocks
+    constexpr double kLeaseMarginSeconds = 1.0;       // covers the worker's clock steps and message delays
     return settings->lease_s * (1 + kMaxClockDriftFraction) + kLeaseMarginSeconds;
   }
-  // A machine's room counts while its last report is no older, in seconds. (An idle one's reports are held.)
+  // A machine's room is used only while its last report is at most this old. The bound allows for the reports
+  // of idle machines, which are held before they are answered.
   [[nodiscard]] double max_report_age_s() const { return 2 * settings->report_s + 2; }
-  // The shard that is asked after this one: all others in turn.
+  // Returns the shard to ask after `previous_shard`, so that all other shards are asked in turn.
   [[nodiscard]] int next_shard(int previous_shard) const {
     const int next = (previous_shard + 1) % shard_count;
     return next == shard ? (next + 1) % shard_count : next;
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -8,15 +8,17 @@
 namespace mothslip {
 
 namespace {
-constexpr double kTickSeconds = 0.5;  // seconds
-constexpr double kMaxAnswerDelaySeconds =
-    1.2;  // workers drop answers after 4 s; committing rarely takes this long
-// Machines without a task are answered when there is work, or this much later, in seconds. Workers wait 4 s,
-// and their lease counts from when the report was sent.
+constexpr double kTickSeconds = 0.5;
+// The time that the answer to a report waits for commits. Workers drop answers after 4 s, and commits rarely
+// take this long.
+constexpr double kMaxAnswerDelaySeconds = 1.2;
+// The reports of machines without tasks are answered when there is work, or after this time. Workers wait 4 s
+// for an answer, and their lease counts from the sending of the report.
 constexpr double kIdleReportHoldSeconds = 2.7;
-// One with tasks and room likewise, but shortly: ends of its tasks are reported only after the answer.
+// The same for machines that have tasks and free room. The time is short because a worker reports the end of
+// a task only after it has received the answer to its last report.
 constexpr double kBusyReportHoldSeconds = 0.4;
-constexpr std::size_t kMaxEarlyReports = 10000;  // reports that wait while a shard loads: one a machine
+constexpr std::size_t kMaxEarlyReports = 10000;  // reports held while the shard loads, one per machine
 }  // namespace
 
 ShardLeader::ShardLeader(Context context, int id, std::uint64_t fencing_token)
@@ -65,8 +67,9 @@
   return unaccounted_tasks_.resolve(ref, decision);
 }
 
-// A terminal write whose answer has not come may be durable already, and others may have read and told it. So
-// from the moment it is sent until its outcome is certain memory does not tell whether the job is open.
+// A terminal write that has not been answered yet may already be durable, and other nodes may have read it
+// and informed users. From the moment it is sent until its outcome is certain, this leader's memory therefore
+// does not show whether the job is still open.
 JobFinding ShardLeader::find(const std::string& ref) const {
   const auto it = model_.jobs().find(ref);
   if (it == model_.jobs().end()) return {JobFinding::Kind::kUnknownJob, {}};
@@ -78,7 +81,8 @@
     return {JobFinding::Kind::kUndecided, {}};
   JobStatus status{JobPhase::kQueued, job.done.size(), job.placed + job.delegated_open()};
   if (job.is_gang()) status.running = gangs_.gang_tasks_running(job);
-  // Only a durable ending is told: a completed job that is not written yet counts as running.
+  // Only a durable ending is reported. A completed job whose ending is not written yet is reported as
+  // running.
   if (status.running > 0 || job.complete()) status.phase = JobPhase::kRunning;
   return {job.finishing ? JobFinding::Kind::kUndecided : JobFinding::Kind::kStatus, status};
 }
@@ -94,13 +98,14 @@
   }
   model_.counters().reports++;
   if (report.fencing_token > ctx_.fencing_token) {
-    // The worker obeys a newer leader: this one was deposed and has not heard of it yet.
+    // The worker obeys a newer leader. This leader was deposed and did not know it yet.
     responder.send(503, R"({"error":"not the owner"})", 1);
     ctx_.on_deposed(report.fencing_token);
     return;
   }
-  // Late copies of reports, even of machines long returned, are evidence of nothing. Without a token the
-  // answer is dropped and renews no lease, should a worker be waiting for it after all.
+  // Late copies of reports prove nothing, and can even come from machines that were removed long ago. The
+  // answer contains no fencing token, so a worker that is still waiting for it drops it and does not renew
+  // its lease.
   if (model_.is_removed(report.machine_name)) {
     responder.send(200, R"({"orders":[]})");
     return;
@@ -125,9 +130,9 @@
   send_due_writes();
 }
 
-// For how long a report is held for new work, in seconds. An idle machine has nothing to tell: its report is
-// answered when there is work, or a little later. (Workers wait 4 s, and their lease counts from when the
-// report was sent.)
+// Returns how long the answer to a report is held back until there is new work for the machine. The leader
+// has nothing to send to an idle machine, so it answers when there is work, or after a limited time (see
+// kIdleReportHoldSeconds).
 double ShardLeader::report_hold_s(const Machine& machine) const {
   const bool nothing_to_send = machine.unmatched.empty() && machine.token_acknowledged &&
                                machine.schedulable() && ctx_.exclusive_owner();
@@ -143,16 +148,18 @@
   model_.set_active();
   std::size_t placement_count = 0;
   for (const auto& [name, machine] : model_.machines()) placement_count += machine->placements.size();
-  spdlog::info("shard {} active, fencing token {}: {} open jobs, {} machines, {} placements", ctx_.shard,
-               ctx_.fencing_token, model_.jobs().size(), model_.machines().size(), placement_count);
+  spdlog::info(
+      "shard {}: all records loaded, active under fencing token {} with {} open jobs, {} machines, {} "
+      "placements",
+      ctx_.shard, ctx_.fencing_token, model_.jobs().size(), model_.machines().size(), placement_count);
   loader_.watch();
   for (const auto& [name, job] : model_.jobs()) {
     if (!job->record.cancelled) continue;
     job->waiting.clear();
     if (!job->delegated_here()) cancellation_.on_cancellation_durable(job);
   }
-  // Whether a task that is missing was lost or never placed is not known, nor whether the gang had started:
-  // the others are stopped, and all begin anew.
+  // If a task of a gang has no placement, it is not known whether it was lost or never placed, nor whether
+  // the gang had started. The other tasks are stopped, and the whole gang starts again.
   for (const auto& [name, job] : model_.jobs()) {
     if (!job->is_gang() || job->placed == 0) continue;
     GangAttempt& attempt = job->attempt;
@@ -168,8 +175,8 @@
   tick();
 }
 
-// Whatever is due, the most urgent first: cancellations, the journal, endings and progress, delegations, the
-// rest.
+// Sends all writes that are due, the most urgent first: cancellations, the journal, endings and progress,
+// delegations, and then the rest.
 void ShardLeader::send_due_writes() {
   if (!model_.active() || sending_writes_) return;
   sending_writes_ = true;
@@ -197,7 +204,7 @@
   }
   std::erase_if(model_.machines(), [](const auto& item) {
     if (!item.second->removed || !item.second->placements.empty()) return false;
-    spdlog::info("{} is removed", item.first);
+    spdlog::info("machine {}: removed from the shard, no placement is left on it", item.first);
     return true;
   });
   for (auto& [name, machine] : model_.machines()) {
@@ -217,7 +224,7 @@
   ctx_.env->after(kTickSeconds, callback_guard_([this] { tick(); }));
 }
 
-// Tasks whose pause after a failure is over wait again.
+// Makes tasks wait again whose backoff after a failure is over.
 void ShardLeader::requeue_due_tasks(const JobPtr& job) {
   const double now = ctx_.env->now();
   for (std::size_t i = 0; i < job->backoff.size();) {
@@ -248,16 +255,16 @@
 }
 
 Json ShardLeader::on_peer_request(const std::string& path, const Json& body) {
-  // A cancellation is durable already, whoever says so and however late: taking note of it needs no valid
-  // lease. While records are being read, too: delegations that are not read yet are checked after they have
-  // been.
+  // A notified cancellation is already durable, whichever node sends the notice and however late it arrives,
+  // so acknowledging it does not require a valid lease. It is also acknowledged while records are being
+  // loaded: delegations that have not been read yet are checked after loading.
   if (path == peer_paths::kJobCancelled)
     return cancellation_.on_job_cancelled(CancellationNotice::from_json(body)).to_json();
   if (!model_.active() || committer_.state_silent() || !ctx_.exclusive_owner()) return TaskReply{}.to_json();
   try {
     return dispatch(path, body);
   } catch (const MalformedMessage& error) {
-    spdlog::debug("shard {}: {}", ctx_.shard, error.what());
+    spdlog::debug("shard {}: rejected a malformed request of another shard: {}", ctx_.shard, error.what());
     return {{"error", "malformed"}};
   }
 }
--- a/src/coordination/shard/shard_leader.hpp
+++ b/src/coordination/shard/shard_leader.hpp
@@ -1,14 +1,13 @@
-// The leader of one shard: the actor that alone decides about the shard's jobs and machines, as long as it
-// holds the shard's fencing token. It wires the collaborators together; each has state of its own and one
-// job.
+// The leader of one shard. It alone decides about the shard's jobs and machines, as long as it holds the
+// shard's fencing token. It connects its collaborators, each of which has its own state and one
+// responsibility.
 //
-// Rules that they keep together (docs/design.md has the reasoning):
-//  * a launch is sent only after the machine's record with the placement is committed, by a transaction that
-//  also
-//    guards the ownership and the job record;
-//  * a placement is given up only on evidence, never on silence alone;
-//  * a task goes back to waiting only after the record without its placement is durable;
-//  * the exit of a task is acknowledged only after its completion is durable.
+// Together they keep these rules (see docs/design.md for the reasoning):
+//  * A launch is sent only after the record that contains the placement is committed, by a transaction that
+//    also guards the ownership and the job record.
+//  * A placement is freed only on evidence that it is over, never on silence alone.
+//  * A task waits again only after the record without its placement is durable.
+//  * The exit of a task is acknowledged only after its completion is durable.
 #pragma once
 
 #include <cstdint>
@@ -43,44 +42,47 @@
   using Counters = ShardCounters;
   using HeldDecision = UnaccountedTasks::Decision;
 
-  // `id`: the shard's number. `fencing_token`: the revision at which the shard was claimed.
+  // `id` is the shard's number. `fencing_token` is the revision at which the shard was claimed.
   ShardLeader(Context context, int id, std::uint64_t fencing_token);
   ~ShardLeader();
   ShardLeader(const ShardLeader&) = delete;
   ShardLeader& operator=(const ShardLeader&) = delete;
 
-  // Reads the shard's records; the leader becomes active once it knows them all.
+  // Reads the shard's records. The leader becomes active once it has read all of them.
   void load();
   [[nodiscard]] bool active() const { return model_.active(); }
   [[nodiscard]] std::uint64_t fencing_token() const { return ctx_.fencing_token; }
   [[nodiscard]] int id() const { return ctx_.shard; }
 
-  // A worker's heartbeat. `relayed`: through another node, which waits only so long; such a report is not
-  // held for new work.
+  // Handles a worker's heartbeat. `relayed`: it came through another node. Such a report is not held until
+  // there is work, because that node waits only for a limited time.
   void on_report(Report report, bool relayed, Responder responder);
-  // A job that this node has accepted; the answer to that write may be older than what the watch has told.
+  // Adds a job that this node has accepted. The watch may already have delivered later changes, because the
+  // answer to the write of the job record can be late.
   void admit(JobRecord job_record, std::uint64_t revision);
-  // What may be told about a job of this shard as long as nobody else can own the shard.
+  // Returns the status of a job of this shard that may be reported to users. Valid only while no other node
+  // can own the shard.
   [[nodiscard]] JobFinding find(const std::string& ref) const;
   [[nodiscard]] bool has_job(const std::string& ref) const { return model_.jobs().count(ref) > 0; }
-  // Answers the responder once the cancellation is durable and all who may run tasks of the job know of it,
-  // or shortly with 503. The job must be known.
+  // Answers with success once the cancellation is durable and every shard that may run tasks of the job has
+  // acknowledged it, or with 503 after a short time. The job must be known to this leader.
   void cancel(const std::string& ref, Responder responder);
-  // What another shard's leader asks; the answer to it. `path` as in Context::ask.
+  // Handles a request of another shard's leader and returns the answer. `path`: see Context::call_leader.
   Json on_peer_request(const std::string& path, const Json& body);
 
-  // For the fleet manager, and what it orders in return.
+  // The summary is sent to the fleet manager, which answers with the orders that apply() takes.
   [[nodiscard]] ShardSummary summary() const;
   void apply(const FleetOrders& orders);
 
-  // What is known of the shard's jobs, machines and tasks.
+  // Returns what this leader knows of the shard's jobs, machines and tasks.
   [[nodiscard]] ShardMemory memory() const { return model_.memory(); }
-  // An operator's decision about the tasks that are held of a job since lost records were rebuilt: all count
-  // as done, all are started, or the job is cancelled. False: nothing of the job is held here. Safe to
-  // repeat; durable a moment later.
+  // Applies an operator's decision about the tasks of a job that are held because they could not be accounted
+  // for when lost records were rebuilt. Either all of them are marked done, or all are run again, or the job
+  // is cancelled. Returns false if no task of the job is held at this shard. The call can be repeated. The
+  // decision becomes durable after the call has returned.
   bool resolve_held(const std::string& ref, HeldDecision decision);
 
-  // No commit has been answered for a while.
+  // Whether no commit has been answered for a while.
   [[nodiscard]] bool state_silent() const { return committer_.state_silent(); }
   [[nodiscard]] const Counters& counters() const { return model_.counters(); }
 
@@ -118,7 +120,7 @@
   ShardLoader loader_;
   UnaccountedTasks unaccounted_tasks_;
   SummaryBuilder summaries_;
-  std::vector<EarlyReport> early_reports_;  // that came while loading
+  std::vector<EarlyReport> early_reports_;  // received while loading
   bool sending_writes_ = false;
 };
 
--- a/src/coordination/shard/shard_loader.cpp
+++ b/src/coordination/shard/shard_loader.cpp
@@ -16,9 +16,10 @@
 
 namespace {
 constexpr double kLoadRetryDelaySeconds = 0.2;
-// A watch whose answer is lost tells nothing until it is over: not for long.
+// If the answer to a watch is lost, no change is received until the watch times out, so the time-out is
+// short.
 constexpr double kWatchTimeoutSeconds = 8.0;
-constexpr double kMinWatchIntervalSeconds = 0.25;  // at the least from one answer to the next
+constexpr double kMinWatchIntervalSeconds = 0.25;  // from the start of one watch to the start of the next
 }  // namespace
 
 ShardLoader::ShardLoader(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -53,7 +54,7 @@
         if (outcome != Outcome::kOk) return retry_load(&ShardLoader::load_unaccounted);
         for (const StateItem& item : items) {
           auto record = UnaccountedRecord::from_json(item.data);
-          // (Nothing of a job may start while it is not known which of its tasks are held.)
+          // No task of a job may start while it is not known which of its tasks are held.
           if (!record) record = UnaccountedRecord{true, {}, true, false, "its record cannot be read", "", ""};
           model_.unaccounted().emplace(item.key.substr(prefix.size()), std::move(*record));
         }
@@ -72,7 +73,7 @@
           if (job_record) {
             model_.add_job(std::move(*job_record), item.revision);
           } else {
-            spdlog::error("record {} cannot be read", item.key);
+            spdlog::error("job record {} cannot be read; the job is not loaded", item.key);
           }
         }
         load_progress();
@@ -101,7 +102,7 @@
   Job& job = *it->second;
   auto done = RangeSet::from_text(item.data.value("done", ""), job.spec().task_count);
   if (!done) {
-    spdlog::error("record {} cannot be read", item.key);
+    spdlog::error("progress record {} cannot be read; its completions are not counted", item.key);
     return;
   }
   job.done.insert(*done);
@@ -127,11 +128,11 @@
       }));
 }
 
-// A delegation of tasks of this shard's jobs, or to this shard; others are of no concern.
+// Loads a delegation of tasks of this shard's jobs, or one to this shard. Ignores all others.
 void ShardLoader::load_delegation_record(const StateItem& item) {
   auto record = DelegationRecord::from_json(item.data);
   if (!record) {
-    spdlog::error("record {} cannot be read", item.key);
+    spdlog::error("delegation record {} cannot be read; the delegation is ignored", item.key);
     return;
   }
   if (record->home_shard == ctx_.shard) {
@@ -148,8 +149,9 @@
     delegation_.add_delegated_job(item.key, std::move(*record), item.revision);
 }
 
-// A job can have been cancelled while this shard had no leader. One list a home: asked for one by one, a
-// hundred delegations kept a shard from becoming active for 15 s while the state service was slow.
+// Drops delegated tasks whose job has ended or was cancelled, which can have happened while this shard had no
+// leader. The open jobs are read with one list call per home shard. When each job was read separately, a
+// hundred delegations delayed the activation of a shard by 15 s while the state service was slow.
 void ShardLoader::check_delegated_jobs(std::set<int> home_shards) {
   if (home_shards.empty()) {
     load_quota_splits();
@@ -200,21 +202,21 @@
       }));
 }
 
-// False: a record cannot be read. What runs is not known then: nothing may be placed, the rest is still
-// answered.
+// Returns false if a record cannot be read. It is then not known which tasks run, so the shard places nothing
+// and does not become active, but requests that do not need this knowledge are still answered.
 bool ShardLoader::load_segment_records(const std::vector<StateItem>& items) {
-  std::vector<std::pair<int, SegmentRecord>> records;  // with their numbers
+  std::vector<std::pair<int, SegmentRecord>> records;  // with segment numbers
   for (const StateItem& item : items) {
     const int number = std::atoi(item.key.c_str() + keys::segments(ctx_.shard).size());
     auto record = SegmentRecord::from_json(item.data);
     if (!record) {
-      spdlog::error("record {} cannot be read", item.key);
+      spdlog::error("journal segment {} cannot be read; the shard does not become active", item.key);
       return false;
     }
     journal_.add_loaded_segment(number, item.revision, dump_json(item.data).size());
     records.emplace_back(number, std::move(*record));
   }
-  // Completions first: what is done is placed nowhere, whatever a segment still says.
+  // Completions are loaded first: a task that is done has no placement, even if a segment still contains one.
   for (const auto& [number, record] : records) load_completions(number, record);
   for (const auto& [number, record] : records) load_placements(number, record);
   return true;
@@ -223,11 +225,12 @@
 void ShardLoader::load_completions(int number, const SegmentRecord& record) {
   for (const auto& [name, text] : record.done) {
     const auto it = model_.jobs().find(name);
-    if (it == model_.jobs().end()) continue;  // ended since
+    if (it == model_.jobs().end()) continue;  // the job has ended since
     Job& job = *it->second;
     auto done = RangeSet::from_text(text, job.spec().task_count);
     if (!done) {
-      spdlog::error("completions of {} in segment {} cannot be read", name, number);
+      spdlog::error("completions of {} in journal segment {} cannot be read; they are not counted", name,
+                    number);
       continue;
     }
     job.done.insert(*done);
@@ -240,9 +243,9 @@
   for (const auto& [name, record] : segment.machines) {
     for (const PlacementRecord& placement_record : record.placements) {
       const JobPtr job = model_.find_job_of_task(placement_record.ref, placement_record.index);
-      // An ended job, or a task whose completion is durable: it was seen gone before that was written. (A
-      // task is in one place only: what ended without completing is gone from its segment before it is placed
-      // anew.)
+      // Skip the placement if the job has ended or the completion of the task is durable, because the task
+      // was known to be gone before that was written. No task has two placements: one that ended without
+      // completing is removed from its segment before the task is placed again.
       if (job == nullptr || !job->waiting.contains(placement_record.index)) continue;
       Machine& machine = model_.find_or_add_machine(name, record);
       machine.record.worker_incarnation =
@@ -269,24 +272,25 @@
 
 void ShardLoader::watch() {
   const double requested_at = ctx_.env->now();
-  ctx_.state->watch(keys::kWatched, model_.watched_revision(), kWatchTimeoutSeconds,
-                    callback_guard_([this, requested_at](const StateReply& reply) {
-                      const double elapsed_s = ctx_.env->now() - requested_at;
-                      double delay_s = elapsed_s < 1 ? 0.3 : 0.0;
-                      if (reply.ok()) {
-                        const auto events = reply.body.find("events");
-                        if (events != reply.body.end() && events->is_array()) {
-                          for (const Json& event : *events) on_event(event);
-                        }
-                        model_.advance_watched_revision(reply.revision());
-                        delay_s = std::max(0.0, kMinWatchIntervalSeconds - elapsed_s);
-                        committer_.send_due_writes();
-                      } else if (reply.outcome == Outcome::kGone) {
-                        ctx_.restart_shard("watch too old");
-                        return;
-                      }
-                      ctx_.env->after(delay_s, callback_guard_([this] { watch(); }));
-                    }));
+  ctx_.state->watch(
+      keys::kWatched, model_.watched_revision(), kWatchTimeoutSeconds,
+      callback_guard_([this, requested_at](const StateReply& reply) {
+        const double elapsed_s = ctx_.env->now() - requested_at;
+        double delay_s = elapsed_s < 1 ? 0.3 : 0.0;
+        if (reply.ok()) {
+          const auto events = reply.body.find("events");
+          if (events != reply.body.end() && events->is_array()) {
+            for (const Json& event : *events) on_event(event);
+          }
+          model_.advance_watched_revision(reply.revision());
+          delay_s = std::max(0.0, kMinWatchIntervalSeconds - elapsed_s);
+          committer_.send_due_writes();
+        } else if (reply.outcome == Outcome::kGone) {
+          ctx_.restart_shard("the state service no longer has the changes since the watched revision");
+          return;
+        }
+        ctx_.env->after(delay_s, callback_guard_([this] { watch(); }));
+      }));
 }
 
 void ShardLoader::on_event(const Json& event) {
@@ -300,14 +304,16 @@
   }
 }
 
-// Other nodes accept jobs by creating the job record; only the owner of its shard changes or deletes one.
+// Other nodes accept jobs by creating the job record. Only the owner of the job's shard changes or deletes
+// it.
 void ShardLoader::on_job_event(const Json& event) {
   const bool put = event.contains("put");
   const std::string key = event.value(put ? "put" : "delete", "");
   const std::string own_prefix = keys::job_records(ctx_.shard);
   const std::string ref = key.substr(key.rfind('/') + 1);
   if (key.compare(0, own_prefix.size(), own_prefix) != 0) {
-    // A job of another shard: what was delegated to this shard of it is unwanted once it is cancelled.
+    // This is a job of another shard. Its tasks that were delegated to this shard are dropped once the job is
+    // cancelled or has ended.
     const bool is_over = !put || (event.contains("data") && event["data"].value("phase", "") == "aborted");
     if (!is_over) return;
     const std::string prefix = keys::delegations(ctx_.shard, ref);
--- a/src/coordination/shard/shard_loader.hpp
+++ b/src/coordination/shard/shard_loader.hpp
@@ -1,4 +1,5 @@
-// How a shard comes to know what the state service holds, at its start and afterwards.
+// Loads a shard's records from the state service when its leader starts, and follows their changes
+// afterwards.
 #pragma once
 
 #include <functional>
@@ -24,13 +25,15 @@
               ProgressRecords& progress, TaskDelegation& delegation, QuotaShares& quotas,
               std::function<void()> on_loaded);
 
-  // Reads the shard's records, then calls back. To be called once.
+  // Reads the shard's records, then calls `on_loaded`. Must be called once.
   void load();
-  // The state service tells what changed: jobs, delegations and quota shares. Every shard hears of every
-  // change, so with many shards the calls add up: changes that follow closely are asked for together.
+  // Follows the changes of jobs, delegations and quota splits. Every shard receives every change, so the
+  // number of calls grows with the number of shards. Changes that follow each other closely are therefore
+  // fetched in one call.
   void watch();
-  // A job that this node has recorded at this revision; the answer may come late. What the watch, or loading,
-  // has covered by then is known already, whatever became of it since: the job may have run and ended.
+  // Adds a job that this node has recorded at this revision. The answer to that write may be late. If the
+  // watch or the loading has already passed the revision, the call has no effect, because the job is known
+  // already and may have run and ended since.
   void admit(JobRecord job_record, std::uint64_t revision);
 
  private:
--- a/src/coordination/shard/shard_messages.cpp
+++ b/src/coordination/shard/shard_messages.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Reads a message; whatever the JSON lacks becomes a MalformedMessage.
+// Reads a message and converts JSON errors, such as a missing field, to MalformedMessage.
 template <typename Read>
 auto read_message(const char* message_name, Read read) {
   try {
@@ -14,7 +14,7 @@
   }
 }
 
-// An offer travels as a list; the last item came later.
+// An offer is sent as a list. Earlier versions do not send the last item.
 enum OfferField : std::size_t {
   kOfferType = 0,
   kOfferZone,
@@ -46,7 +46,7 @@
   return out;
 }
 
-// A want travels as a list; the last two items are there only with `starving`.
+// A shortfall is sent as a list. The last two items are present only if `starving` is true.
 enum ShortfallField : std::size_t {
   kShortfallTeam = 0,
   kShortfallCores,
@@ -83,7 +83,7 @@
 QuotaAmount& TaskRequest::spare_quota_of(int team) {
   const auto index = static_cast<std::size_t>(team);
   if (index >= spare_quotas.size())
-    throw MalformedMessage("task request: no quota of team " + std::to_string(team));
+    throw MalformedMessage("task request: no spare quota for team " + std::to_string(team));
   return spare_quotas[index];
 }
 
@@ -137,8 +137,8 @@
   return read_message("gang capacity request", [&value] {
     std::string bad_field;
     const auto spec = parse_job(value.at("job"), bad_field);
-    if (!spec) throw MalformedMessage("gang capacity request: " + bad_field);
-    if (!spec->is_gang) throw MalformedMessage("gang capacity request: no gang");
+    if (!spec) throw MalformedMessage("gang capacity request: bad field " + bad_field);
+    if (!spec->is_gang) throw MalformedMessage("gang capacity request: the job is not a gang");
     return GangCapacityRequest{*spec};
   });
 }
--- a/src/coordination/shard/shard_messages.hpp
+++ b/src/coordination/shard/shard_messages.hpp
@@ -1,5 +1,7 @@
-// Messages between the leaders of shards. What stands under which name on the wire is known only here;
-// earlier versions send and read the same, so fields are only ever added.
+// Messages between the leaders of shards, and how they are written as JSON.
+//
+// This file and shard_messages.cpp are the only place that maps wire names to the code. Earlier versions send
+// and read the same messages, so fields are added but never changed or removed.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +15,7 @@
 
 namespace mothslip {
 
-// Paths under which the messages travel.
+// Request paths of the messages.
 namespace peer_paths {
 inline constexpr const char* kTaskRequest = "/peer/borrow";
 inline constexpr const char* kQuotaRequest = "/peer/allow";
@@ -22,69 +24,72 @@
 inline constexpr const char* kJobCancelled = "/peer/called_off";
 }  // namespace peer_paths
 
-// A message lacks a field, or a field is of another type. Thrown where one is read.
+// Thrown when a message is read that lacks a required field or has a field of the wrong type.
 class MalformedMessage : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Free room on one machine, offered to the tasks of other shards.
+// Free room on one machine that is offered to tasks of other shards.
 struct RoomOffer {
   std::string machine_type;
   std::string zone;
   bool spot = false;
   Resources room{};
-  bool large_tasks_only = false;      // for tasks that fit no smaller machine type
-  std::vector<std::string> images;    // that the machine has
-  bool excludes_best_effort = false;  // other work waits for the room
+  bool large_tasks_only = false;      // only tasks that fit no smaller machine type may use the room
+  std::vector<std::string> images;    // present on the machine
+  bool excludes_best_effort = false;  // best-effort tasks may not use it, because other work waits for it
 };
 
-// What a team may still use of the asking shard's quota share.
+// An amount of a team's quota.
 struct QuotaAmount {
   double cores = 0;
   double gpus = 0;
 };
 
-// A shard with free room asks to be delegated tasks.
+// A shard that has free room asks another shard to delegate tasks to it.
 struct TaskRequest {
-  int shard = 0;                    // that asks
-  std::uint64_t fencing_token = 0;  // of its leader
+  int shard = 0;                    // the requesting shard
+  std::uint64_t fencing_token = 0;  // of the requesting shard's leader
   std::vector<RoomOffer> offers;
-  std::vector<QuotaAmount> spare_quotas;  // by team
-  bool can_run_gangs = true;              // it can run gangs; earlier versions can't
+  // By team: how much of the requesting shard's quota share is unused.
+  std::vector<QuotaAmount> spare_quotas;
+  bool can_run_gangs = true;  // false for earlier versions, which do not send the field
 
-  // Throws MalformedMessage for a team that the asking shard does not know.
+  // Throws MalformedMessage if the message contains no quota for this team.
   [[nodiscard]] QuotaAmount& spare_quota_of(int team);
   [[nodiscard]] Json to_json() const;
   static TaskRequest from_json(const Json& value);
 };
 
-// The number of tasks that were delegated.
+// Answers a TaskRequest with the number of tasks that were delegated.
 struct TaskReply {
   int delegated = 0;
   [[nodiscard]] Json to_json() const;
-  // No answer, or one without the number: none.
+  // Returns 0 tasks if there was no answer or the answer lacks the number.
   static TaskReply from_json(const Json& value);
 };
 
-// What a shard lacks of a team's quota.
+// How much of a team's quota a shard lacks.
 struct QuotaShortfall {
   int team = 0;
   double cores = 0;
   double gpus = 0;
-  bool starving = false;  // for a job of which nothing has begun for long
-  // With `starving`: what all waiting tasks of the team could use on the shard's machines.
+  bool starving = false;  // a job of the team has waited too long without starting any task
+  // Set if `starving`: the quota lacking for all waiting tasks of the team that the shard's machines have
+  // room for.
   std::optional<QuotaAmount> startable_shortfall;
 };
 
+// A shard asks another shard to transfer quota to it.
 struct QuotaRequest {
-  int shard = 0;  // that asks
+  int shard = 0;  // the requesting shard
   std::vector<QuotaShortfall> shortfalls;
   [[nodiscard]] Json to_json() const;
   static QuotaRequest from_json(const Json& value);
 };
 
-// Could the asked shard's machines hold this gang if they were empty?
+// Asks whether the receiving shard's machines could hold this gang if they were empty.
 struct GangCapacityRequest {
   JobSpec job;
   [[nodiscard]] Json to_json() const;
@@ -93,13 +98,13 @@
 
 struct GangCapacityReply {
   bool has_capacity = false;
-  std::uint64_t fencing_token = 0;  // of the asked shard's leader
+  std::uint64_t fencing_token = 0;  // of the answering shard's leader
   [[nodiscard]] Json to_json() const;
-  // No answer, or another one: no capacity.
+  // Returns a reply without capacity if there was no answer or it is not an object.
   static GangCapacityReply from_json(const Json& value);
 };
 
-// A delegate tells the home shard whether all tasks of a gang run.
+// A delegate reports to the home shard whether all tasks of a gang are running.
 struct GangState {
   std::string ref;
   bool is_running = false;
@@ -107,7 +112,7 @@
   static GangState from_json(const Json& value);
 };
 
-// The home shard tells a delegate that a job is cancelled; that is durable.
+// The home shard informs a delegate that a job has been cancelled, which is already durable.
 struct CancellationNotice {
   std::string ref;
   [[nodiscard]] Json to_json() const;
@@ -115,15 +120,17 @@
 };
 
 struct CancellationReply {
-  bool acknowledged = false;        // the delegate knows, and its machines have stopped the tasks
-  bool lease_valid = false;         // nobody else owned the delegate's shard when it answered
+  // The delegate knows of the cancellation, and either it has no placement of the job left or the time
+  // allowed for stopping the tasks has passed.
+  bool acknowledged = false;
+  bool lease_valid = false;         // no other node could own the delegate's shard when it answered
   std::uint64_t fencing_token = 0;  // of the delegate's leader
   [[nodiscard]] Json to_json() const;
-  // Nothing where there was no answer, or another one.
+  // Returns nullopt if there was no answer or it is not a cancellation reply.
   static std::optional<CancellationReply> from_json(const Json& value);
 };
 
-// How a team's limits are split among the shards: a record of the state service, by shard.
+// How a team's limits are split among the shards, by shard. This is a record in the state service.
 struct QuotaSplit {
   std::vector<double> cores;
   std::vector<double> gpus;
--- a/src/coordination/shard/shard_model.cpp
+++ b/src/coordination/shard/shard_model.cpp
@@ -8,7 +8,7 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMaxRememberedRemovedMachines = 10000;  // removed machines
+constexpr std::size_t kMaxRememberedRemovedMachines = 10000;
 }  // namespace
 
 ShardModel::ShardModel(const ShardContext& context, Hooks hooks)
@@ -49,7 +49,7 @@
   job->waiting.insert(0, spec.task_count);
   if (const auto found = unaccounted_.find(spec.ref); found != unaccounted_.end())
     job->waiting.erase(found->second.held_indices(spec.task_count));
-  spdlog::info("{} known: {} of {}, {} tasks of {} cores", spec.ref, spec.job_class, spec.team,
+  spdlog::info("job {}: added as {} of team {}, {} tasks of {} cores", spec.ref, spec.job_class, spec.team,
                spec.task_count, spec.cores);
   jobs_.emplace(spec.ref, job);
 }
@@ -77,8 +77,8 @@
         report.address, report.machine_type, report.zone, report.spot, report.worker_incarnation, {}, {}};
     slot->first_report_at = slot->busy_at = ctx_.env->now();
     set_capacity(*slot);
-    spdlog::info("{} reports: {} in {}{}", report.machine_name, report.machine_type, report.zone,
-                 report.spot ? ", spot" : "");
+    spdlog::info("machine {}: first report to this leader, machine type {} in zone {}{}", report.machine_name,
+                 report.machine_type, report.zone, report.spot ? ", spot" : "");
   }
   return *slot;
 }
@@ -185,7 +185,6 @@
 
 void ShardModel::mark_done(const JobPtr& job, int index) {
   if (job->done.contains(index)) return;
-  // The tasks of a gang complete together.
   const int first = job->is_gang() ? 0 : index;
   const int last = job->is_gang() ? job->spec().task_count : index + 1;
   job->done.insert(first, last);
@@ -227,13 +226,13 @@
   return (revision << kAttemptCounterBits) + next_unique_number();
 }
 
-// Called when it is known that a task of the attempt is gone, or will never be launched.
+// Called once a task of the attempt is known to be gone or will never be launched.
 void ShardModel::on_gang_task_lost(Job& job) {
   if (job.is_over() || job.cancel_requested()) return;
   if (job.attempt.started && !job.attempt.stopping) job.attempt.failed = true;
 }
 
-// A placement whose record was not yet durable was never launched: its task still waits.
+// Omits placements whose record is not durable yet: they were never launched, so their tasks still wait.
 ShardMemory ShardModel::memory() const {
   ShardMemory out;
   out.shard = ctx_.shard;
--- a/src/coordination/shard/summary_builder.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -8,11 +8,11 @@
 namespace mothslip {
 
 namespace {
-constexpr double kFaultyAfterUnreachableLeases =
-    2.5;  // lease durations until a machine out of reach counts as faulty
+// A machine is reported as faulty once it has been unreachable for this number of lease durations.
+constexpr double kFaultyAfterUnreachableLeases = 2.5;
 
-// How long, in seconds, a placed task may still hold its room. Estimates are often too low: one that is
-// overdue is taken to need a part of what it has had.
+// Returns the expected time until a placed task releases its room. Estimates are often too low, so an overdue
+// task is expected to need a fraction of the time that it has already run.
 double remaining_s(const Placement& placement, double fetch_gb_per_s, double now) {
   const JobSpec& spec = placement.job->spec();
   if (placement.running_since == 0)
@@ -33,11 +33,11 @@
     use.largest[r] = std::max(use.largest[r], concurrent_tasks * job.demand[r]);
 }
 
-// The machine's room now, and as its tasks come to their ends; what best-effort work holds yields to other
-// work.
+// Returns the machine's free room now, and the room that becomes free as its tasks end. Room held by
+// preemptible work is listed separately, because other work can take it.
 std::vector<FleetRoom> SummaryBuilder::rooms_of(const Machine& machine, double now) const {
-  constexpr double kBucketSeconds = 5;  // ends of tasks that are closer count as one
-  std::map<int, Resources> rooms;       // by bucket; 0: now
+  constexpr double kBucketSeconds = 5;  // tasks that end within the same interval share one entry
+  std::map<int, Resources> rooms;       // by bucket, where 0 is now
   std::map<int, Resources> preemptible_rooms;
   rooms[0] = machine.room;
   for (const Placement& placement : machine.placements) {
@@ -65,12 +65,12 @@
   out.spot = machine.record.spot;
   out.schedulable =
       machine.type >= 0 && machine.schedulable() && now - machine.last_report_at < ctx_.settings->lease_s / 2;
-  // One that has not been reached for long is of no use either.
+  // A machine that has been unreachable for long cannot be used either, so it is reported as faulty.
   out.faulty = machine.faulty || (machine.inbound_unreachable &&
                                   now - machine.inbound_unreachable_since >
                                       kFaultyAfterUnreachableLeases * ctx_.worker_lease_bound_s());
   out.draining = machine.draining;
-  // Nothing is placed, and every completion it showed is durable and acknowledged.
+  // The machine has no placement, and every completion that it reported is durable and acknowledged.
   out.empty = machine.placements.empty() && machine.unmatched.empty();
   out.silent_s = now - machine.last_report_at;
   out.idle_s = machine.placements.empty() ? now - machine.busy_at : 0;
@@ -78,10 +78,10 @@
   return out;
 }
 
-// Cores that the job uses and would use, by team and by the kind of machine.
+// Adds the cores that the job uses and would use, by team and by kind of machine.
 void SummaryBuilder::add_use(const Job& job, const JobTasks& tasks, ShardSummary& out) const {
   const bool preemptible = rules_.is_preemptible(job);
-  // Room is kept free for what demand varies by; best-effort work can wait.
+  // The fleet keeps room free for variations in demand. Best-effort work is left out because it can wait.
   if (!preemptible) out.wanted_by_team[job.team] += (job.placed + tasks.waiting) * job.demand[0];
   out.used_by_team[job.team] += job.placed * job.demand[0];
   if (job.delegated_here() || preemptible) return;
@@ -99,7 +99,7 @@
   out.demand = job.demand;
   out.count = count;
   out.team = job.team;
-  // (Promoted best-effort work is asked for like other work.)
+  // Promoted best-effort work is requested like other work.
   out.urgency = rules_.is_preemptible(job) ? 0 : std::max(1, static_cast<int>(spec.urgency));
   out.estimated_s = spec.estimated_s;
   out.image_gb = spec.image_gb;
@@ -124,7 +124,7 @@
   for (const auto& [name, job] : model_.jobs()) {
     if (job->is_over()) continue;
     JobTasks tasks;
-    // No machine is rented for one that is at fault.
+    // No machines are rented for a faulty job.
     if (!job->is_faulty()) {
       tasks.waiting = job->waiting.size();
       tasks.wanted = tasks.waiting + static_cast<int>(job->backoff.size());
--- a/src/coordination/shard/summary_builder.hpp
+++ b/src/coordination/shard/summary_builder.hpp
@@ -1,4 +1,4 @@
-// The summary of a shard for the fleet manager: its machines, its waiting tasks and what its teams use.
+// Builds a shard's summary for the fleet manager: its machines, its waiting tasks and the usage of its teams.
 #pragma once
 
 #include <vector>
@@ -14,16 +14,17 @@
  public:
   SummaryBuilder(const ShardContext& context, ShardModel& model, PlacementRules& rules);
 
-  // Adds a job that uses or would use so many cores and may run on ordinary machines only.
+  // Adds the use of a job that may run on ordinary machines only. `cores`: what it uses, and would use if all
+  // its tasks ran.
   static void add_ordinary_use(const Job& job, double cores, OrdinaryUse& use);
-  // The shard as of now.
+  // Returns the summary of the shard's current state.
   [[nodiscard]] ShardSummary build() const;
 
  private:
-  // Tasks of a job for which room is asked.
+  // Number of a job's tasks that need room.
   struct JobTasks {
     int waiting = 0;
-    int wanted = 0;  // with those that wait for their next attempt
+    int wanted = 0;  // waiting tasks, and those in backoff before their next attempt
   };
   [[nodiscard]] std::vector<FleetRoom> rooms_of(const Machine& machine, double now) const;
   [[nodiscard]] MachineSummary summarize(const Machine& machine, double now) const;
--- a/src/coordination/shard/unaccounted_tasks.cpp
+++ b/src/coordination/shard/unaccounted_tasks.cpp
@@ -39,10 +39,12 @@
   return true;
 }
 
-// The ending that follows is what makes it durable: until then an operator may have to say it again.
+// The decision becomes durable with the ending that follows. If this leader is lost before that, the operator
+// has to decide again.
 void UnaccountedTasks::count_held_as_done(const JobPtr& job) {
   const RangeSet held = model_.unaccounted().at(job->spec().ref).held_indices(job->spec().task_count);
-  spdlog::info("{}: {} unaccounted tasks count as done, by an operator", job->spec().ref, held.size());
+  spdlog::info("job {}: {} unaccounted tasks are marked done by an operator's decision", job->spec().ref,
+               held.size());
   for (const auto& [first, last] : held.ranges()) {
     for (int index = first; index < last; index++) model_.mark_done(job, index);
   }
@@ -55,18 +57,19 @@
   txn.remove(keys::unaccounted(ctx_.shard, ref));
   committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [this, job](std::uint64_t) {
     const auto found = model_.unaccounted().find(job->spec().ref);
-    if (found == model_.unaccounted().end()) return;  // said twice
+    if (found == model_.unaccounted().end()) return;  // the decision was given twice
     RangeSet held = found->second.held_indices(job->spec().task_count);
     model_.unaccounted().erase(found);
     held.erase(job->done);
-    spdlog::info("{}: {} unaccounted tasks start again, by an operator", job->spec().ref, held.size());
+    spdlog::info("job {}: {} unaccounted tasks are run again by an operator's decision", job->spec().ref,
+                 held.size());
     if (job->is_over()) return;
     job->waiting.insert(held);
     model_.notify_work_waiting();
   });
 }
 
-// Nobody knows the job's description: it ends at once, or waits for its user to submit it again.
+// The job's description is lost, so the job either ends at once or waits until its user submits it again.
 void UnaccountedTasks::resolve_without_description(const std::string& ref, Decision decision) {
   const std::string key = keys::unaccounted(ctx_.shard, ref);
   Transaction txn = committer_.guarded_transaction();
@@ -90,7 +93,8 @@
       model_.unaccounted().erase(found);
     }
   };
-  // (The description has come meanwhile: the operator says it again.)
+  // The guard on the job record fails if the description has arrived in the meantime. The decision is then
+  // not applied, and the operator has to repeat it.
   committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, on_written,
                     [](const std::vector<std::string>&) { return true; });
 }
--- a/src/coordination/shard/unaccounted_tasks.hpp
+++ b/src/coordination/shard/unaccounted_tasks.hpp
@@ -1,4 +1,4 @@
-// An operator's decisions about tasks that could not be accounted for when lost records were rebuilt.
+// Applies operators' decisions about tasks that could not be accounted for when lost records were rebuilt.
 #pragma once
 
 #include <string>
@@ -17,8 +17,9 @@
                    Cancellation& cancellation);
   enum class Decision { kDone, kRerun, kCancelled };
 
-  // An operator's decision about the tasks that are held of a job: all count as done, all are started, or the
-  // job is cancelled. False: nothing of the job is held here. Safe to repeat; durable a moment later.
+  // Applies an operator's decision about the held tasks of a job: all are marked done, all are run again, or
+  // the job is cancelled. Returns false if no task of the job is held at this shard. The call can be
+  // repeated. The decision becomes durable after the call has returned.
   bool resolve(const std::string& ref, Decision decision);
 
  private:
