--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -18,7 +18,7 @@
 bool DelegationPlanner::has_usable_room(const Machine& machine) const {
   const double now = ctx_.env->now();
   if (machine.type < 0 || !machine.schedulable() || now < machine.no_fill_until) return false;
-  return machine.has_reported && now - machine.last_report_at <= ctx_.report_freshness_s() &&
+  return machine.has_reported && now - machine.last_report_at <= ctx_.max_report_age_s() &&
          !machine.reserved_for;
 }
 
@@ -93,9 +93,9 @@
     const JobSpec& spec = job.spec();
     if (!rules_.allows_machine(spec, offer.machine_type, offer.zone, offer.spot)) continue;
     // A machine that is cordoned or reserved for large tasks takes only tasks that fit no smaller type.
-    if (offer.only_large && type >= 0 && rules_.fits_smaller_type(job, type)) continue;
+    if (offer.large_tasks_only && type >= 0 && rules_.fits_smaller_type(job, type)) continue;
     // Best-effort work is not delegated to machines that would not start it or are meant for other work.
-    const bool excludes_best_effort = offer.no_best_effort || (!offer.spot && spec.allows_spot);
+    const bool excludes_best_effort = offer.excludes_best_effort || (!offer.spot && spec.allows_spot);
     if (excludes_best_effort && rules_.is_preemptible(job) && !rules_.long_unplaced(job)) continue;
     out.requests.push_back(each.request);
     out.requests.back().image_is_cached =
@@ -111,7 +111,7 @@
   for (std::size_t k = 0; k < candidates.jobs.size();) {
     const SurplusJob& each = *candidates.jobs[k];
     const Job& job = *each.job;
-    const SpareQuota& spare = request.spare_of(job.team);
+    const QuotaAmount& spare = request.spare_quota_of(job.team);
     const bool has_room = each.chosen < each.surplus && fits(job.demand, room);
     // Quota for a task of a starving job is saved up at the delegate.
     const bool has_quota = (job.demand[0] <= spare.cores && job.demand[2] <= spare.gpus) ||
@@ -142,7 +142,7 @@
     const Job& job = *chosen.job;
     take_room(room, job.demand);
     chosen.chosen++;
-    SpareQuota& spare = request.spare_of(job.team);
+    QuotaAmount& spare = request.spare_quota_of(job.team);
     spare.cores -= job.demand[0];
     spare.gpus -= job.demand[2];
   }
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -111,32 +111,32 @@
   for (const auto& [team, needed] : shortages_) {
     const double spare_cores = model_.teams().spare_cores(team);
     const double spare_gpus = model_.teams().spare_gpus(team);
-    QuotaWant want{
+    QuotaShortfall want{
         team, needed[0] - spare_cores, needed[2] - spare_gpus, starving_teams_.count(team) > 0, {}};
     if (want.starving) {
       const Resources startable = startable_demand(team);
-      want.startable = SpareQuota{startable[0] - spare_cores, startable[2] - spare_gpus};
+      want.startable_shortfall = QuotaAmount{startable[0] - spare_cores, startable[2] - spare_gpus};
     }
-    request.wants.push_back(want);
+    request.shortfalls.push_back(want);
   }
   shortages_.clear();
   starving_teams_.clear();
-  ctx_.ask(last_shard_asked_, peer_paths::kQuotaRequest, request.to_json(), [](const Json&) {});
+  ctx_.call_leader(last_shard_asked_, peer_paths::kQuotaRequest, request.to_json(), [](const Json&) {});
 }
 
 void QuotaShares::on_quota_request(const QuotaRequest& request) {
   const int to = request.shard;
   if (to < 0 || to >= ctx_.shard_count || to == ctx_.shard) return;
   const std::map<int, const Job*> saved_for = rules_.quota_saved_for();
-  for (const QuotaWant& want : request.wants) {
+  for (const QuotaShortfall& want : request.shortfalls) {
     // Two shards that save up quota for the same team would pass it back and forth, so the shard with the
     // lower number goes first.
     if (saved_for.count(want.team) > 0 && (!want.starving || to > ctx_.shard)) continue;
     // Quota that no task here waits for is transferred at once, for all tasks that could start at the other
     // shard. When it was transferred task by task, with a round of requests in between, a shard with room
     // stood idle for a minute.
-    if (want.starving && want.startable &&
-        transfer_quota(want.team, to, want.startable->cores, want.startable->gpus)) {
+    if (want.starving && want.startable_shortfall &&
+        transfer_quota(want.team, to, want.startable_shortfall->cores, want.startable_shortfall->gpus)) {
       continue;
     }
     transfer_quota(want.team, to, want.cores, want.gpus, !want.starving);
@@ -146,8 +146,8 @@
 // Returns the part of the shard's share of the team's quota that its own waiting tasks leave unused. While
 // such tasks wait, a shard with a higher number gets nothing: two shards that each lack a little would
 // otherwise pass the remainder back and forth.
-SpareQuota QuotaShares::transferable_quota(int team, int to, bool keep_own) const {
-  SpareQuota spare{model_.teams().spare_cores(team), model_.teams().spare_gpus(team)};
+QuotaAmount QuotaShares::transferable_quota(int team, int to, bool keep_own) const {
+  QuotaAmount spare{model_.teams().spare_cores(team), model_.teams().spare_gpus(team)};
   if (!keep_own) return spare;
   bool has_waiting_tasks = false;
   for (const auto& [name, job] : model_.jobs()) {
@@ -159,7 +159,7 @@
     spare.cores -= tasks * job->demand[0];
     spare.gpus -= tasks * job->demand[2];
   }
-  return has_waiting_tasks && to > ctx_.shard ? SpareQuota{} : spare;
+  return has_waiting_tasks && to > ctx_.shard ? QuotaAmount{} : spare;
 }
 
 bool QuotaShares::transfer_quota(int team, int to, double cores, double gpus, bool keep_own) {
@@ -167,7 +167,7 @@
       splits_.count(team) == 0) {
     return false;
   }
-  const SpareQuota spare = transferable_quota(team, to, keep_own);
+  const QuotaAmount spare = transferable_quota(team, to, keep_own);
   const double give_cores = round_down_to_step(std::clamp(cores, 0.0, std::max(0.0, spare.cores)));
   const double give_gpus = round_down_to_step(std::clamp(gpus, 0.0, std::max(0.0, spare.gpus)));
   if (give_cores <= 0 && give_gpus <= 0) return false;
@@ -187,7 +187,7 @@
   model_.teams().set_quota(team, split.cores[from_index], split.gpus[from_index],
                            model_.teams().revision(team));
   transferring_teams_.insert(team);
-  model_.counters().moves++;
+  model_.counters().quota_transfers++;
   commit_quota(team, std::make_shared<std::string>(txn.body()), split);
   return true;
 }
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -8,14 +8,17 @@
 namespace mothslip {
 
 namespace {
-constexpr double kTick = 0.5;            // seconds
-constexpr double kAnswerPatience = 1.2;  // workers drop answers after 4 s; committing rarely takes this long
-// Machines without a task are answered when there is work, or this much later, in seconds. Workers wait 4 s,
-// and their lease counts from when the report was sent.
-constexpr double kHold = 2.7;
-// One with tasks and room likewise, but shortly: ends of its tasks are reported only after the answer.
-constexpr double kRoomyHold = 0.4;
-constexpr std::size_t kMaxEarly = 10000;  // reports that wait while a shard loads: one a machine
+constexpr double kTickSeconds = 0.5;
+// The time that the answer to a report waits for commits. Workers drop answers after 4 s, and commits rarely
+// take this long.
+constexpr double kMaxAnswerDelaySeconds = 1.2;
+// The reports of machines without tasks are answered when there is work, or after this time. Workers wait 4 s
+// for an answer, and their lease counts from the sending of the report.
+constexpr double kIdleReportHoldSeconds = 2.7;
+// The same for machines that have tasks and free room. The time is short because a worker reports the end of
+// a task only after it has received the answer to its last report.
+constexpr double kBusyReportHoldSeconds = 0.4;
+constexpr std::size_t kMaxEarlyReports = 10000;  // reports held while the shard loads, one per machine
 }  // namespace
 
 ShardLeader::ShardLeader(Context context, int id, std::uint64_t fencing_token)
@@ -64,8 +67,9 @@
   return unaccounted_tasks_.resolve(ref, decision);
 }
 
-// A terminal write whose answer has not come may be durable already, and others may have read and told it. So
-// from the moment it is sent until its outcome is certain memory does not tell whether the job is open.
+// A terminal write that has not been answered yet may already be durable, and other nodes may have read it
+// and informed users. From the moment it is sent until its outcome is certain, this leader's memory therefore
+// does not show whether the job is still open.
 JobFinding ShardLeader::find(const std::string& ref) const {
   const auto it = model_.jobs().find(ref);
   if (it == model_.jobs().end()) return {JobFinding::Kind::kUnknownJob, {}};
@@ -77,15 +81,16 @@
     return {JobFinding::Kind::kUndecided, {}};
   JobStatus status{JobPhase::kQueued, job.done.size(), job.placed + job.delegated_open()};
   if (job.is_gang()) status.running = gangs_.gang_tasks_running(job);
-  // Only a durable ending is told: a completed job that is not written yet counts as running.
+  // Only a durable ending is reported. A completed job whose ending is not written yet is reported as
+  // running.
   if (status.running > 0 || job.complete()) status.phase = JobPhase::kRunning;
   return {job.finishing ? JobFinding::Kind::kUndecided : JobFinding::Kind::kStatus, status};
 }
 
 void ShardLeader::on_report(Report report, bool relayed, Responder responder) {
   if (!model_.active()) {
-    if (early_.size() < kMaxEarly) {
-      early_.push_back({std::move(report), relayed, std::move(responder)});
+    if (early_reports_.size() < kMaxEarlyReports) {
+      early_reports_.push_back({std::move(report), relayed, std::move(responder)});
     } else {
       responder.send(503, R"({"error":"loading"})", 1);
     }
@@ -93,13 +98,14 @@
   }
   model_.counters().reports++;
   if (report.fencing_token > ctx_.fencing_token) {
-    // The worker obeys a newer leader: this one was deposed and has not heard of it yet.
+    // The worker obeys a newer leader. This leader was deposed and did not know it yet.
     responder.send(503, R"({"error":"not the owner"})", 1);
-    ctx_.deposed(report.fencing_token);
+    ctx_.on_deposed(report.fencing_token);
     return;
   }
-  // Late copies of reports, even of machines long returned, are evidence of nothing. Without a token the
-  // answer is dropped and renews no lease, should a worker be waiting for it after all.
+  // Late copies of reports prove nothing, and can even come from machines that were removed long ago. The
+  // answer contains no fencing token, so a worker that is still waiting for it drops it and does not renew
+  // its lease.
   if (model_.is_removed(report.machine_name)) {
     responder.send(200, R"({"orders":[]})");
     return;
@@ -110,47 +116,50 @@
     return;
   }
   machine.answer = std::move(responder);
-  machine.answer_by = ctx_.env->now() + kAnswerPatience;
+  machine.answer_by = ctx_.env->now() + kMaxAnswerDelaySeconds;
   placement_.fill(machine);
-  const bool has_new = std::any_of(machine.placements.begin(), machine.placements.end(),
-                                   [](const Placement& p) { return p.stage == Placement::Stage::kNew; });
-  if (const double hold = hold_s(machine); !has_new && !relayed && hold > 0) {
+  const bool has_new_placement =
+      std::any_of(machine.placements.begin(), machine.placements.end(),
+                  [](const Placement& p) { return p.stage == Placement::Stage::kNew; });
+  if (const double hold_s = report_hold_s(machine); !has_new_placement && !relayed && hold_s > 0) {
     machine.report_held = true;
-    machine.answer_by = ctx_.env->now() + hold;
-  } else if (!has_new) {
+    machine.answer_by = ctx_.env->now() + hold_s;
+  } else if (!has_new_placement) {
     commands_.answer(machine);
   }
   send_due_writes();
 }
 
-// For how long a report is held for new work, in seconds. An idle machine has nothing to tell: its report is
-// answered when there is work, or a little later. (Workers wait 4 s, and their lease counts from when the
-// report was sent.)
-double ShardLeader::hold_s(const Machine& machine) const {
-  const bool nothing_to_say = machine.unmatched.empty() && machine.token_acknowledged &&
-                              machine.schedulable() && ctx_.exclusive_owner();
-  if (!nothing_to_say) return 0;
-  if (machine.placements.empty()) return std::min(kHold, ctx_.settings->lease_s / 4);
-  const bool all_seen = std::all_of(
+// Returns how long the answer to a report is held back until there is new work for the machine. The leader
+// has nothing to send to an idle machine, so it answers when there is work, or after a limited time (see
+// kIdleReportHoldSeconds).
+double ShardLeader::report_hold_s(const Machine& machine) const {
+  const bool nothing_to_send = machine.unmatched.empty() && machine.token_acknowledged &&
+                               machine.schedulable() && ctx_.exclusive_owner();
+  if (!nothing_to_send) return 0;
+  if (machine.placements.empty()) return std::min(kIdleReportHoldSeconds, ctx_.settings->lease_s / 4);
+  const bool all_reported = std::all_of(
       machine.placements.begin(), machine.placements.end(),
       [&machine](const Placement& p) { return p.seen_sequence == machine.sequence && !p.job->is_over(); });
-  return machine.room[0] >= 1 && all_seen ? kRoomyHold : 0;
+  return machine.room[0] >= 1 && all_reported ? kBusyReportHoldSeconds : 0;
 }
 
 void ShardLeader::on_loaded() {
   model_.set_active();
-  std::size_t placed = 0;
-  for (const auto& [name, machine] : model_.machines()) placed += machine->placements.size();
-  spdlog::info("shard {} active, fencing token {}: {} open jobs, {} machines, {} placements", ctx_.shard,
-               ctx_.fencing_token, model_.jobs().size(), model_.machines().size(), placed);
+  std::size_t placement_count = 0;
+  for (const auto& [name, machine] : model_.machines()) placement_count += machine->placements.size();
+  spdlog::info(
+      "shard {}: all records loaded, active under fencing token {} with {} open jobs, {} machines, {} "
+      "placements",
+      ctx_.shard, ctx_.fencing_token, model_.jobs().size(), model_.machines().size(), placement_count);
   loader_.watch();
   for (const auto& [name, job] : model_.jobs()) {
     if (!job->record.cancelled) continue;
     job->waiting.clear();
     if (!job->delegated_here()) cancellation_.on_cancellation_durable(job);
   }
-  // Whether a task that is missing was lost or never placed is not known, nor whether the gang had started:
-  // the others are stopped, and all begin anew.
+  // If a task of a gang has no placement, it is not known whether it was lost or never placed, nor whether
+  // the gang had started. The other tasks are stopped, and the whole gang starts again.
   for (const auto& [name, job] : model_.jobs()) {
     if (!job->is_gang() || job->placed == 0) continue;
     GangAttempt& attempt = job->attempt;
@@ -159,41 +168,43 @@
     attempt.stop_recorded = attempt.stopping;
   }
   commands_.announce_fencing_token();
-  auto early = std::move(early_);
-  early_.clear();
-  for (EarlyReport& each : early) on_report(std::move(each.report), each.relayed, std::move(each.responder));
+  auto early_reports = std::move(early_reports_);
+  early_reports_.clear();
+  for (EarlyReport& each : early_reports)
+    on_report(std::move(each.report), each.relayed, std::move(each.responder));
   tick();
 }
 
-// Whatever is due, the most urgent first: cancellations, the journal, endings and progress, delegations, the
-// rest.
+// Sends all writes that are due, the most urgent first: cancellations, the journal, endings and progress,
+// delegations, and then the rest.
 void ShardLeader::send_due_writes() {
-  if (!model_.active() || sending_) return;
-  sending_ = true;
-  const auto room = [this](RecordCommitter::Slot slot) { return committer_.has_room(slot); };
-  while (room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancels()) {
+  if (!model_.active() || sending_writes_) return;
+  sending_writes_ = true;
+  const auto has_room = [this](RecordCommitter::Slot slot) { return committer_.has_room(slot); };
+  while (has_room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancels()) {
   }
   if (journal_.has_freed_placements()) journal_.release_freed();
   journal_.write_journal();
-  while (room(RecordCommitter::kDoneSlot) && (completion_.commit_endings() || progress_.commit_progress())) {
+  while (has_room(RecordCommitter::kDoneSlot) &&
+         (completion_.commit_endings() || progress_.commit_progress())) {
   }
-  while (room(RecordCommitter::kDoneSlot) && delegation_.commit_delegations()) {
+  while (has_room(RecordCommitter::kDoneSlot) && delegation_.commit_delegations()) {
   }
-  while (room(RecordCommitter::kRestSlot) &&
+  while (has_room(RecordCommitter::kRestSlot) &&
          (completion_.commit_cancelled_cleanup() || cancellation_.record_seen_cancellations() ||
           progress_.commit_discarded())) {
   }
-  sending_ = false;
+  sending_writes_ = false;
 }
 
 void ShardLeader::tick() {
   for (auto& [name, job] : model_.jobs()) {
     cancellation_.expire_waiters(*job);
-    requeue_due(job);
+    requeue_due_tasks(job);
   }
   std::erase_if(model_.machines(), [](const auto& item) {
     if (!item.second->removed || !item.second->placements.empty()) return false;
-    spdlog::info("{} is removed", item.first);
+    spdlog::info("machine {}: removed from the shard, no placement is left on it", item.first);
     return true;
   });
   for (auto& [name, machine] : model_.machines()) {
@@ -210,11 +221,11 @@
     delegation_.request_tasks();
     quotas_.request_quota();
   }
-  ctx_.env->after(kTick, alive_([this] { tick(); }));
+  ctx_.env->after(kTickSeconds, callback_guard_([this] { tick(); }));
 }
 
-// Tasks whose pause after a failure is over wait again.
-void ShardLeader::requeue_due(const JobPtr& job) {
+// Makes tasks wait again whose backoff after a failure is over.
+void ShardLeader::requeue_due_tasks(const JobPtr& job) {
   const double now = ctx_.env->now();
   for (std::size_t i = 0; i < job->backoff.size();) {
     if (job->backoff[i].first > now) {
@@ -243,17 +254,17 @@
   send_due_writes();
 }
 
-Json ShardLeader::on_peer(const std::string& path, const Json& body) {
-  // A cancellation is durable already, whoever says so and however late: taking note of it needs no valid
-  // lease. While records are being read, too: delegations that are not read yet are checked after they have
-  // been.
+Json ShardLeader::on_peer_request(const std::string& path, const Json& body) {
+  // A notified cancellation is already durable, whichever node sends the notice and however late it arrives,
+  // so acknowledging it does not require a valid lease. It is also acknowledged while records are being
+  // loaded: delegations that have not been read yet are checked after loading.
   if (path == peer_paths::kJobCancelled)
     return cancellation_.on_job_cancelled(CancellationNotice::from_json(body)).to_json();
   if (!model_.active() || committer_.state_silent() || !ctx_.exclusive_owner()) return TaskReply{}.to_json();
   try {
     return dispatch(path, body);
   } catch (const MalformedMessage& error) {
-    spdlog::debug("shard {}: {}", ctx_.shard, error.what());
+    spdlog::debug("shard {}: rejected a malformed request of another shard: {}", ctx_.shard, error.what());
     return {{"error", "malformed"}};
   }
 }
--- a/src/coordination/shard/unaccounted_tasks.cpp
+++ b/src/coordination/shard/unaccounted_tasks.cpp
@@ -16,19 +16,19 @@
 bool UnaccountedTasks::resolve(const std::string& ref, Decision decision) {
   const auto found = model_.unaccounted().find(ref);
   if (found == model_.unaccounted().end()) return false;
-  const auto known = model_.jobs().find(ref);
-  if (known == model_.jobs().end()) {
+  const auto open_job = model_.jobs().find(ref);
+  if (open_job == model_.jobs().end()) {
     resolve_without_description(ref, decision);
     return true;
   }
-  const JobPtr job = known->second;
+  const JobPtr job = open_job->second;
   if (job->is_over() || job->finishing || job->cancelling) return true;
   switch (decision) {
     case Decision::kDone:
       count_held_as_done(job);
       break;
     case Decision::kRerun:
-      start_held(job);
+      rerun_held(job);
       break;
     case Decision::kCancelled:
       job->cancel_waiters.push_back({Responder(), ctx_.env->now()});
@@ -39,34 +39,37 @@
   return true;
 }
 
-// The ending that follows is what makes it durable: until then an operator may have to say it again.
+// The decision becomes durable with the ending that follows. If this leader is lost before that, the operator
+// has to decide again.
 void UnaccountedTasks::count_held_as_done(const JobPtr& job) {
   const RangeSet held = model_.unaccounted().at(job->spec().ref).held_indices(job->spec().task_count);
-  spdlog::info("{}: {} unaccounted tasks count as done, by an operator", job->spec().ref, held.size());
+  spdlog::info("job {}: {} unaccounted tasks are marked done by an operator's decision", job->spec().ref,
+               held.size());
   for (const auto& [first, last] : held.ranges()) {
     for (int index = first; index < last; index++) model_.mark_done(job, index);
   }
   committer_.send_due_writes();
 }
 
-void UnaccountedTasks::start_held(const JobPtr& job) {
+void UnaccountedTasks::rerun_held(const JobPtr& job) {
   const std::string& ref = job->spec().ref;
   Transaction txn = committer_.guarded_transaction();
   txn.remove(keys::unaccounted(ctx_.shard, ref));
   committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [this, job](std::uint64_t) {
     const auto found = model_.unaccounted().find(job->spec().ref);
-    if (found == model_.unaccounted().end()) return;  // said twice
+    if (found == model_.unaccounted().end()) return;  // the decision was given twice
     RangeSet held = found->second.held_indices(job->spec().task_count);
     model_.unaccounted().erase(found);
     held.erase(job->done);
-    spdlog::info("{}: {} unaccounted tasks start again, by an operator", job->spec().ref, held.size());
+    spdlog::info("job {}: {} unaccounted tasks are run again by an operator's decision", job->spec().ref,
+                 held.size());
     if (job->is_over()) return;
     job->waiting.insert(held);
     model_.notify_work_waiting();
   });
 }
 
-// Nobody knows the job's description: it ends at once, or waits for its user to submit it again.
+// The job's description is lost, so the job either ends at once or waits until its user submits it again.
 void UnaccountedTasks::resolve_without_description(const std::string& ref, Decision decision) {
   const std::string key = keys::unaccounted(ctx_.shard, ref);
   Transaction txn = committer_.guarded_transaction();
@@ -81,7 +84,7 @@
             ending_json(wire_name(done ? JobPhase::kDone : JobPhase::kCancelled), 0));
     txn.remove(key);
   }
-  const auto written = [this, ref, decision](std::uint64_t) {
+  const auto on_written = [this, ref, decision](std::uint64_t) {
     const auto found = model_.unaccounted().find(ref);
     if (found == model_.unaccounted().end()) return;
     if (decision == Decision::kRerun) {
@@ -90,8 +93,9 @@
       model_.unaccounted().erase(found);
     }
   };
-  // (The description has come meanwhile: the operator says it again.)
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, written,
+  // The guard on the job record fails if the description has arrived in the meantime. The decision is then
+  // not applied, and the operator has to repeat it.
+  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, on_written,
                     [](const std::vector<std::string>&) { return true; });
 }
 
