--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -202,7 +202,7 @@
     }
     if (txn.then.size() + 1 > most) break;
     Json record = delegation_.delegation_record(*job).to_json();
-    if (static_cast<double>(dump_json(record).size()) > committer_.value_bytes())
+    if (static_cast<double>(dump_json(record).size()) > committer_.max_value_bytes())
       continue;  // it is only asked for then
     txn.guard(key, job->delegation_revision);
     txn.put(key, std::move(record));
--- a/src/coordination/shard/journal.cpp
+++ b/src/coordination/shard/journal.cpp
@@ -9,7 +9,7 @@
 namespace mothslip {
 
 namespace {
-constexpr double kJournalShare = 0.7;  // of the shard's share of changes, for the journal
+constexpr double kJournalBudgetFraction = 0.7;  // of the shard's share of changes, for the journal
 }  // namespace
 
 Journal::Journal(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -29,16 +29,16 @@
   segments_.at(number).done[name] = std::move(done);
 }
 
-void Journal::note_freed_placement(int segment) {
+void Journal::on_placement_freed(int segment) {
   pending_.has_freed_placements = true;
   mark_dirty(segment);
 }
 
-void Journal::note_completion() {
-  if (pending_.unrecorded_since == 0) pending_.unrecorded_since = ctx_.env->now();
+void Journal::on_completion_added() {
+  if (pending_.completions_unrecorded_since == 0) pending_.completions_unrecorded_since = ctx_.env->now();
 }
 
-void Journal::release_freed() {
+void Journal::release_freed_placements() {
   pending_.has_freed_placements = false;
   for (auto& [name, machine] : model_.machines()) {
     for (std::size_t i = 0; i < machine->placements.size();) {
@@ -55,10 +55,11 @@
 
 // The journal is written at most so often that the shard keeps to its share of the changes: sooner while
 // the budget is full (a quiet day), with more in each write while it is not. In seconds.
-double Journal::write_interval(std::size_t changes) const {
-  const double share = ctx_.state->write_rate() / ctx_.shard_count;
-  const double gap = static_cast<double>(changes) / std::max(0.1, kJournalShare * share);
-  return ctx_.state->writes_left() > 0.6 ? gap / 4 : gap;
+double Journal::write_interval_s(std::size_t changes) const {
+  const double shard_changes_per_s = ctx_.state->write_rate() / ctx_.shard_count;
+  const double interval_s =
+      static_cast<double>(changes) / std::max(0.1, kJournalBudgetFraction * shard_changes_per_s);
+  return ctx_.state->writes_left() > 0.6 ? interval_s / 4 : interval_s;
 }
 
 // Completions that the job's own record, or its ending, is about to hold need no write here. (Written all the
@@ -66,13 +67,13 @@
 // wrote its journal for minutes and did nothing else.)
 bool Journal::completions_due() {
   const double now = ctx_.env->now();
-  if (pending_.unrecorded_since == 0 ||
-      now - pending_.unrecorded_since < PendingJournalChanges::kCompletionDelayS)
+  if (pending_.completions_unrecorded_since == 0 ||
+      now - pending_.completions_unrecorded_since < PendingJournalChanges::kCompletionDelaySeconds)
     return false;
   if (std::any_of(model_.jobs().begin(), model_.jobs().end(),
                   [](const auto& item) { return JournalWriteBuilder::needs_journal_entry(*item.second); }))
     return true;
-  pending_.unrecorded_since = now;
+  pending_.completions_unrecorded_since = now;
   return false;
 }
 
@@ -84,7 +85,7 @@
 void Journal::arm_write_timer(double delay_s) {
   if (write_timer_armed_) return;
   write_timer_armed_ = true;
-  ctx_.env->after(delay_s, alive_([this] {
+  ctx_.env->after(delay_s, callback_guard_([this] {
                     write_timer_armed_ = false;
                     committer_.send_due_writes();
                   }));
@@ -123,11 +124,11 @@
 }
 
 void Journal::add_segments_to_transaction(JournalWrite& write) {
-  for (const int number : write.puts) {
+  for (const int number : write.written_segments) {
     write.txn.guard(keys::segment(ctx_.shard, number), segments_.at(number).revision);
     write.txn.put(keys::segment(ctx_.shard, number), segments_.record(number).to_json());
   }
-  for (const int number : write.removes) {
+  for (const int number : write.deleted_segments) {
     write.txn.guard(keys::segment(ctx_.shard, number), segments_.at(number).revision);
     write.txn.remove(keys::segment(ctx_.shard, number));
   }
@@ -138,12 +139,12 @@
 void Journal::list_ended_placements(JournalWrite& write) const {
   for (const auto& [name, machine] : model_.machines()) {
     for (const Placement& placement : machine->placements) {
-      if (write.puts.count(placement.segment) == 0) continue;
+      if (write.written_segments.count(placement.segment) == 0) continue;
       const PlacementRef ref{name, placement.attempt, placement.index, placement.segment};
       if (placement.stage == Placement::Stage::kFreeing) {
-        write.removed.push_back(ref);
+        write.removed_placements.push_back(ref);
       } else if (placement.job->attempt.stopping) {
-        write.stops.push_back(ref);
+        write.stopping_placements.push_back(ref);
       }
     }
   }
@@ -155,12 +156,12 @@
     write.txn.guard(delegation.key, 0);
     write.txn.put(delegation.key, record);
   }
-  for (const auto& [key, revision] : write.job_records) write.txn.guard(key, revision);
-  for (const auto& [key, fencing_token] : write.delegate_shards) write.txn.guard(key, fencing_token);
+  for (const auto& [key, revision] : write.job_revisions) write.txn.guard(key, revision);
+  for (const auto& [key, fencing_token] : write.delegate_fencing_tokens) write.txn.guard(key, fencing_token);
   list_ended_placements(write);
-  next_write_at_ = ctx_.env->now() + write_interval(write.changes());
+  next_write_at_ = ctx_.env->now() + write_interval_s(write.change_count());
   model_.counters().journal_writes++;
-  model_.counters().journal_changes += write.changes();
+  model_.counters().journal_changes += write.change_count();
   const auto shared = std::make_shared<JournalWrite>(std::move(write));
   committer_.commit(
       RequestPriority::kLaunch, RecordCommitter::kJournalSlot, shared->txn,
--- a/src/coordination/shard/journal.hpp
+++ b/src/coordination/shard/journal.hpp
@@ -35,15 +35,15 @@
   void add_loaded_completions(int number, const std::string& name, RangeSet done);
 
   // A task was placed; its placement is in no segment yet.
-  void note_new_placement() { pending_.has_new_placements = true; }
+  void on_placement_added() { pending_.has_new_placements = true; }
   // A placement recorded in this segment (0: in none yet) has ended without completing.
-  void note_freed_placement(int segment);
+  void on_placement_freed(int segment);
   // The segment has to be written again.
   void mark_dirty(int segment) { segments_.mark_dirty(segment); }
   // A task has completed, which no record holds yet.
-  void note_completion();
+  void on_completion_added();
   // The state service takes smaller values than before.
-  void on_values_shrunk() { segments_.on_values_shrunk(); }
+  void on_value_limit_reduced() { segments_.on_value_limit_reduced(); }
   // The delegation goes with the next write that has room for it.
   void add_delegation(NewDelegation delegation) { pending_.delegations.push_back(std::move(delegation)); }
   [[nodiscard]] std::size_t unwritten_delegation_count() const { return pending_.delegations.size(); }
@@ -51,14 +51,14 @@
 
   // What was freed before it was recorded, or belongs to a job that is durably cancelled, needs no write: no
   // leader would start it again. The rest goes once its segment is written without it.
-  void release_freed();
+  void release_freed_placements();
   // Writes what is new, if the rate of writes allows it now; false: nothing was sent.
   bool write_journal();
   // The job's own record holds these completions of a job or delegation now.
   void on_completions_recorded(const JobPtr& job, const std::string& name, const RangeSet& done);
 
  private:
-  [[nodiscard]] double write_interval(std::size_t changes) const;
+  [[nodiscard]] double write_interval_s(std::size_t changes) const;
   [[nodiscard]] bool completions_due();
   [[nodiscard]] bool write_due();
   void arm_write_timer(double delay_s);
@@ -70,7 +70,7 @@
   const ShardContext& ctx_;
   ShardModel& model_;
   RecordCommitter& committer_;
-  CallbackGuard alive_;
+  CallbackGuard callback_guard_;
   PendingJournalChanges pending_;
   JournalSegments segments_;
   JournalWriteBuilder builder_;
--- a/src/coordination/shard/journal_outcome.cpp
+++ b/src/coordination/shard/journal_outcome.cpp
@@ -21,28 +21,28 @@
       pending_(pending) {}
 
 void JournalOutcome::on_written(const JournalWrite& write, std::uint64_t revision) {
-  for (const int number : write.puts) segments_.at(number).revision = revision;
-  for (const int number : write.removes) segments_.erase(number);
+  for (const int number : write.written_segments) segments_.at(number).revision = revision;
+  for (const int number : write.deleted_segments) segments_.erase(number);
   for (const auto& [delegation, record] : write.delegations) {
     const auto delegated = delegation.job->delegated.find(delegation.key);
     if (delegated != delegation.job->delegated.end())
       delegated->second.revision = std::max(delegated->second.revision, revision);
   }
   for (const auto& [job, indices] : write.completions) job->mark_saved(indices);
-  gangs_.gangs_written(set_recorded(write));
-  const std::set<JobPtr> stopped = set_stops_recorded(write);
-  drop_removed(write);
+  gangs_.gangs_written(mark_recorded(write));
+  const std::set<JobPtr> stopped = mark_stops_recorded(write);
+  drop_removed_placements(write);
   gangs_.stops_written(stopped);
-  for (const PlacementRef& ref : write.added) {
+  for (const PlacementRef& ref : write.added_placements) {
     const auto it = model_.machines().find(ref.machine);
     if (it != model_.machines().end()) commands_.answer(*it->second);
   }
 }
 
 // Returns the gangs among the jobs.
-std::set<JobPtr> JournalOutcome::set_recorded(const JournalWrite& write) {
+std::set<JobPtr> JournalOutcome::mark_recorded(const JournalWrite& write) {
   std::set<JobPtr> gangs;
-  for (const PlacementRef& ref : write.added) {
+  for (const PlacementRef& ref : write.added_placements) {
     Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     if (placement->stage == Placement::Stage::kNew) placement->stage = Placement::Stage::kRecorded;
@@ -52,9 +52,9 @@
 }
 
 // Returns the gangs that are being stopped.
-std::set<JobPtr> JournalOutcome::set_stops_recorded(const JournalWrite& write) {
+std::set<JobPtr> JournalOutcome::mark_stops_recorded(const JournalWrite& write) {
   std::set<JobPtr> stopped;
-  for (const PlacementRef& ref : write.stops) {
+  for (const PlacementRef& ref : write.stopping_placements) {
     Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     placement->stop_recorded = true;
@@ -63,8 +63,8 @@
   return stopped;
 }
 
-void JournalOutcome::drop_removed(const JournalWrite& write) {
-  for (const PlacementRef& ref : write.removed) {
+void JournalOutcome::drop_removed_placements(const JournalWrite& write) {
+  for (const PlacementRef& ref : write.removed_placements) {
     const auto it = model_.machines().find(ref.machine);
     if (it == model_.machines().end()) continue;
     const auto& placements = it->second->placements;
@@ -85,14 +85,14 @@
     if (!explains_refusal(write, key, delegated_here)) return false;
   }
   for (const JobPtr& job : delegated_here) delegation_.drop_delegated(job);
-  segments_.undo_created(write);
+  segments_.undo_created_segments(write);
   undo_delegations(write, failed_keys);
-  segments_.undo_moved(write);
-  undo_added(write, failed_keys);
-  mark_segments(write);
+  segments_.undo_moved_placements(write);
+  undo_added_placements(write, failed_keys);
+  mark_segments_for_rewrite(write);
   pending_.has_new_placements = true;
-  if (!write.completions.empty() && pending_.unrecorded_since == 0)
-    pending_.unrecorded_since = ctx_.env->now() - PendingJournalChanges::kCompletionDelayS;
+  if (!write.completions.empty() && pending_.completions_unrecorded_since == 0)
+    pending_.completions_unrecorded_since = ctx_.env->now() - PendingJournalChanges::kCompletionDelaySeconds;
   return true;
 }
 
@@ -109,13 +109,13 @@
   // A job that is no longer here has ended, and its new placements with it.
   const std::string own_records = keys::job_records(ctx_.shard);
   explained |= key.rfind(own_records, 0) == 0 && model_.jobs().count(key.substr(own_records.size())) == 0;
-  explained |= write.delegate_shards.count(key) > 0;  // the leader that was to take tasks was deposed
+  explained |= write.delegate_fencing_tokens.count(key) > 0;  // the leader that was to take tasks was deposed
   return explained;
 }
 
 void JournalOutcome::undo_delegations(const JournalWrite& write, const std::set<std::string>& failed) {
   for (const auto& [delegation, record] : write.delegations) {
-    const bool revoked = failed.count(keys::shard_owner(delegation.to)) > 0 ||
+    const bool revoked = failed.count(keys::shard_owner(delegation.target_shard)) > 0 ||
                          failed.count(keys::job_record(ctx_.shard, delegation.job->spec().ref)) > 0;
     if (revoked) {
       builder_.revoke_delegation(delegation);
@@ -125,8 +125,8 @@
   }
 }
 
-void JournalOutcome::undo_added(const JournalWrite& write, const std::set<std::string>& failed) {
-  for (const PlacementRef& ref : write.added) {
+void JournalOutcome::undo_added_placements(const JournalWrite& write, const std::set<std::string>& failed) {
+  for (const PlacementRef& ref : write.added_placements) {
     Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     placement->segment = 0;
@@ -137,13 +137,13 @@
 }
 
 // The segments that the write would have changed have to be written (again).
-void JournalOutcome::mark_segments(const JournalWrite& write) {
-  for (const PlacementRef& ref : write.removed) {
-    if (write.created.count(ref.segment) == 0) segments_.at(ref.segment).dirty = true;
+void JournalOutcome::mark_segments_for_rewrite(const JournalWrite& write) {
+  for (const PlacementRef& ref : write.removed_placements) {
+    if (write.created_segments.count(ref.segment) == 0) segments_.at(ref.segment).dirty = true;
   }
-  for (const int number : write.puts) {
+  for (const int number : write.written_segments) {
     // (Those that were split may be too large again: the next write finds out.)
-    if (write.created.count(number) == 0) segments_.recheck_size(number);
+    if (write.created_segments.count(number) == 0) segments_.recheck_size(number);
   }
   segments_.at(JournalSegments::kActiveSegment).dirty = true;
 }
--- a/src/coordination/shard/journal_outcome.hpp
+++ b/src/coordination/shard/journal_outcome.hpp
@@ -37,14 +37,14 @@
   bool on_refused(const JournalWrite& write, const std::vector<std::string>& failed);
 
  private:
-  [[nodiscard]] std::set<JobPtr> set_recorded(const JournalWrite& write);
-  [[nodiscard]] std::set<JobPtr> set_stops_recorded(const JournalWrite& write);
-  void drop_removed(const JournalWrite& write);
+  [[nodiscard]] std::set<JobPtr> mark_recorded(const JournalWrite& write);
+  [[nodiscard]] std::set<JobPtr> mark_stops_recorded(const JournalWrite& write);
+  void drop_removed_placements(const JournalWrite& write);
   [[nodiscard]] bool explains_refusal(const JournalWrite& write, const std::string& key,
                                       std::set<JobPtr>& delegated_here) const;
   void undo_delegations(const JournalWrite& write, const std::set<std::string>& failed);
-  void undo_added(const JournalWrite& write, const std::set<std::string>& failed);
-  void mark_segments(const JournalWrite& write);
+  void undo_added_placements(const JournalWrite& write, const std::set<std::string>& failed);
+  void mark_segments_for_rewrite(const JournalWrite& write);
 
   const ShardContext& ctx_;
   ShardModel& model_;
--- a/src/coordination/shard/journal_segments.hpp
+++ b/src/coordination/shard/journal_segments.hpp
@@ -29,7 +29,7 @@
   // The segment that takes what is new. Every write of the journal puts it, so that of two copies of one
   // write, however late the second, only one can succeed.
   static constexpr int kActiveSegment = 1;
-  static constexpr std::size_t kFrameBytes = 20;  // of an empty segment's record
+  static constexpr std::size_t kEmptySegmentBytes = 20;  // of an empty segment's record
 
   JournalSegments(const ShardContext& context, ShardModel& model, RecordCommitter& committer);
 
@@ -45,16 +45,16 @@
   void mark_dirty(int number);
   [[nodiscard]] bool any_dirty() const;
   // The state service takes smaller values than before: finds the segments that have become too large.
-  void on_values_shrunk();
+  void on_value_limit_reduced();
   // The write was refused: the segment may be so large that it has to be split (again).
   void recheck_size(int number);
   // The job's own record holds these completions of a job or delegation now.
   void erase_completions(const std::string& name, const RangeSet& done);
 
   // Bytes to which a segment may be filled.
-  [[nodiscard]] std::size_t limit() const;
+  [[nodiscard]] std::size_t fill_limit_bytes() const;
   // Upper bound of the size of the segment's record, in bytes.
-  [[nodiscard]] std::size_t bytes(int number) const;
+  [[nodiscard]] std::size_t record_bytes(int number) const;
   // The segment's record as it is to be written; the segment must exist.
   [[nodiscard]] SegmentRecord record(int number) const;
 
@@ -70,13 +70,13 @@
   // into the active one. Only along with other changes, so that it costs no transaction.
   void compact(JournalWrite& write);
   // The write was refused: what it moved goes back to where it was, and the segments it created are gone.
-  void undo_created(const JournalWrite& write);
-  void undo_moved(const JournalWrite& write);
+  void undo_created_segments(const JournalWrite& write);
+  void undo_moved_placements(const JournalWrite& write);
 
  private:
   // Which of several segments takes what of the one that is split.
   struct SegmentSplit {
-    std::size_t segments = 1;
+    std::size_t segment_count = 1;
     std::vector<std::pair<PlacementRef, std::size_t>> placements;
     std::vector<std::pair<std::string, std::size_t>> completions;
   };
@@ -84,7 +84,7 @@
     int number = 0;
     std::size_t bytes = 0;
   };
-  [[nodiscard]] SegmentSplit plan_split(int number, std::size_t limit) const;
+  [[nodiscard]] SegmentSplit plan_split(int number, std::size_t limit_bytes) const;
   void apply_split(JournalWrite& write, int number, const SegmentSplit& split);
   bool seal_active(JournalWrite& write);
   void move_placements(JournalWrite& write, int from, int to);
@@ -95,7 +95,7 @@
   ShardModel& model_;
   RecordCommitter& committer_;
   std::map<int, JournalSegment> segments_;
-  int last_number_ = kActiveSegment;  // the highest number in use
+  int highest_number_ = kActiveSegment;  // the highest number in use
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/journal_write.hpp
+++ b/src/coordination/shard/journal_write.hpp
@@ -19,21 +19,21 @@
 struct NewDelegation {
   JobPtr job;
   std::string key;
-  int to = 0;                          // shard
-  std::uint64_t to_fencing_token = 0;  // of its leader
+  int target_shard = 0;                    // shard
+  std::uint64_t target_fencing_token = 0;  // of its leader
 };
 
 // What has changed in memory and is not in the journal yet.
 struct PendingJournalChanges {
   // Completions are kept by the workers until they are acknowledged: writing them a little later loses
   // nothing.
-  static constexpr double kCompletionDelayS = 0.8;
+  static constexpr double kCompletionDelaySeconds = 0.8;
 
   std::deque<NewDelegation> delegations;
   bool has_new_placements = false;
   bool has_freed_placements = false;
-  double unrecorded_since = 0;       // env time of the oldest completion that is not durable; 0: none
-  std::string last_written_machine;  // the machine whose new placements were written last
+  double completions_unrecorded_since = 0;  // env time of the oldest completion that is not durable; 0: none
+  std::string last_written_machine;         // the machine whose new placements were written last
 };
 
 // A placement as a write of the journal names it: the placement itself may be gone by the time of the answer.
@@ -49,26 +49,28 @@
 struct JournalWrite {
   Transaction txn;
   std::size_t max_changes = 0;
-  std::size_t max_guards = 0;  // conditions of the transaction
-  std::set<int> puts;          // segments that are written
-  std::set<int> removes;       // segments that are deleted
+  std::size_t max_guards = 0;      // conditions of the transaction
+  std::set<int> written_segments;  // segments that are written
+  std::set<int> deleted_segments;  // segments that are deleted
   // Revisions of the job records of the jobs placed anew: a cancellation must not pass unseen.
-  std::map<std::string, std::uint64_t> job_records;
-  std::map<int, std::size_t> bytes;  // upper bound of the size of a segment's record
-  std::vector<PlacementRef> added;
-  std::vector<PlacementRef> removed;
-  std::vector<PlacementRef> moved;  // to another segment
-  std::vector<PlacementRef> stops;  // of gangs, recorded as being stopped
+  std::map<std::string, std::uint64_t> job_revisions;
+  std::map<int, std::size_t> segment_bytes;  // upper bound of the size of a segment's record
+  std::vector<PlacementRef> added_placements;
+  std::vector<PlacementRef> removed_placements;
+  std::vector<PlacementRef> moved_placements;     // to another segment
+  std::vector<PlacementRef> stopping_placements;  // of gangs, recorded as being stopped
   std::vector<std::pair<JobPtr, RangeSet>> completions;
-  std::vector<std::pair<NewDelegation, Json>> delegations;  // with their records
-  std::map<std::string, std::uint64_t> delegate_shards;     // fencing tokens by the key of the shard
-  std::map<int, int> created;  // new segments, and the segment of which each took something over
+  std::vector<std::pair<NewDelegation, Json>> delegations;       // with their records
+  std::map<std::string, std::uint64_t> delegate_fencing_tokens;  // fencing tokens by the key of the shard
+  std::map<int, int> created_segments;  // new segments, and the segment of which each took something over
 
   // Changes of the transaction as it stands.
-  [[nodiscard]] std::size_t changes() const { return puts.size() + removes.size() + delegations.size(); }
+  [[nodiscard]] std::size_t change_count() const {
+    return written_segments.size() + deleted_segments.size() + delegations.size();
+  }
   // Conditions of the transaction as it stands, with the one on the leader's fencing token.
-  [[nodiscard]] std::size_t guards() const {
-    return 1 + changes() + job_records.size() + delegate_shards.size();
+  [[nodiscard]] std::size_t guard_count() const {
+    return 1 + change_count() + job_revisions.size() + delegate_fencing_tokens.size();
   }
 };
 
--- a/src/coordination/shard/journal_write_builder.cpp
+++ b/src/coordination/shard/journal_write_builder.cpp
@@ -53,22 +53,22 @@
         gangs[placement.job].emplace_back(machine.get(), &placement);
     }
   }
-  std::set<JobPtr> whole;
+  std::set<JobPtr> complete_gangs;
   for (const auto& [job, placements] : gangs) {
     const std::size_t bytes = entry_bytes(placements);
-    if (bytes + JournalSegments::kFrameBytes > segments_.limit()) continue;
-    whole.insert(job);
-    if (write.guards() + 3 > write.max_guards || !segments_.reserve(write, bytes)) {
+    if (bytes + JournalSegments::kEmptySegmentBytes > segments_.fill_limit_bytes()) continue;
+    complete_gangs.insert(job);
+    if (write.guard_count() + 3 > write.max_guards || !segments_.reserve(write, bytes)) {
       pending_.has_new_placements = true;
       continue;
     }
-    write.job_records[job_record_key(*job)] = job->job_revision;
+    write.job_revisions[job_record_key(*job)] = job->job_revision;
     for (const auto& [machine, placement] : placements) {
       placement->segment = JournalSegments::kActiveSegment;
-      write.added.push_back({machine->name, placement->attempt, placement->index, 0});
+      write.added_placements.push_back({machine->name, placement->attempt, placement->index, 0});
     }
   }
-  return whole;
+  return complete_gangs;
 }
 
 // Where a write could not take all, the next begins behind it.
@@ -90,7 +90,7 @@
   pending_.has_new_placements = false;
   const std::set<JobPtr> gangs = add_gangs(write);
   for (Machine* machine : machines) {
-    if (!add_machine(write, *machine, gangs)) {
+    if (!add_machine_placements(write, *machine, gangs)) {
       pending_.has_new_placements = true;
       return;
     }
@@ -99,30 +99,31 @@
 }
 
 // The new placements on the machine but for those of the gangs; false: the write is full.
-bool JournalWriteBuilder::add_machine(JournalWrite& write, Machine& machine, const std::set<JobPtr>& gangs) {
-  bool entered = false;
+bool JournalWriteBuilder::add_machine_placements(JournalWrite& write, Machine& machine,
+                                                 const std::set<JobPtr>& gangs) {
+  bool machine_has_entry = false;
   for (Placement& placement : machine.placements) {
     if (!is_unrecorded(placement) || gangs.count(placement.job) > 0) continue;
     const std::string job_record = job_record_key(*placement.job);
-    const std::size_t new_guards = write.job_records.count(job_record) > 0 ? 0 : 1;
-    if (write.guards() + new_guards + 2 > write.max_guards) return false;
-    const std::size_t created = write.created.size();
-    const std::size_t bytes = placement_bytes(placement) + (entered ? 0 : machine_bytes(machine));
+    const std::size_t new_guards = write.job_revisions.count(job_record) > 0 ? 0 : 1;
+    if (write.guard_count() + new_guards + 2 > write.max_guards) return false;
+    const std::size_t created_before = write.created_segments.size();
+    const std::size_t bytes = placement_bytes(placement) + (machine_has_entry ? 0 : machine_bytes(machine));
     if (!segments_.reserve(write, bytes)) return false;
     // The active segment was sealed in between: the machine needs an entry in the new one, too.
-    if (entered && write.created.size() != created)
-      write.bytes[JournalSegments::kActiveSegment] += machine_bytes(machine);
-    write.job_records[job_record] = placement.job->job_revision;
-    entered = true;
+    if (machine_has_entry && write.created_segments.size() != created_before)
+      write.segment_bytes[JournalSegments::kActiveSegment] += machine_bytes(machine);
+    write.job_revisions[job_record] = placement.job->job_revision;
+    machine_has_entry = true;
     placement.segment = JournalSegments::kActiveSegment;
-    write.added.push_back({machine.name, placement.attempt, placement.index, 0});
+    write.added_placements.push_back({machine.name, placement.attempt, placement.index, 0});
   }
   return true;
 }
 
 void JournalWriteBuilder::add_delegations(JournalWrite& write) {
-  while (!pending_.delegations.empty() && write.changes() < write.max_changes &&
-         write.guards() + 3 <= write.max_guards) {
+  while (!pending_.delegations.empty() && write.change_count() < write.max_changes &&
+         write.guard_count() + 3 <= write.max_guards) {
     NewDelegation delegation = std::move(pending_.delegations.front());
     pending_.delegations.pop_front();
     const Job& job = *delegation.job;
@@ -138,8 +139,9 @@
     record.job = job.record;
     record.succeeded_elsewhere = !job.done.empty();
     record.range = delegated->second.range;
-    write.job_records[keys::job_record(ctx_.shard, job.spec().ref)] = job.job_revision;
-    write.delegate_shards[keys::shard_owner(delegation.to)] = delegation.to_fencing_token;
+    write.job_revisions[keys::job_record(ctx_.shard, job.spec().ref)] = job.job_revision;
+    write.delegate_fencing_tokens[keys::shard_owner(delegation.target_shard)] =
+        delegation.target_fencing_token;
     write.delegations.emplace_back(std::move(delegation), record.to_json());
   }
 }
@@ -151,31 +153,31 @@
 }
 
 void JournalWriteBuilder::add_completions(JournalWrite& write) {
-  if (pending_.unrecorded_since == 0) return;
-  const std::size_t limit = segments_.limit();
-  bool incomplete = false;
+  if (pending_.completions_unrecorded_since == 0) return;
+  const std::size_t limit_bytes = segments_.fill_limit_bytes();
+  bool has_remaining = false;
   for (const auto& [name, job] : model_.jobs()) {
     if (!needs_journal_entry(*job)) {
-      incomplete |= !job->unsaved.empty() && (job->fold_due || job->progress_inflight);
+      has_remaining |= !job->unsaved.empty() && (job->fold_due || job->progress_inflight);
       continue;
     }
     const std::size_t bytes = completion_bytes(name, job->unsaved) + 1;
-    if (bytes > limit / 4) {
+    if (bytes > limit_bytes / 4) {
       job->fold_due = true;
-      incomplete = true;
+      has_remaining = true;
       continue;
     }
     if (!segments_.reserve(write, bytes)) {
-      incomplete = true;
+      has_remaining = true;
       break;
     }
     RangeSet& recorded = segments_.at(JournalSegments::kActiveSegment).done[name];
     recorded.insert(job->unsaved);
     // Many scattered completions of one job are cheaper in its own record.
-    if (recorded.text_bytes() > limit / 8) job->fold_due = true;
+    if (recorded.text_bytes() > limit_bytes / 8) job->fold_due = true;
     write.completions.emplace_back(job, job->unsaved);
   }
-  pending_.unrecorded_since = incomplete ? ctx_.env->now() : 0;
+  pending_.completions_unrecorded_since = has_remaining ? ctx_.env->now() : 0;
 }
 
 }  // namespace mothslip
--- a/src/coordination/shard/journal_write_builder.hpp
+++ b/src/coordination/shard/journal_write_builder.hpp
@@ -33,7 +33,7 @@
 
  private:
   [[nodiscard]] std::vector<Machine*> machines_with_new_placements();
-  bool add_machine(JournalWrite& write, Machine& machine, const std::set<JobPtr>& gangs);
+  bool add_machine_placements(JournalWrite& write, Machine& machine, const std::set<JobPtr>& gangs);
   std::set<JobPtr> add_gangs(JournalWrite& write);
 
   const ShardContext& ctx_;
--- a/src/coordination/shard/progress_records.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -10,8 +10,8 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMergeDelegations = 3;  // completed delegations worth a transaction of their own
-constexpr double kProgressFill = 0.85;        // of the value size
+constexpr std::size_t kMinDelegationsToMerge = 3;  // completed delegations worth a transaction of their own
+constexpr double kProgressFillFraction = 0.85;     // of the value size
 // Tasks that a further record covers: however scattered, their text takes less than 1 KiB.
 constexpr int kTasksPerChunk = 512;
 }  // namespace
@@ -28,18 +28,18 @@
 }
 
 // The chunk of tasks whose completions take most of the main record.
-int ProgressRecords::longest_chunk(const Job& job, const RangeSet& main) {
-  int longest = 0;
-  std::size_t longest_ranges = 0;
+int ProgressRecords::most_fragmented_chunk(const Job& job, const RangeSet& main) {
+  int most_fragmented = 0;
+  std::size_t most_ranges = 0;
   const int count = (job.spec().task_count + kTasksPerChunk - 1) / kTasksPerChunk;
   for (int number = 0; number < count; number++) {
     const std::size_t ranges =
         main.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk).range_count();
-    if (ranges <= longest_ranges) continue;
-    longest_ranges = ranges;
-    longest = number;
+    if (ranges <= most_ranges) continue;
+    most_ranges = ranges;
+    most_fragmented = number;
   }
-  return longest;
+  return most_fragmented;
 }
 
 // Puts what is done of the job into its records, or a first part of it.
@@ -49,16 +49,16 @@
   txn.guard(keys::job_record(ctx_.shard, ref), job.job_revision);
   const RangeSet main = main_progress(job);
   job.fold_due = false;
-  if (static_cast<double>(main.text_bytes()) <= kProgressFill * committer_.value_bytes()) {
+  if (static_cast<double>(main.text_bytes()) <= kProgressFillFraction * committer_.max_value_bytes()) {
     txn.guard(keys::progress_record(ctx_.shard, ref), job.progress_revision);
     txn.put(keys::progress_record(ctx_.shard, ref), {{"done", main.to_text()}});
-    return {ProgressWrite::kMain, job.done};
+    return {ProgressWrite::kMainRecord, job.done};
   }
-  const int number = longest_chunk(job, main);
+  const int number = most_fragmented_chunk(job, main);
   RangeSet slice = job.done.slice(number * kTasksPerChunk, (number + 1) * kTasksPerChunk);
-  const auto known = job.progress_chunks.find(number);
+  const auto existing = job.progress_chunks.find(number);
   txn.guard(keys::progress_chunk(ctx_.shard, ref, number),
-            known == job.progress_chunks.end() ? 0 : known->second.revision);
+            existing == job.progress_chunks.end() ? 0 : existing->second.revision);
   txn.put(keys::progress_chunk(ctx_.shard, ref, number), {{"done", slice.to_text()}});
   job.fold_due = true;  // the rest follows
   return {number, std::move(slice)};
@@ -68,23 +68,23 @@
 bool ProgressRecords::progress_due(const Job& job, std::size_t complete_delegations,
                                    std::size_t max_changes) const {
   if (job.complete()) return completion_.changes_to_end(job) > max_changes;
-  return job.fold_due || complete_delegations >= kMergeDelegations;
+  return job.fold_due || complete_delegations >= kMinDelegationsToMerge;
 }
 
 // Removes the completed delegations whose tasks the written progress holds; returns their keys.
 std::vector<std::string> ProgressRecords::remove_merged_delegations(Transaction& txn, const Job& job,
                                                                     const RangeSet& written,
                                                                     std::size_t max_changes) {
-  std::vector<std::string> merged;
+  std::vector<std::string> merged_delegations;
   for (const auto& [key, delegated] : job.delegated) {
     RangeSet missing = delegated.done;
     missing.erase(written);
     if (!delegated.complete() || !missing.empty() || txn.then.size() + 1 > max_changes) continue;
     txn.guard(key, delegated.revision);
     txn.remove(key);
-    merged.push_back(key);
+    merged_delegations.push_back(key);
   }
-  return merged;
+  return merged_delegations;
 }
 
 bool ProgressRecords::commit_progress() {
@@ -95,22 +95,22 @@
     if (job->delegated_here() || job->finishing || job->cancelling || job->progress_inflight ||
         job->record.cancelled)
       continue;
-    const auto complete =
+    const auto complete_delegations =
         static_cast<std::size_t>(std::count_if(job->delegated.begin(), job->delegated.end(),
                                                [](const auto& item) { return item.second.complete(); }));
-    if (!progress_due(*job, complete, max_changes)) continue;
-    if (txn.then.size() + 1 + (complete > 0 ? 1 : 0) > max_changes) break;
+    if (!progress_due(*job, complete_delegations, max_changes)) continue;
+    if (txn.then.size() + 1 + (complete_delegations > 0 ? 1 : 0) > max_changes) break;
     JobProgress progress;
     progress.job = job;
     progress.write = add_progress(txn, *job);
-    progress.merged = remove_merged_delegations(txn, *job, progress.write.done, max_changes);
+    progress.merged_delegations = remove_merged_delegations(txn, *job, progress.write.done, max_changes);
     job->progress_inflight = true;
     written.push_back(std::move(progress));
   }
   if (written.empty()) return false;
-  const auto done = [this, written](std::uint64_t revision) { on_progress_written(written, revision); };
+  const auto on_done = [this, written](std::uint64_t revision) { on_progress_written(written, revision); };
   // A cancellation came in between: what belongs to other jobs is tried again.
-  const auto conflict = [this, written](const std::vector<std::string>& failed) {
+  const auto on_conflict = [this, written](const std::vector<std::string>& failed) {
     if (!completion_.only_cancelled(failed)) return false;
     for (const JobProgress& progress : written) {
       progress.job->progress_inflight = false;
@@ -118,7 +118,7 @@
     }
     return true;
   };
-  committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn, done, conflict);
+  committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn, on_done, on_conflict);
   return true;
 }
 
@@ -127,8 +127,8 @@
     Job& job = *progress.job;
     const ProgressWrite& write = progress.write;
     job.progress_inflight = false;
-    for (const std::string& key : progress.merged) job.delegated.erase(key);
-    if (write.chunk == ProgressWrite::kMain) {
+    for (const std::string& key : progress.merged_delegations) job.delegated.erase(key);
+    if (write.chunk == ProgressWrite::kMainRecord) {
       job.progress_revision = revision;
     } else {
       job.progress_chunks[write.chunk] = {revision, write.done};
--- a/src/coordination/shard/progress_records.hpp
+++ b/src/coordination/shard/progress_records.hpp
@@ -43,18 +43,18 @@
 
  private:
   struct ProgressWrite {
-    static constexpr int kMain = -1;
-    int chunk = kMain;  // number of the further record, or the main one
-    RangeSet done;      // what is durable with it
+    static constexpr int kMainRecord = -1;
+    int chunk = kMainRecord;  // number of the further record, or the main one
+    RangeSet done;            // what is durable with it
   };
   // What a transaction writes of one job.
   struct JobProgress {
     JobPtr job;
     ProgressWrite write;
-    std::vector<std::string> merged;  // keys of the delegations that are removed with it
+    std::vector<std::string> merged_delegations;  // keys of the delegations that are removed with it
   };
   [[nodiscard]] static RangeSet main_progress(const Job& job);
-  [[nodiscard]] static int longest_chunk(const Job& job, const RangeSet& main);
+  [[nodiscard]] static int most_fragmented_chunk(const Job& job, const RangeSet& main);
   [[nodiscard]] ProgressWrite add_progress(Transaction& txn, Job& job) const;
   [[nodiscard]] bool progress_due(const Job& job, std::size_t complete_delegations,
                                   std::size_t max_changes) const;
--- a/src/coordination/shard/record_committer.hpp
+++ b/src/coordination/shard/record_committer.hpp
@@ -17,20 +17,20 @@
 class RecordCommitter {
  public:
   // Kinds of transactions; of each only so many are in flight at a time.
-  enum Slot { kCancelSlot = 0, kJournalSlot, kDoneSlot, kRestSlot, kSlots };
+  enum Slot { kCancelSlot = 0, kJournalSlot, kDoneSlot, kRestSlot, kSlotCount };
   // Called when a transaction is refused, with the keys whose guards failed. May settle failed guards on keys
   // of others and return true; otherwise the shard is given up.
   using ConflictHandler = std::function<bool(const std::vector<std::string>& failed)>;
   struct Hooks {
-    std::function<void()> send_due_writes;  // room for another transaction, or something to write
-    std::function<void()> values_shrunk;    // the state service takes smaller values than before
+    std::function<void()> send_due_writes;      // room for another transaction, or something to write
+    std::function<void()> value_limit_reduced;  // the state service takes smaller values than before
   };
   RecordCommitter(const ShardContext& context, Hooks hooks);
 
   // Whether another transaction of this kind may be sent.
-  [[nodiscard]] bool has_room(Slot slot) const { return inflight_[slot] < kSlotLimit[slot]; }
+  [[nodiscard]] bool has_room(Slot slot) const { return inflight_[slot] < kMaxInFlight[slot]; }
   // The largest value that a record may have, in bytes.
-  [[nodiscard]] double value_bytes() const { return value_bytes_; }
+  [[nodiscard]] double max_value_bytes() const { return max_value_bytes_; }
   // Sends whatever is due and may be sent.
   void send_due_writes() { hooks_.send_due_writes(); }
 
@@ -39,25 +39,25 @@
   // Repeats the transaction until its outcome is certain; `done` gets the revision of the change. Where it is
   // refused and `conflict` does not settle that, the shard is given up.
   void commit(RequestPriority priority, int slot, const Transaction& txn,
-              std::function<void(std::uint64_t)> done, ConflictHandler conflict = nullptr);
+              std::function<void(std::uint64_t)> on_done, ConflictHandler on_conflict = nullptr);
   // No transaction has been answered for a while.
   [[nodiscard]] bool state_silent() const;
 
  private:
   struct Write;
-  static constexpr int kSlotLimit[kSlots] = {2, 1, 2, 1};
+  static constexpr int kMaxInFlight[kSlotCount] = {2, 1, 2, 1};
   void try_commit(const std::shared_ptr<Write>& write);
   void on_refused(const std::shared_ptr<Write>& write, const StateReply& reply);
-  bool shrink_writes();
-  void find_revision(const std::shared_ptr<Write>& write, std::size_t at, std::uint64_t revision);
+  bool reduce_write_sizes();
+  void find_revision(const std::shared_ptr<Write>& write, std::size_t effect_index, std::uint64_t revision);
   void settle(const Write& write, std::uint64_t revision);
 
   const ShardContext& ctx_;
   Hooks hooks_;
-  CallbackGuard alive_;
-  double value_bytes_;  // the state service takes no larger value
-  int inflight_[kSlots] = {};
-  double stuck_since_ = 0;  // seconds of the steady clock; 0: the last commit was answered
+  CallbackGuard callback_guard_;
+  double max_value_bytes_;  // the state service takes no larger value
+  int inflight_[kSlotCount] = {};
+  double unanswered_since_ = 0;  // seconds of the steady clock; 0: the last commit was answered
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -21,9 +21,9 @@
 ShardLeader::ShardLeader(Context context, int id, std::uint64_t fencing_token)
     : ctx_(with_identity(std::move(context), id, fencing_token)),
       model_(ctx_, {[this] { placement_.schedule_fill(); },
-                    [this](int segment) { journal_.note_freed_placement(segment); },
-                    [this] { journal_.note_completion(); }}),
-      committer_(ctx_, {[this] { send_due_writes(); }, [this] { journal_.on_values_shrunk(); }}),
+                    [this](int segment) { journal_.on_placement_freed(segment); },
+                    [this] { journal_.on_completion_added(); }}),
+      committer_(ctx_, {[this] { send_due_writes(); }, [this] { journal_.on_value_limit_reduced(); }}),
       journal_(ctx_, model_, committer_, gangs_, delegation_, commands_),
       progress_(ctx_, model_, committer_, journal_, completion_),
       completion_(ctx_, model_, committer_, progress_, cancellation_),
@@ -173,7 +173,7 @@
   const auto room = [this](RecordCommitter::Slot slot) { return committer_.has_room(slot); };
   while (room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancels()) {
   }
-  if (journal_.has_freed_placements()) journal_.release_freed();
+  if (journal_.has_freed_placements()) journal_.release_freed_placements();
   journal_.write_journal();
   while (room(RecordCommitter::kDoneSlot) && (completion_.commit_endings() || progress_.commit_progress())) {
   }
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -161,7 +161,8 @@
 // again ends at once.
 bool TaskDelegation::fit_delegation(Job& job) const {
   const auto too_large = [this, &job] {
-    return static_cast<double>(dump_json(delegation_record(job).to_json()).size()) > committer_.value_bytes();
+    return static_cast<double>(dump_json(delegation_record(job).to_json()).size()) >
+           committer_.max_value_bytes();
   };
   if (!too_large()) return true;
   if (job.placed > 0) return false;
@@ -364,7 +365,7 @@
 
 // Bytes that the record of a delegation of the job has for ranges.
 double TaskDelegation::delegation_budget(const Job& job) const {
-  return committer_.value_bytes() - kDelegationFrame -
+  return committer_.max_value_bytes() - kDelegationFrame -
          static_cast<double>(dump_json(job.record.to_json()).size());
 }
 
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -193,7 +193,7 @@
   } else {
     machine.last_wanted_at = now;
   }
-  journal_.note_new_placement();
+  journal_.on_placement_added();
   machine.busy_at = now;
 }
 
