--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -29,7 +29,7 @@
   RequestPriority priority = RequestPriority::kRest;
   int slot = 0;
   std::string body;
-  int changes = 0;
+  int change_count = 0;
   std::set<std::string> changed_keys;  // keys it changes
   bool has_unanswered_copy = false;    // a copy may have been carried out
   struct Effect {
@@ -59,7 +59,7 @@
   write->priority = priority;
   write->slot = slot;
   write->body = txn.body();
-  write->changes = static_cast<int>(txn.then.size());
+  write->change_count = static_cast<int>(txn.then.size());
   for (const Json& change : txn.then)
     write->changed_keys.insert(change.at(change.contains("put") ? "put" : "delete").get<std::string>());
   write->on_done = std::move(on_done);
@@ -88,7 +88,7 @@
 }
 
 void RecordCommitter::try_commit(const std::shared_ptr<Write>& write) {
-  ctx_.state->commit_body(write->priority, write->body, write->changes,
+  ctx_.state->commit_body(write->priority, write->body, write->change_count,
                           callback_guard_([this, write](const StateReply& reply) {
                             if (reply.ok()) return settle(*write, reply.revision());
                             if (reply.outcome == Outcome::kRefused || reply.outcome == Outcome::kUnknown) {
