--- a/src/coordination/shard/journal.cpp
+++ b/src/coordination/shard/journal.cpp
@@ -9,7 +9,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kJournalBudgetFraction = 0.7;  // of the shard's share of changes, for the journal
+// Part of the shard's share of the write rate that the journal may use.
+constexpr double kJournalBudgetFraction = 0.7;
 }  // namespace
 
 Journal::Journal(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -53,8 +54,9 @@
   }
 }
 
-// The journal is written at most so often that the shard keeps to its share of the changes: sooner while
-// the budget is full (a quiet day), with more in each write while it is not. In seconds.
+// Returns the minimum time between two journal writes, in seconds, which keeps the shard within its share of
+// the write rate. The interval is shorter while most of the write budget is unused. Otherwise writes are less
+// frequent and each contains more.
 double Journal::write_interval_s(std::size_t changes) const {
   const double shard_changes_per_s = ctx_.state->write_rate() / ctx_.shard_count;
   const double interval_s =
@@ -62,9 +64,9 @@
   return ctx_.state->writes_left() > 0.6 ? interval_s / 4 : interval_s;
 }
 
-// Completions that the job's own record, or its ending, is about to hold need no write here. (Written all the
-// same, such segments used up the changes that those records were waiting for: with small segments a shard
-// wrote its journal for minutes and did nothing else.)
+// Completions that are about to be written to the job's own progress record or with its ending need no
+// journal write. When they were written to the journal as well, these writes used up the write budget that
+// those records were waiting for: with small segments, a shard did nothing but write its journal for minutes.
 bool Journal::completions_due() {
   const double now = ctx_.env->now();
   if (pending_.completions_unrecorded_since == 0 ||
@@ -104,7 +106,8 @@
     send_journal_write(std::move(write));
     return true;
   }
-  // An oversized active segment fits no write before more of it has ended.
+  // An oversized active segment that could not be split cannot be written until more of its placements have
+  // ended.
   if (segments_.at(JournalSegments::kActiveSegment).oversized) return false;
   segments_.add_dirty(write);
   if (pending_.has_new_placements) builder_.add_new_placements(write);
@@ -134,8 +137,8 @@
   }
 }
 
-// Of the segments that are written: placements that their records no longer name, and those of gangs that are
-// recorded as being stopped.
+// Lists, for the segments to be written, the placements that their new records no longer contain, and the
+// placements of gangs that the records mark as being stopped.
 void Journal::list_ended_placements(JournalWrite& write) const {
   for (const auto& [name, machine] : model_.machines()) {
     for (const Placement& placement : machine->placements) {
--- a/src/coordination/shard/journal.hpp
+++ b/src/coordination/shard/journal.hpp
@@ -1,5 +1,6 @@
-// The shard's journal: a few segments that hold placements by machine, and completions that no other record
-// holds yet (docs/design.md, "The journal"). This module decides when it is written and sends the writes.
+// The shard's journal: a few segments that contain placements, grouped by machine, and completions that no
+// other record contains yet (docs/design.md, "The journal"). This class decides when the journal is written,
+// and sends the writes.
 #pragma once
 
 #include <cstddef>
@@ -29,32 +30,35 @@
   Journal(const Journal&) = delete;
   Journal& operator=(const Journal&) = delete;
 
-  // While loading: a segment as it was read, whose record takes so many bytes.
+  // Adds a segment that was read while loading. `bytes` is the size of its record.
   void add_loaded_segment(int number, std::uint64_t revision, std::size_t bytes);
-  // While loading: completions that a segment holds for a job or delegation.
+  // Adds the completions that a segment, read while loading, contains for a job or delegation key.
   void add_loaded_completions(int number, const std::string& name, RangeSet done);
 
-  // A task was placed; its placement is in no segment yet.
+  // Called when a task has been placed. The placement is not in any segment yet.
   void on_placement_added() { pending_.has_new_placements = true; }
-  // A placement recorded in this segment (0: in none yet) has ended without completing.
+  // Called when a placement has ended without completing. `segment` is the one that records it; 0: none does
+  // yet.
   void on_placement_freed(int segment);
-  // The segment has to be written again.
+  // Requests that the segment is written again. Has no effect if it does not exist.
   void mark_dirty(int segment) { segments_.mark_dirty(segment); }
-  // A task has completed, which no record holds yet.
+  // Called when a task has completed. No record contains the completion yet.
   void on_completion_added();
-  // The state service takes smaller values than before.
+  // Called when the maximum size of a value in the state service has been reduced.
   void on_value_limit_reduced() { segments_.on_value_limit_reduced(); }
-  // The delegation goes with the next write that has room for it.
+  // Adds the delegation to the next write that has room for it.
   void add_delegation(NewDelegation delegation) { pending_.delegations.push_back(std::move(delegation)); }
   [[nodiscard]] std::size_t unwritten_delegation_count() const { return pending_.delegations.size(); }
   [[nodiscard]] bool has_freed_placements() const { return pending_.has_freed_placements; }
 
-  // What was freed before it was recorded, or belongs to a job that is durably cancelled, needs no write: no
-  // leader would start it again. The rest goes once its segment is written without it.
+  // Drops the freed placements that need no write: those that were never recorded, and those of durably
+  // cancelled jobs. No leader would start their tasks again. The other freed placements are dropped once
+  // their segments have been written without them.
   void release_freed_placements();
-  // Writes what is new, if the rate of writes allows it now; false: nothing was sent.
+  // Writes pending changes to the journal if the write rate allows it now. Returns false if nothing was sent.
   bool write_journal();
-  // The job's own record holds these completions of a job or delegation now.
+  // Called when other records (progress or delegation) contain these completions. `name` is the job's id or
+  // delegation key.
   void on_completions_recorded(const JobPtr& job, const std::string& name, const RangeSet& done);
 
  private:
@@ -75,8 +79,8 @@
   JournalSegments segments_;
   JournalWriteBuilder builder_;
   JournalOutcome outcome_;
-  double next_write_at_ = 0;        // env time; no earlier is the journal written again
-  bool write_timer_armed_ = false;  // a timer runs until then
+  double next_write_at_ = 0;  // env time before which the journal is not written again
+  bool write_timer_armed_ = false;
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/journal_outcome.cpp
+++ b/src/coordination/shard/journal_outcome.cpp
@@ -39,7 +39,7 @@
   }
 }
 
-// Returns the gangs among the jobs.
+// Marks the new placements as recorded. Returns the gangs among their jobs.
 std::set<JobPtr> JournalOutcome::mark_recorded(const JournalWrite& write) {
   std::set<JobPtr> gangs;
   for (const PlacementRef& ref : write.added_placements) {
@@ -51,7 +51,7 @@
   return gangs;
 }
 
-// Returns the gangs that are being stopped.
+// Marks the stops of gang placements as recorded. Returns the gangs concerned.
 std::set<JobPtr> JournalOutcome::mark_stops_recorded(const JournalWrite& write) {
   std::set<JobPtr> stopped;
   for (const PlacementRef& ref : write.stopping_placements) {
@@ -76,8 +76,9 @@
   }
 }
 
-// Only job records may have changed: they were cancelled meanwhile, by this leader or, of delegated ones, by
-// their home shard. Nothing of this was written; what belongs to other jobs is tried again.
+// A rejection is expected only if jobs were cancelled (by this leader, or by the home shard of tasks
+// delegated to this shard), or if the leader of a shard to which tasks were to be delegated was deposed.
+// Nothing was written, so the changes that belong to other jobs are tried again.
 bool JournalOutcome::on_refused(const JournalWrite& write, const std::vector<std::string>& failed) {
   const std::set<std::string> failed_keys(failed.begin(), failed.end());
   std::set<JobPtr> delegated_here;
@@ -96,8 +97,8 @@
   return true;
 }
 
-// Whether the guard on the key may fail while this shard is led as before. Collects the delegations to this
-// shard whose job record it is.
+// Whether the guard on the key can have failed although this leader still owns the shard. If the key is the
+// job record of tasks delegated to this shard, adds them to `delegated_here`.
 bool JournalOutcome::explains_refusal(const JournalWrite& write, const std::string& key,
                                       std::set<JobPtr>& delegated_here) const {
   bool explained = false;
@@ -106,10 +107,10 @@
     if (job->delegated_here()) delegated_here.insert(job);
     explained |= job->delegated_here() || job->cancelling || job->record.cancelled;
   }
-  // A job that is no longer here has ended, and its new placements with it.
+  // A job of this shard that is no longer in the model has ended, and so have its new placements.
   const std::string own_records = keys::job_records(ctx_.shard);
   explained |= key.rfind(own_records, 0) == 0 && model_.jobs().count(key.substr(own_records.size())) == 0;
-  explained |= write.delegate_fencing_tokens.count(key) > 0;  // the leader that was to take tasks was deposed
+  explained |= write.delegate_fencing_tokens.count(key) > 0;  // the leader of the target shard was deposed
   return explained;
 }
 
@@ -136,13 +137,13 @@
   }
 }
 
-// The segments that the write would have changed have to be written (again).
+// Marks the segments that the rejected write would have changed, so that they are written later.
 void JournalOutcome::mark_segments_for_rewrite(const JournalWrite& write) {
   for (const PlacementRef& ref : write.removed_placements) {
     if (write.created_segments.count(ref.segment) == 0) segments_.at(ref.segment).dirty = true;
   }
   for (const int number : write.written_segments) {
-    // (Those that were split may be too large again: the next write finds out.)
+    // A segment whose split was rejected may be too large again. The next write splits it then.
     if (write.created_segments.count(number) == 0) segments_.recheck_size(number);
   }
   segments_.at(JournalSegments::kActiveSegment).dirty = true;
--- a/src/coordination/shard/journal_outcome.hpp
+++ b/src/coordination/shard/journal_outcome.hpp
@@ -1,4 +1,4 @@
-// Settles in memory what became of a write of the journal: it is durable, or it was refused as a whole.
+// Applies the outcome of a journal write to the model: the whole write is durable, or all of it was rejected.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 
 class JournalOutcome {
  public:
-  // The collaborators that act on what has become durable.
+  // Collaborators that act on changes that have become durable.
   struct Collaborators {
     GangScheduler& gangs;
     TaskDelegation& delegation;
@@ -29,11 +29,12 @@
   JournalOutcome(const ShardContext& context, ShardModel& model, Collaborators collaborators,
                  JournalSegments& segments, JournalWriteBuilder& builder, PendingJournalChanges& pending);
 
-  // The write is durable at this revision: its placements may be launched, what it freed is gone.
+  // Called when the write is durable at this revision. Its new placements may now be launched, and the
+  // placements that it removed are dropped.
   void on_written(const JournalWrite& write, std::uint64_t revision);
-  // Nothing of the write was done, because the guards on these keys failed. Takes it back and returns true
-  // where cancellations and deposed leaders of other shards explain that; otherwise returns false and changes
-  // nothing.
+  // Called when the write was rejected. `failed` contains the keys whose guards failed; it is empty if the
+  // transaction was too large. If cancellations and deposed leaders of other shards explain every failed
+  // guard, undoes the write in memory and returns true. Otherwise returns false and changes nothing.
   bool on_refused(const JournalWrite& write, const std::vector<std::string>& failed);
 
  private:
--- a/src/coordination/shard/journal_segments.cpp
+++ b/src/coordination/shard/journal_segments.cpp
@@ -9,10 +9,12 @@
 namespace mothslip {
 
 namespace {
-constexpr double kSegmentFillFraction = 0.95;  // of the value size
-constexpr double kSplitFillFraction = 0.97;    // likewise, where a segment of larger limits is split
+// Segments are filled up to this part of the maximum value size.
+constexpr double kSegmentFillFraction = 0.95;
+// The same limit for a segment that was written under a larger maximum value size and is split.
+constexpr double kSplitFillFraction = 0.97;
 
-// The segment's record names the placement: what is being freed is left out of it.
+// Whether the segment's record contains the placement. Freed placements are left out of the record.
 bool is_recorded_in(const Placement& placement, int segment) {
   return placement.segment == segment && placement.stage != Placement::Stage::kFreeing;
 }
@@ -24,9 +26,10 @@
 }
 
 std::size_t placement_bytes(const Placement& placement) {
-  constexpr std::size_t kPlacementOverheadBytes = 12;  // with the index
+  // Punctuation and the task index.
+  constexpr std::size_t kPlacementOverheadBytes = 12;
   const std::size_t attempt = std::to_string(placement.attempt).size();
-  // A gang's attempt may have to be named once more, as being stopped.
+  // The attempt of a gang may be listed a second time, among the attempts that are being stopped.
   return kPlacementOverheadBytes + placement.job->spec().ref.size() +
          attempt * (placement.job->is_gang() ? 2 : 1);
 }
@@ -117,7 +120,7 @@
   segments_[kActiveSegment].dirty = false;
   for (auto& [number, segment] : segments_) {
     if (!segment.dirty || segment.oversized) continue;
-    if (write.change_count() + 1 >= write.max_changes) break;  // leaves a change for what is new
+    if (write.change_count() + 1 >= write.max_changes) break;  // leaves a change for new contents
     segment.dirty = false;
     write.written_segments.insert(number);
   }
@@ -130,7 +133,8 @@
   return true;
 }
 
-// The active segment is full: what it holds goes to a segment of its own, once, and stays there.
+// Moves the contents of the active segment, which is full, to a new segment. Returns false if the write has
+// no room for that segment.
 bool JournalSegments::seal_active(JournalWrite& write) {
   if (write.change_count() + 1 > write.max_changes || write.guard_count() + 2 > write.max_guards)
     return false;
@@ -155,10 +159,11 @@
   }
 }
 
-// A segment that was written under larger limits, by a node of an earlier version perhaps, can't be written
-// again as it is. When it has to be (something in it has ended, or it is the active one), what it holds is
-// spread over itself and new segments in one transaction, so that at no moment a placement or a completion is
-// in neither. Two copies of that transaction can't both succeed: each needs the segment as it was.
+// A segment that was written under a larger value limit, for example by a node of an earlier version, cannot
+// be written again as it is. When it must be written (because a placement in it has ended, or because it is
+// the active segment), its contents are distributed over the segment itself and new segments. This is done in
+// one transaction, so that no placement or completion is ever missing from all of them. Two copies of that
+// transaction cannot both succeed, because each requires the segment's revision to be unchanged.
 bool JournalSegments::split_oversized(JournalWrite& write) {
   for (const auto& [number, segment] : segments_) {
     if (!segment.oversized || (!segment.dirty && number != kActiveSegment)) continue;
@@ -203,8 +208,8 @@
 }
 
 void JournalSegments::apply_split(JournalWrite& write, int number, const SegmentSplit& split) {
-  spdlog::info("shard {}: journal segment {} is too large now, split into {}", ctx_.shard, number,
-               split.segment_count);
+  spdlog::info("shard {}: journal segment {} exceeds the maximum value size and is split into {} segments",
+               ctx_.shard, number, split.segment_count);
   std::vector<int> numbers = {number};
   while (numbers.size() < split.segment_count) numbers.push_back(++highest_number_);
   for (const int each : numbers) {
@@ -230,8 +235,8 @@
   return out;
 }
 
-// Adds the segments in which nothing counts to the removals. Returns the smallest of the others where there
-// are many more than needed; none where the write is full.
+// Adds the deletion of all segments without contents to the write. Returns the smallest of the others if
+// there are many more segments than needed, and nullopt if there are not or the write is full.
 std::optional<JournalSegments::SegmentSize> JournalSegments::remove_unused(JournalWrite& write) {
   std::map<int, std::size_t> placements = placement_counts();
   std::size_t total_bytes = 0;
@@ -261,7 +266,7 @@
   }
   const auto smallest = remove_unused(write);
   if (!smallest || write.change_count() >= write.max_changes) return;
-  // (Moving much would only fill the active segment and have it sealed.)
+  // Moving a large segment would only fill the active segment, which would then be sealed.
   if (segments_[smallest->number].dirty || smallest->bytes > fill_limit_bytes() / 3 ||
       write.segment_bytes[kActiveSegment] + smallest->bytes > fill_limit_bytes())
     return;
@@ -272,7 +277,8 @@
   write.deleted_segments.insert(smallest->number);
 }
 
-// (A segment that was created from the active one took over what those created before it had left there.)
+// One write may create several segments from the active one, each of which took the completions that the
+// active one contained at that time. All of them are merged back.
 void JournalSegments::undo_created_segments(const JournalWrite& write) {
   for (const auto& [created, from] : write.created_segments) {
     for (const auto& [name, done] : segments_[created].done) segments_[from].done[name].insert(done);
@@ -280,7 +286,7 @@
   }
 }
 
-// (Backwards: one that was moved twice goes to where it was at first.)
+// Undone in reverse order, so that a placement that was moved twice returns to its first segment.
 void JournalSegments::undo_moved_placements(const JournalWrite& write) {
   for (auto it = write.moved_placements.rbegin(); it != write.moved_placements.rend(); ++it) {
     Placement* placement = model_.find_placement(it->machine, it->attempt, it->index);
--- a/src/coordination/shard/journal_segments.hpp
+++ b/src/coordination/shard/journal_segments.hpp
@@ -1,5 +1,6 @@
-// The segments of a shard's journal: what each holds, how large its record is, and how contents move between
-// them. Placements name their segment themselves (Placement::segment); completions are kept here.
+// The segments of a shard's journal: their contents, the sizes of their records, and how contents move
+// between them. Each placement stores its segment number itself (Placement::segment). Completions are stored
+// in the segments here.
 #pragma once
 
 #include <cstddef>
@@ -18,63 +19,67 @@
 
 class RecordCommitter;
 
-// Upper bounds in bytes for the text of a machine's entry in a segment's record, of one placement in it, and
-// of the completions of one job or delegation.
+// Upper bounds of the sizes in bytes of parts of a segment's record: a machine's entry without placements,
+// one placement, and the completions of one job or delegation.
 [[nodiscard]] std::size_t machine_bytes(const Machine& machine);
 [[nodiscard]] std::size_t placement_bytes(const Placement& placement);
 [[nodiscard]] std::size_t completion_bytes(const std::string& name, const RangeSet& done);
 
 class JournalSegments {
  public:
-  // The segment that takes what is new. Every write of the journal puts it, so that of two copies of one
-  // write, however late the second, only one can succeed.
+  // The segment that takes new placements and completions. Every journal write except a split of another
+  // segment puts it on the condition that its revision is unchanged, so that only one of two copies of a
+  // write can succeed, however late the second arrives.
   static constexpr int kActiveSegment = 1;
-  static constexpr std::size_t kEmptySegmentBytes = 20;  // of an empty segment's record
+  static constexpr std::size_t kEmptySegmentBytes = 20;
 
   JournalSegments(const ShardContext& context, ShardModel& model, RecordCommitter& committer);
 
-  // While loading: a segment as it was read, whose record takes so many bytes.
+  // Adds a segment that was read while loading. `bytes` is the size of its record.
   void add_loaded(int number, std::uint64_t revision, std::size_t bytes);
-  // The segment; an empty one is added where there is none of this number.
+  // Returns the segment with this number. Adds an empty one if there is none.
   [[nodiscard]] JournalSegment& at(int number) { return segments_[number]; }
-  // By number, in ascending order.
+  // All segments by number, in ascending order.
   [[nodiscard]] std::map<int, JournalSegment>& all() { return segments_; }
   void erase(int number) { segments_.erase(number); }
 
-  // The segment, if there is such a one, has to be written again.
+  // Requests that the segment is written again. Has no effect if it does not exist.
   void mark_dirty(int number);
   [[nodiscard]] bool any_dirty() const;
-  // The state service takes smaller values than before: finds the segments that have become too large.
+  // Called when the maximum size of a value has been reduced. Determines which segments exceed it now.
   void on_value_limit_reduced();
-  // The write was refused: the segment may be so large that it has to be split (again).
+  // Called when a write of the segment was rejected. Determines whether the segment must be split (again).
   void recheck_size(int number);
-  // The job's own record holds these completions of a job or delegation now.
+  // Called when other records contain these completions. `name` is the job's id or delegation key.
   void erase_completions(const std::string& name, const RangeSet& done);
 
-  // Bytes to which a segment may be filled.
+  // Size in bytes up to which a segment may be filled.
   [[nodiscard]] std::size_t fill_limit_bytes() const;
-  // Upper bound of the size of the segment's record, in bytes.
+  // Upper bound of the size of the segment's record in bytes.
   [[nodiscard]] std::size_t record_bytes(int number) const;
-  // The segment's record as it is to be written; the segment must exist.
+  // Returns the record to write for the segment, which must exist.
   [[nodiscard]] SegmentRecord record(int number) const;
 
-  // Adds the active segment and the dirty ones to the write, which marks them as clean.
+  // Adds the active segment and the dirty segments to the write, and clears their dirty flags.
   void add_dirty(JournalWrite& write);
-  // Makes room in the active segment for so many bytes more, sealing it where it is full; false: the write
-  // can take no further segment.
+  // Reserves this many bytes in the active segment. Seals the segment first if it is full. Returns false if
+  // that is necessary but the write has no room for another segment.
   bool reserve(JournalWrite& write, std::size_t needed_bytes);
-  // Fills the empty write with the split of the first segment that is too large and has to be written; false:
-  // there is none that a transaction could take.
+  // Adds to the empty write the split of the first segment that is too large and has to be written. Returns
+  // false if there is no such segment whose split fits into a transaction.
   bool split_oversized(JournalWrite& write);
-  // Segments in which nothing counts any more go; when there are many more than needed, the smallest moves
-  // into the active one. Only along with other changes, so that it costs no transaction.
+  // Adds the deletion of segments whose content is no longer needed. If there are many more segments than
+  // needed, also moves the contents of the smallest into the active segment. Called only for a write that has
+  // other changes, so that no extra transaction is needed.
   void compact(JournalWrite& write);
-  // The write was refused: what it moved goes back to where it was, and the segments it created are gone.
+  // Called when the write was rejected: removes the segments that it created, and moves contents back to
+  // their previous segments.
   void undo_created_segments(const JournalWrite& write);
   void undo_moved_placements(const JournalWrite& write);
 
  private:
-  // Which of several segments takes what of the one that is split.
+  // How the contents of a segment are split among several: each placement and each job's completions with the
+  // position of the segment that takes them. Position 0 is the segment itself.
   struct SegmentSplit {
     std::size_t segment_count = 1;
     std::vector<std::pair<PlacementRef, std::size_t>> placements;
@@ -95,7 +100,7 @@
   ShardModel& model_;
   RecordCommitter& committer_;
   std::map<int, JournalSegment> segments_;
-  int highest_number_ = kActiveSegment;  // the highest number in use
+  int highest_number_ = kActiveSegment;
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/journal_write_builder.cpp
+++ b/src/coordination/shard/journal_write_builder.cpp
@@ -18,7 +18,8 @@
 
 using PlacementsOnMachines = std::vector<std::pair<Machine*, Placement*>>;
 
-// Upper bound of the bytes that the placements take in a segment; those of one machine follow each other.
+// Returns an upper bound of the bytes that the placements take in a segment's record. Placements on the same
+// machine must be adjacent in the list.
 std::size_t entry_bytes(const PlacementsOnMachines& placements) {
   std::size_t bytes = 0;
   const Machine* last = nullptr;
@@ -38,13 +39,13 @@
 bool JournalWriteBuilder::needs_journal_entry(const Job& job) {
   if (job.unsaved.empty() || job.finishing || job.record.cancelled) return false;
   if (job.complete() && (job.delegated_here() || job.all_delegated_complete()))
-    return false;  // its ending says it all
+    return false;  // the ending contains all completions
   return !job.fold_due && !job.progress_inflight;
 }
 
-// All placements of a gang go into one write, or none does: returns the gangs of which that is so. (One that
-// is too large for a segment is spread over several writes like other placements: nothing of it is launched
-// before the last is durable.)
+// Adds all new placements of a gang to the write, or none of them if the write has no room. Returns the gangs
+// that are handled in this way. A gang that is too large for one segment is not among them: its placements
+// are spread over several writes like those of other jobs, and none is launched before all are durable.
 std::set<JobPtr> JournalWriteBuilder::add_gangs(JournalWrite& write) {
   std::map<JobPtr, PlacementsOnMachines> gangs;
   for (auto& [name, machine] : model_.machines()) {
@@ -71,7 +72,8 @@
   return complete_gangs;
 }
 
-// Where a write could not take all, the next begins behind it.
+// Returns the machines that have new placements, starting after the last machine that a previous write
+// covered. Machines that did not fit into that write therefore come first.
 std::vector<Machine*> JournalWriteBuilder::machines_with_new_placements() {
   std::vector<Machine*> out;
   for (auto& [name, machine] : model_.machines()) {
@@ -98,7 +100,7 @@
   }
 }
 
-// The new placements on the machine but for those of the gangs; false: the write is full.
+// Adds the new placements on the machine except those of `gangs`. Returns false if the write is full.
 bool JournalWriteBuilder::add_machine_placements(JournalWrite& write, Machine& machine,
                                                  const std::set<JobPtr>& gangs) {
   bool machine_has_entry = false;
@@ -110,7 +112,8 @@
     const std::size_t created_before = write.created_segments.size();
     const std::size_t bytes = placement_bytes(placement) + (machine_has_entry ? 0 : machine_bytes(machine));
     if (!segments_.reserve(write, bytes)) return false;
-    // The active segment was sealed in between: the machine needs an entry in the new one, too.
+    // The active segment was sealed after the machine's entry was added, so the new active segment needs an
+    // entry for the machine as well.
     if (machine_has_entry && write.created_segments.size() != created_before)
       write.segment_bytes[JournalSegments::kActiveSegment] += machine_bytes(machine);
     write.job_revisions[job_record] = placement.job->job_revision;
@@ -173,7 +176,7 @@
     }
     RangeSet& recorded = segments_.at(JournalSegments::kActiveSegment).done[name];
     recorded.insert(job->unsaved);
-    // Many scattered completions of one job are cheaper in its own record.
+    // Many scattered completions of one job are cheaper to store in its progress record.
     if (recorded.text_bytes() > limit_bytes / 8) job->fold_due = true;
     write.completions.emplace_back(job, job->unsaved);
   }
--- a/src/coordination/shard/journal_write_builder.hpp
+++ b/src/coordination/shard/journal_write_builder.hpp
@@ -1,4 +1,4 @@
-// Fills a write of the journal with what is new: placements, delegations and completions.
+// Adds new placements, delegations and completions to a journal write.
 #pragma once
 
 #include <cstddef>
@@ -19,16 +19,18 @@
   JournalWriteBuilder(const ShardContext& context, ShardModel& model, TaskDelegation& delegation,
                       JournalSegments& segments, PendingJournalChanges& pending);
 
-  // Completions of the job that no record is about to hold.
+  // Whether the job has completions that must be written to the journal, because no other record is about to
+  // contain them.
   [[nodiscard]] static bool needs_journal_entry(const Job& job);
-  // Adds the placements that are in no segment yet, as far as the write has room; the rest stays pending.
+  // Adds the placements that are not in any segment yet, up to the limits of the write. The others stay
+  // pending.
   void add_new_placements(JournalWrite& write);
-  // Adds the pending delegations, as far as the write has room.
+  // Adds the pending delegations, up to the limits of the write.
   void add_delegations(JournalWrite& write);
-  // Adds completions that no other record is about to hold: they must be durable before their exit is
-  // acknowledged to the worker.
+  // Adds the completions that no other record is about to contain. They must be durable before the exits of
+  // the tasks are acknowledged to the workers.
   void add_completions(JournalWrite& write);
-  // The delegation was not written: its tasks still belong to this shard.
+  // Takes back the tasks of a delegation that will not be written. They still belong to this shard.
   void revoke_delegation(const NewDelegation& delegation);
 
  private:
--- a/src/coordination/shard/progress_records.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -10,9 +10,14 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMinDelegationsToMerge = 3;  // completed delegations worth a transaction of their own
-constexpr double kProgressFillFraction = 0.85;     // of the value size
-// Tasks that a further record covers: however scattered, their text takes less than 1 KiB.
+// A job's completed delegations are merged into its progress record once there are this many, even if no
+// other progress is due.
+constexpr std::size_t kMinDelegationsToMerge = 3;
+// The main record is filled up to this part of the maximum value size.
+constexpr double kProgressFillFraction = 0.85;
+// Number of tasks that an additional record covers. Their ranges take less than 1 KiB as text, however
+// scattered the completed tasks are. Must equal kTasksPerProgressChunk, which is used when records are
+// rebuilt.
 constexpr int kTasksPerChunk = 512;
 }  // namespace
 
@@ -20,14 +25,15 @@
                                  Journal& journal, JobCompletion& completion)
     : ctx_(context), model_(model), committer_(committer), journal_(journal), completion_(completion) {}
 
-// What of the job's completions the main record has to hold.
+// Returns the completions that the main record must contain: those that no additional record contains.
 RangeSet ProgressRecords::main_progress(const Job& job) {
   RangeSet out = job.done;
   for (const auto& [number, chunk] : job.progress_chunks) out.erase(chunk.done);
   return out;
 }
 
-// The chunk of tasks whose completions take most of the main record.
+// Returns the number of the additional record to which to move completions: the one whose tasks have the most
+// ranges in the main record.
 int ProgressRecords::most_fragmented_chunk(const Job& job, const RangeSet& main) {
   int most_fragmented = 0;
   std::size_t most_ranges = 0;
@@ -42,10 +48,12 @@
   return most_fragmented;
 }
 
-// Puts what is done of the job into its records, or a first part of it.
+// Adds a put of the job's completions to the transaction: in the main record if they fit, otherwise a part of
+// them in an additional record.
 ProgressRecords::ProgressWrite ProgressRecords::add_progress(Transaction& txn, Job& job) const {
   const std::string& ref = job.spec().ref;
-  // (The job record, too: it ends with the job, so that no late copy of this leaves a record behind.)
+  // The job record is deleted when the job ends. The guard on it prevents a late copy of this transaction
+  // from leaving a progress record behind.
   txn.guard(keys::job_record(ctx_.shard, ref), job.job_revision);
   const RangeSet main = main_progress(job);
   job.fold_due = false;
@@ -60,18 +68,20 @@
   txn.guard(keys::progress_chunk(ctx_.shard, ref, number),
             existing == job.progress_chunks.end() ? 0 : existing->second.revision);
   txn.put(keys::progress_chunk(ctx_.shard, ref, number), {{"done", slice.to_text()}});
-  job.fold_due = true;  // the rest follows
+  job.fold_due = true;  // the other completions are written later
   return {number, std::move(slice)};
 }
 
-// A completed job gets here only when it has too many delegations to end in one transaction.
+// The progress of a completed job is written only if the job has too many delegations to be ended in one
+// transaction.
 bool ProgressRecords::progress_due(const Job& job, std::size_t complete_delegations,
                                    std::size_t max_changes) const {
   if (job.complete()) return completion_.changes_to_end(job) > max_changes;
   return job.fold_due || complete_delegations >= kMinDelegationsToMerge;
 }
 
-// Removes the completed delegations whose tasks the written progress holds; returns their keys.
+// Adds the deletion of completed delegations whose tasks are all contained in the written progress. Returns
+// their keys.
 std::vector<std::string> ProgressRecords::remove_merged_delegations(Transaction& txn, const Job& job,
                                                                     const RangeSet& written,
                                                                     std::size_t max_changes) {
@@ -109,7 +119,7 @@
   }
   if (written.empty()) return false;
   const auto on_done = [this, written](std::uint64_t revision) { on_progress_written(written, revision); };
-  // A cancellation came in between: what belongs to other jobs is tried again.
+  // Some of the jobs were cancelled meanwhile. The progress of the other jobs is tried again.
   const auto on_conflict = [this, written](const std::vector<std::string>& failed) {
     if (!completion_.only_cancelled(failed)) return false;
     for (const JobProgress& progress : written) {
@@ -155,7 +165,7 @@
     txn.guard(keys::job_record(ctx_.shard, record.ref), 0);
     txn.remove(record.key);
   }
-  // (They are of no use to anyone: where something is not as it was expected they are left alone.)
+  // These records are no longer used by anyone, so they are left in place if a guard fails.
   committer_.commit(
       RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [](std::uint64_t) {},
       [](const std::vector<std::string>&) { return true; });
--- a/src/coordination/shard/progress_records.hpp
+++ b/src/coordination/shard/progress_records.hpp
@@ -1,9 +1,10 @@
-// Completions of jobs that are not over: folded from the journal's segments into records of their own when
-// they have grown long there, together with the delegations that others have completed.
+// Progress records: the completed tasks of open jobs. Completions are moved there from the journal's segments
+// when they take too much room in them, and from delegation records that other shards have completed.
 //
-// Record d/P/REF holds them as one text of ranges. Where that would be larger than the state service takes,
-// those of some hundreds of tasks each go to further records d/P/REF~N. What any of the records says is done
-// is done, so they need not be of one moment, and go in any order once the job has ended.
+// The main record d/P/REF contains the completed tasks as one text of ranges. If that exceeds the maximum
+// value size, additional records d/P/REF~N take them, each for a fixed interval of tasks. A task is done if
+// any of these records contains it. The records need not be written at the same time, and may be deleted in
+// any order once the job has ended.
 #pragma once
 
 #include <cstdint>
@@ -23,35 +24,36 @@
 
 class ProgressRecords {
  public:
-  // A further record of progress whose job is over.
+  // An additional progress record of a job that has ended.
   struct DiscardedRecord {
     std::string key;
-    std::string ref;  // of the job
+    std::string ref;  // id of the job
     std::uint64_t revision = 0;
   };
   ProgressRecords(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
                   Journal& journal, JobCompletion& completion);
 
-  // Deletes the record when there is nothing better to do.
+  // Schedules the record for deletion at low priority.
   void discard(DiscardedRecord record) { discarded_.push_back(std::move(record)); }
-  // Writes progress that is due; false: none is, or it does not fit.
+  // Commits a transaction with progress that is due. Returns false if none is due or it does not fit.
   bool commit_progress();
-  // The job is over; its further records of progress go when there is nothing better to do.
+  // Called when the job has ended. Schedules its additional progress records for deletion at low priority.
   void discard_progress_chunks(const Job& job);
-  // Deletes further records of jobs that are over; false: there are none.
+  // Deletes records that are scheduled for deletion. Returns false if there are none.
   bool commit_discarded();
 
  private:
   struct ProgressWrite {
     static constexpr int kMainRecord = -1;
-    int chunk = kMainRecord;  // number of the further record, or the main one
-    RangeSet done;            // what is durable with it
+    int chunk = kMainRecord;  // number of the additional record; kMainRecord: the main record
+    RangeSet done;            // completions that are durable once it is written
   };
-  // What a transaction writes of one job.
+  // Progress of one job in a transaction.
   struct JobProgress {
     JobPtr job;
     ProgressWrite write;
-    std::vector<std::string> merged_delegations;  // keys of the delegations that are removed with it
+    // Keys of the delegation records that the transaction deletes.
+    std::vector<std::string> merged_delegations;
   };
   [[nodiscard]] static RangeSet main_progress(const Job& job);
   [[nodiscard]] static int most_fragmented_chunk(const Job& job, const RangeSet& main);
@@ -68,7 +70,7 @@
   RecordCommitter& committer_;
   Journal& journal_;
   JobCompletion& completion_;
-  std::deque<DiscardedRecord> discarded_;  // to be deleted when there is nothing better to do
+  std::deque<DiscardedRecord> discarded_;  // scheduled for deletion
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -13,33 +13,40 @@
 namespace {
 constexpr double kSilenceThresholdSeconds = 1.5;
 constexpr double kMinValueBytes = 1024;
-// Two shards write these: the home shard and the delegate.
+// Whether the key is that of a delegation record. The leaders of two shards write these records: that of the
+// home shard and that of the delegate.
 bool is_delegation(const std::string& key) { return key.rfind(keys::kDelegations, 0) == 0; }
 }  // namespace
 
-// One transaction is repeated until its fate is certain. When a copy of it went unanswered, a repeat can find
-// that copy carried out: it is then refused for the revisions of the very keys that it changes. What shows
-// this is a refusal for a key that nobody but this owner writes, one transaction at a time: only the copy can
-// have changed it. Delegations show nothing of the kind by their revisions, for two shards write them: of a
-// transaction that changes nothing else, what is read must be what was written. (A slow state service leaves
-// many copies unanswered; giving the shard up each time once made takeovers of what was only delay.
-// And a refusal for any key was once taken for success: an ending was told that was never written, because a
-// delegation that goes with the job had changed.)
+// A transaction that is repeated until its outcome is certain.
+//
+// If a copy of the transaction got no answer, that copy may have succeeded. A repeated copy is then rejected,
+// because the revisions of the keys that the transaction changes have changed. A failed guard on a key that
+// only this leader writes, one transaction at a time, proves that the earlier copy succeeded: nothing else
+// can have changed the key. A failed guard on a delegation record proves nothing, because two leaders write
+// those records. If a transaction changes only delegation records, the records are therefore read and
+// compared with what was written.
+//
+// Restarting the shard after every unanswered copy is not an option: a slow state service leaves many copies
+// unanswered, and mere delays then led to takeovers. Treating a failed guard on any changed key as success is
+// wrong: when a delegation that is deleted along with its job had changed, an ending was reported that had
+// never been written.
 struct RecordCommitter::Write {
   RequestPriority priority = RequestPriority::kRest;
   int slot = 0;
   std::string body;
   int change_count = 0;
-  std::set<std::string> changed_keys;  // keys it changes
-  bool has_unanswered_copy = false;    // a copy may have been carried out
+  std::set<std::string> changed_keys;
+  bool has_unanswered_copy = false;  // a copy got no answer and may have succeeded
   struct Effect {
     std::string key;
-    std::optional<Json> data;  // none: the key is gone
+    std::optional<Json> data;  // nullopt: the key has been deleted
   };
-  std::vector<Effect> effects;  // what a read can show of it; looked for when its answer is lost
+  std::vector<Effect> effects;  // checked one by one when the answer is lost
   std::function<void(std::uint64_t)> on_done;
   ConflictHandler on_conflict;
-  // Puts of keys that nobody else writes; where there is no such key, puts of delegations, then deletions.
+  // Returns the effects by which a read can show that the transaction succeeded: puts of keys that nobody
+  // else writes. If the transaction changes only delegation records: their puts, then their deletions.
   [[nodiscard]] std::vector<Effect> visible_effects() const;
 };
 
@@ -126,7 +133,7 @@
     return key.rfind(keys::segments(ctx_.shard), 0) == 0;
   });
   if (is_still_owner && segment_changed && !write->has_unanswered_copy)
-    ctx_.contradicted("a page of the journal has changed");
+    ctx_.contradicted("a journal segment was changed although only the shard's leader writes it");
   const bool too_large =
       reply.outcome == Outcome::kInvalid && !write->has_unanswered_copy && reduce_write_sizes();
   if ((too_large || (!failed.empty() && is_still_owner && !changed_key_failed)) && write->on_conflict &&
@@ -136,44 +143,48 @@
     hooks_.send_due_writes();
     return;
   }
-  ctx_.restart_shard("a commit was turned down: " + dump_json(reply.body));
+  ctx_.restart_shard("the state service rejected a transaction: " + dump_json(reply.body));
 }
 
-// The state service calls a write invalid: its limits must have fallen below all that was announced. What is
-// written from now on is smaller. False where it can't be.
+// Called when the state service rejects a transaction as invalid, which means that its limits are now lower
+// than announced. Reduces the sizes of all later writes. Returns false if they cannot be reduced further.
 bool RecordCommitter::reduce_write_sizes() {
   if (max_value_bytes_ / 2 < kMinValueBytes) return false;
   max_value_bytes_ /= 2;
-  spdlog::warn("shard {}: the state service takes less than it announced: values of {} bytes from now on",
-               ctx_.shard, max_value_bytes_);
+  spdlog::warn(
+      "shard {}: the state service rejected a transaction within its announced limits; values are limited to "
+      "{} bytes from now on",
+      ctx_.shard, max_value_bytes_);
   hooks_.value_limit_reduced();
   ctx_.state->shrink_transactions();
   return true;
 }
 
-// Its answer is lost: the revision is read from the first of its puts that is still there. A delegation that
-// it put and that is gone was complete, which only this leader can have written, and its home has deleted it.
+// Determines the revision of a transaction whose answer was lost, by reading the first of its puts that still
+// exists. If a delegation record that it put no longer exists, the home shard has deleted it because it was
+// complete, and only this leader can have written it as complete.
 void RecordCommitter::find_revision(const std::shared_ptr<Write>& write, std::size_t effect_index,
                                     std::uint64_t revision) {
   if (effect_index == write->effects.size()) return settle(*write, revision);
-  ctx_.state->get(write->priority, write->effects[effect_index].key,
-                  callback_guard_([this, write, effect_index, revision](const StateReply& reply) {
-                    const Write::Effect& effect = write->effects[effect_index];
-                    if (reply.outcome == Outcome::kMissing) {
-                      return effect.data ? find_revision(write, effect_index + 1, revision)
-                                         : settle(*write, revision);
-                    }
-                    if (!reply.ok() || !reply.body.contains("data")) {
-                      ctx_.env->after(0.3, callback_guard_([this, write, effect_index, revision] {
-                                        find_revision(write, effect_index, revision);
-                                      }));
-                      return;
-                    }
-                    if (!is_delegation(effect.key) || (effect.data && reply.body["data"] == *effect.data)) {
-                      return settle(*write, reply.body.value("stamp", std::uint64_t{0}));
-                    }
-                    ctx_.restart_shard("a block that it writes was changed: " + effect.key);
-                  }));
+  ctx_.state->get(
+      write->priority, write->effects[effect_index].key,
+      callback_guard_([this, write, effect_index, revision](const StateReply& reply) {
+        const Write::Effect& effect = write->effects[effect_index];
+        if (reply.outcome == Outcome::kMissing) {
+          return effect.data ? find_revision(write, effect_index + 1, revision) : settle(*write, revision);
+        }
+        if (!reply.ok() || !reply.body.contains("data")) {
+          ctx_.env->after(0.3, callback_guard_([this, write, effect_index, revision] {
+                            find_revision(write, effect_index, revision);
+                          }));
+          return;
+        }
+        if (!is_delegation(effect.key) || (effect.data && reply.body["data"] == *effect.data)) {
+          return settle(*write, reply.body.value("stamp", std::uint64_t{0}));
+        }
+        ctx_.restart_shard(
+            "a delegation record was changed while the outcome of a write to it was unknown: " + effect.key);
+      }));
 }
 
 void RecordCommitter::settle(const Write& write, std::uint64_t revision) {
--- a/src/coordination/shard/record_committer.hpp
+++ b/src/coordination/shard/record_committer.hpp
@@ -1,5 +1,5 @@
-// Transactions of a shard's leader. Each is repeated until its outcome is certain, and guarded by the
-// leader's fencing token. The number of transactions in flight is bounded by kind (slot).
+// Commits the transactions of a shard's leader. Each is guarded by the leader's fencing token and repeated
+// until its outcome is certain. The number of transactions in flight is limited for each kind (slot).
 #pragma once
 
 #include <cstdint>
@@ -16,31 +16,31 @@
 
 class RecordCommitter {
  public:
-  // Kinds of transactions; of each only so many are in flight at a time.
+  // Kinds of transactions: cancellations; journal writes; endings, progress and delegation records;
+  // everything else.
   enum Slot { kCancelSlot = 0, kJournalSlot, kDoneSlot, kRestSlot, kSlotCount };
-  // Called when a transaction is refused, with the keys whose guards failed. May settle failed guards on keys
-  // of others and return true; otherwise the shard is given up.
+  // Called when a transaction was rejected, with the keys whose guards failed (none if it was too large).
+  // Returns true if it has handled the rejection. Otherwise the shard is restarted.
   using ConflictHandler = std::function<bool(const std::vector<std::string>& failed)>;
   struct Hooks {
-    std::function<void()> send_due_writes;      // room for another transaction, or something to write
-    std::function<void()> value_limit_reduced;  // the state service takes smaller values than before
+    std::function<void()> send_due_writes;      // a transaction has finished, or something is due
+    std::function<void()> value_limit_reduced;  // max_value_bytes() has been reduced
   };
   RecordCommitter(const ShardContext& context, Hooks hooks);
 
-  // Whether another transaction of this kind may be sent.
   [[nodiscard]] bool has_room(Slot slot) const { return inflight_[slot] < kMaxInFlight[slot]; }
-  // The largest value that a record may have, in bytes.
+  // Maximum size of a record's value.
   [[nodiscard]] double max_value_bytes() const { return max_value_bytes_; }
-  // Sends whatever is due and may be sent.
+  // Sends all writes that are due and that the slots have room for.
   void send_due_writes() { hooks_.send_due_writes(); }
 
-  // A transaction that is guarded by the leader's fencing token.
+  // Returns an empty transaction that is guarded by the leader's fencing token.
   Transaction guarded_transaction() const;
-  // Repeats the transaction until its outcome is certain; `done` gets the revision of the change. Where it is
-  // refused and `conflict` does not settle that, the shard is given up.
+  // Repeats the transaction until its outcome is certain. Calls `on_done` with the revision of the change if
+  // it succeeded. If it was rejected and `on_conflict` does not handle the rejection, restarts the shard.
   void commit(RequestPriority priority, int slot, const Transaction& txn,
               std::function<void(std::uint64_t)> on_done, ConflictHandler on_conflict = nullptr);
-  // No transaction has been answered for a while.
+  // Whether the state service has neither executed nor rejected a transaction for some time.
   [[nodiscard]] bool state_silent() const;
 
  private:
@@ -55,9 +55,11 @@
   const ShardContext& ctx_;
   Hooks hooks_;
   CallbackGuard callback_guard_;
-  double max_value_bytes_;  // the state service takes no larger value
+  double max_value_bytes_;
   int inflight_[kSlotCount] = {};
-  double unanswered_since_ = 0;  // seconds of the steady clock; 0: the last commit was answered
+  // Env time since which attempts to commit have been unanswered or turned away because of overload; 0: the
+  // last transaction has a certain outcome.
+  double unanswered_since_ = 0;
 };
 
 }  // namespace mothslip
