--- a/src/coordination/shard/journal_write_builder.cpp
+++ b/src/coordination/shard/journal_write_builder.cpp
@@ -54,11 +54,11 @@
         gangs[placement.job].emplace_back(machine.get(), &placement);
     }
   }
-  std::set<JobPtr> complete_gangs;
+  std::set<JobPtr> atomic_gangs;
   for (const auto& [job, placements] : gangs) {
     const std::size_t bytes = entry_bytes(placements);
     if (bytes + JournalSegments::kEmptySegmentBytes > segments_.fill_limit_bytes()) continue;
-    complete_gangs.insert(job);
+    atomic_gangs.insert(job);
     if (write.guard_count() + 3 > write.max_guards || !segments_.reserve(write, bytes)) {
       pending_.has_new_placements = true;
       continue;
@@ -69,7 +69,7 @@
       write.added_placements.push_back({machine->name, placement->attempt, placement->index, 0});
     }
   }
-  return complete_gangs;
+  return atomic_gangs;
 }
 
 // Returns the machines that have new placements, starting after the last machine that a previous write
@@ -109,12 +109,12 @@
     const std::string job_record = job_record_key(*placement.job);
     const std::size_t new_guards = write.job_revisions.count(job_record) > 0 ? 0 : 1;
     if (write.guard_count() + new_guards + 2 > write.max_guards) return false;
-    const std::size_t created_before = write.created_segments.size();
+    const std::size_t created_count_before = write.created_segments.size();
     const std::size_t bytes = placement_bytes(placement) + (machine_has_entry ? 0 : machine_bytes(machine));
     if (!segments_.reserve(write, bytes)) return false;
     // The active segment was sealed after the machine's entry was added, so the new active segment needs an
     // entry for the machine as well.
-    if (machine_has_entry && write.created_segments.size() != created_before)
+    if (machine_has_entry && write.created_segments.size() != created_count_before)
       write.segment_bytes[JournalSegments::kActiveSegment] += machine_bytes(machine);
     write.job_revisions[job_record] = placement.job->job_revision;
     machine_has_entry = true;
