--- a/src/coordination/shard/journal_outcome.cpp
+++ b/src/coordination/shard/journal_outcome.cpp
@@ -21,28 +21,28 @@
       pending_(pending) {}
 
 void JournalOutcome::on_written(const JournalWrite& write, std::uint64_t revision) {
-  for (const int number : write.puts) segments_.at(number).revision = revision;
-  for (const int number : write.removes) segments_.erase(number);
+  for (const int number : write.written_segments) segments_.at(number).revision = revision;
+  for (const int number : write.deleted_segments) segments_.erase(number);
   for (const auto& [delegation, record] : write.delegations) {
     const auto delegated = delegation.job->delegated.find(delegation.key);
     if (delegated != delegation.job->delegated.end())
       delegated->second.revision = std::max(delegated->second.revision, revision);
   }
   for (const auto& [job, indices] : write.completions) job->mark_saved(indices);
-  gangs_.on_gangs_recorded(set_recorded(write));
-  const std::set<JobPtr> stopped = set_stops_recorded(write);
-  drop_removed(write);
+  gangs_.on_gangs_recorded(mark_recorded(write));
+  const std::set<JobPtr> stopped = mark_stops_recorded(write);
+  drop_removed_placements(write);
   gangs_.on_stops_recorded(stopped);
-  for (const PlacementRef& ref : write.added) {
+  for (const PlacementRef& ref : write.added_placements) {
     const auto it = model_.machines().find(ref.machine);
     if (it != model_.machines().end()) commands_.answer(*it->second);
   }
 }
 
-// Returns the gangs among the jobs.
-std::set<JobPtr> JournalOutcome::set_recorded(const JournalWrite& write) {
+// Marks the new placements as recorded. Returns the gangs among their jobs.
+std::set<JobPtr> JournalOutcome::mark_recorded(const JournalWrite& write) {
   std::set<JobPtr> gangs;
-  for (const PlacementRef& ref : write.added) {
+  for (const PlacementRef& ref : write.added_placements) {
     Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     if (placement->stage == Placement::Stage::kNew) placement->stage = Placement::Stage::kRecorded;
@@ -51,10 +51,10 @@
   return gangs;
 }
 
-// Returns the gangs that are being stopped.
-std::set<JobPtr> JournalOutcome::set_stops_recorded(const JournalWrite& write) {
+// Marks the stops of gang placements as recorded. Returns the gangs concerned.
+std::set<JobPtr> JournalOutcome::mark_stops_recorded(const JournalWrite& write) {
   std::set<JobPtr> stopped;
-  for (const PlacementRef& ref : write.stops) {
+  for (const PlacementRef& ref : write.stopping_placements) {
     Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     placement->stop_recorded = true;
@@ -63,8 +63,8 @@
   return stopped;
 }
 
-void JournalOutcome::drop_removed(const JournalWrite& write) {
-  for (const PlacementRef& ref : write.removed) {
+void JournalOutcome::drop_removed_placements(const JournalWrite& write) {
+  for (const PlacementRef& ref : write.removed_placements) {
     const auto it = model_.machines().find(ref.machine);
     if (it == model_.machines().end()) continue;
     const auto& placements = it->second->placements;
@@ -76,8 +76,9 @@
   }
 }
 
-// Only job records may have changed: they were cancelled meanwhile, by this leader or, of delegated ones, by
-// their home shard. Nothing of this was written; what belongs to other jobs is tried again.
+// A rejection is expected only if jobs were cancelled (by this leader, or by the home shard of tasks
+// delegated to this shard), or if the leader of a shard to which tasks were to be delegated was deposed.
+// Nothing was written, so the changes that belong to other jobs are tried again.
 bool JournalOutcome::on_refused(const JournalWrite& write, const std::vector<std::string>& failed) {
   const std::set<std::string> failed_keys(failed.begin(), failed.end());
   std::set<JobPtr> delegated_here;
@@ -85,19 +86,19 @@
     if (!explains_refusal(write, key, delegated_here)) return false;
   }
   for (const JobPtr& job : delegated_here) delegation_.cancel_delegated_job(job);
-  segments_.undo_created(write);
+  segments_.undo_created_segments(write);
   undo_delegations(write, failed_keys);
-  segments_.undo_moved(write);
-  undo_added(write, failed_keys);
-  mark_segments(write);
+  segments_.undo_moved_placements(write);
+  undo_added_placements(write, failed_keys);
+  mark_segments_for_rewrite(write);
   pending_.has_new_placements = true;
-  if (!write.completions.empty() && pending_.unrecorded_since == 0)
-    pending_.unrecorded_since = ctx_.env->now() - PendingJournalChanges::kCompletionDelayS;
+  if (!write.completions.empty() && pending_.completions_unrecorded_since == 0)
+    pending_.completions_unrecorded_since = ctx_.env->now() - PendingJournalChanges::kCompletionDelaySeconds;
   return true;
 }
 
-// Whether the guard on the key may fail while this shard is led as before. Collects the delegations to this
-// shard whose job record it is.
+// Whether the guard on the key can have failed although this leader still owns the shard. If the key is the
+// job record of tasks delegated to this shard, adds them to `delegated_here`.
 bool JournalOutcome::explains_refusal(const JournalWrite& write, const std::string& key,
                                       std::set<JobPtr>& delegated_here) const {
   bool explained = false;
@@ -106,16 +107,16 @@
     if (job->delegated_here()) delegated_here.insert(job);
     explained |= job->delegated_here() || job->cancelling || job->record.cancelled;
   }
-  // A job that is no longer here has ended, and its new placements with it.
+  // A job of this shard that is no longer in the model has ended, and so have its new placements.
   const std::string own_records = keys::job_records(ctx_.shard);
   explained |= key.rfind(own_records, 0) == 0 && model_.jobs().count(key.substr(own_records.size())) == 0;
-  explained |= write.delegate_shards.count(key) > 0;  // the leader that was to take tasks was deposed
+  explained |= write.delegate_fencing_tokens.count(key) > 0;  // the leader of the target shard was deposed
   return explained;
 }
 
 void JournalOutcome::undo_delegations(const JournalWrite& write, const std::set<std::string>& failed) {
   for (const auto& [delegation, record] : write.delegations) {
-    const bool revoked = failed.count(keys::shard_owner(delegation.to)) > 0 ||
+    const bool revoked = failed.count(keys::shard_owner(delegation.target_shard)) > 0 ||
                          failed.count(keys::job_record(ctx_.shard, delegation.job->spec().ref)) > 0;
     if (revoked) {
       builder_.revoke_delegation(delegation);
@@ -125,8 +126,8 @@
   }
 }
 
-void JournalOutcome::undo_added(const JournalWrite& write, const std::set<std::string>& failed) {
-  for (const PlacementRef& ref : write.added) {
+void JournalOutcome::undo_added_placements(const JournalWrite& write, const std::set<std::string>& failed) {
+  for (const PlacementRef& ref : write.added_placements) {
     Placement* placement = model_.find_placement(ref.machine, ref.attempt, ref.index);
     if (placement == nullptr) continue;
     placement->segment = 0;
@@ -136,14 +137,14 @@
   }
 }
 
-// The segments that the write would have changed have to be written (again).
-void JournalOutcome::mark_segments(const JournalWrite& write) {
-  for (const PlacementRef& ref : write.removed) {
-    if (write.created.count(ref.segment) == 0) segments_.at(ref.segment).dirty = true;
+// Marks the segments that the rejected write would have changed, so that they are written later.
+void JournalOutcome::mark_segments_for_rewrite(const JournalWrite& write) {
+  for (const PlacementRef& ref : write.removed_placements) {
+    if (write.created_segments.count(ref.segment) == 0) segments_.at(ref.segment).dirty = true;
   }
-  for (const int number : write.puts) {
-    // (Those that were split may be too large again: the next write finds out.)
-    if (write.created.count(number) == 0) segments_.recheck_size(number);
+  for (const int number : write.written_segments) {
+    // A segment whose split was rejected may be too large again. The next write splits it then.
+    if (write.created_segments.count(number) == 0) segments_.recheck_size(number);
   }
   segments_.at(JournalSegments::kActiveSegment).dirty = true;
 }
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -167,7 +167,8 @@
 // results are kept, so that a completed task which is started again ends at once.
 bool TaskDelegation::trim_to_record_size(Job& job) const {
   const auto too_large = [this, &job] {
-    return static_cast<double>(dump_json(delegation_record(job).to_json()).size()) > committer_.value_bytes();
+    return static_cast<double>(dump_json(delegation_record(job).to_json()).size()) >
+           committer_.max_value_bytes();
   };
   if (!too_large()) return true;
   if (job.placed > 0) return false;
@@ -382,7 +383,7 @@
 
 // Returns how many bytes a delegation's record has for ranges.
 double TaskDelegation::range_budget_bytes(const Job& job) const {
-  return committer_.value_bytes() - kDelegationFrameBytes -
+  return committer_.max_value_bytes() - kDelegationFrameBytes -
          static_cast<double>(dump_json(job.record.to_json()).size());
 }
 
