--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -13,12 +13,13 @@
 
 namespace {
 // So long a user waits for a cancellation; the next try finds it made.
-constexpr double kCancelPatience = 2.0;
+constexpr double kCancelAnswerTimeoutSeconds = 2.0;
 constexpr int kUnaccountedRetrySeconds = 10;  // until an operator has decided
-constexpr double kCancellationRetry = 0.25;
+constexpr double kCancellationRetrySeconds = 0.25;
 // Machines that can be reached have stopped the tasks by then; the others do so within their leases.
-constexpr double kStopPatience = 1.2;
-constexpr double kWriteNote = 3.0;  // a home that has not asked by then may not reach this leader
+constexpr double kTaskStopTimeoutSeconds = 1.2;
+constexpr double kAcknowledgementRecordDelaySeconds =
+    3.0;  // a home that has not asked by then may not reach this leader
 }  // namespace
 
 Cancellation::Cancellation(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -41,7 +42,7 @@
     return;
   }
   // When the job is finishing, the ending decides what the user hears.
-  job->cancel_waiters.push_back({std::move(responder), ctx_.env->now() + kCancelPatience});
+  job->cancel_waiters.push_back({std::move(responder), ctx_.env->now() + kCancelAnswerTimeoutSeconds});
   committer_.send_due_writes();
   retry_cancellations();
 }
@@ -59,7 +60,7 @@
   });
 }
 
-bool Cancellation::commit_cancels() {
+bool Cancellation::commit_cancellations() {
   for (auto& [ref, job] : model_.jobs()) {
     if (job->delegated_here() || job->cancel_waiters.empty() || job->finishing || job->cancelling ||
         job->record.cancelled)
@@ -98,16 +99,17 @@
 }
 
 void Cancellation::retry_cancellations() {
-  bool left = false;
+  bool any_unconfirmed = false;
   for (const auto& [ref, job] : model_.jobs()) {
     if (job->delegated_here() || !job->record.cancelled || job->cancellation_confirmed) continue;
     for (auto it = job->unacknowledged_shards.begin(); it != job->unacknowledged_shards.end();) {
       const int shard = *it;
-      const bool holds = std::any_of(job->delegated.begin(), job->delegated.end(), [shard](const auto& item) {
-        return keys::delegation_target(item.first) == shard && !item.second.complete() &&
-               !item.second.cancellation_acknowledged;
-      });
-      if (!holds || ctx_.owner_since(shard) > job->job_revision) {
+      const bool has_unacknowledged_tasks =
+          std::any_of(job->delegated.begin(), job->delegated.end(), [shard](const auto& item) {
+            return keys::delegation_target(item.first) == shard && !item.second.complete() &&
+                   !item.second.cancellation_acknowledged;
+          });
+      if (!has_unacknowledged_tasks || ctx_.owner_since(shard) > job->job_revision) {
         it = job->unacknowledged_shards.erase(it);
         continue;
       }
@@ -117,12 +119,12 @@
     if (job->unacknowledged_shards.empty() && tasks_stopped(*job)) {
       confirm(job);
     } else {
-      left = true;
+      any_unconfirmed = true;
     }
   }
-  if (!left || cancellation_timer_armed_) return;
+  if (!any_unconfirmed || cancellation_timer_armed_) return;
   cancellation_timer_armed_ = true;
-  ctx_.env->after(kCancellationRetry, alive_([this] {
+  ctx_.env->after(kCancellationRetrySeconds, callback_guard_([this] {
                     cancellation_timer_armed_ = false;
                     retry_cancellations();
                   }));
@@ -130,7 +132,7 @@
 
 void Cancellation::ask_delegate(const JobPtr& job, int shard) {
   ctx_.ask(shard, peer_paths::kJobCancelled, CancellationNotice{job->spec().ref}.to_json(),
-           alive_([this, job, shard](const Json& answer) {
+           callback_guard_([this, job, shard](const Json& answer) {
              const auto reply = CancellationReply::from_json(answer);
              if (!reply) return check_owner_changed(job, shard, 0);
              if (!reply->noted) {
@@ -146,15 +148,16 @@
 }
 
 // `noted`: the token of the owner that has taken note, but whose lease may be over.
-void Cancellation::check_owner_changed(const JobPtr& job, int shard, std::uint64_t noted) {
+void Cancellation::check_owner_changed(const JobPtr& job, int shard, std::uint64_t acknowledging_token) {
   ctx_.state->get(RequestPriority::kCancel, keys::shard_owner(shard),
-                  alive_([this, job, shard, noted](const StateReply& reply) {
+                  callback_guard_([this, job, shard, acknowledging_token](const StateReply& reply) {
                     job->asked_shards.erase(shard);
-                    const auto found = reply.ok() ? reply.body.value("stamp", std::uint64_t{0}) : 0;
-                    const bool knows =
+                    const auto owner_token = reply.ok() ? reply.body.value("stamp", std::uint64_t{0}) : 0;
+                    const bool is_acknowledged =
                         reply.outcome == Outcome::kMissing ||
-                        (reply.ok() && (found > job->job_revision || (noted != 0 && found == noted)));
-                    if (!knows) return;
+                        (reply.ok() && (owner_token > job->job_revision ||
+                                        (acknowledging_token != 0 && owner_token == acknowledging_token)));
+                    if (!is_acknowledged) return;
                     job->unacknowledged_shards.erase(shard);
                     retry_cancellations();
                   }));
@@ -174,48 +177,49 @@
 
 // Its tasks are gone, as far as can be waited for: a launch on its way has arrived and is stopped.
 bool Cancellation::tasks_stopped(const Job& job) const {
-  return job.placed == 0 || ctx_.env->now() - job.cancelled_at >= kStopPatience;
+  return job.placed == 0 || ctx_.env->now() - job.cancelled_at >= kTaskStopTimeoutSeconds;
 }
 
 CancellationReply Cancellation::on_job_cancelled(const CancellationNotice& notice) {
   const std::string prefix = keys::delegations(ctx_.shard, notice.ref);
-  bool noted = true;
+  bool acknowledged = true;
   for (auto it = model_.jobs().lower_bound(prefix);
        it != model_.jobs().end() && it->first.rfind(prefix, 0) == 0; ++it) {
     delegation_.drop_delegated(it->second);
-    noted = noted && tasks_stopped(*it->second);
+    acknowledged = acknowledged && tasks_stopped(*it->second);
     it->second->cancellation_acknowledged = true;
   }
   committer_.send_due_writes();
-  return {noted, ctx_.exclusive_owner(), ctx_.fencing_token};
+  return {acknowledged, ctx_.exclusive_owner(), ctx_.fencing_token};
 }
 
-bool Cancellation::record_seen_cancellations() {
+bool Cancellation::record_acknowledgements() {
   Transaction txn = committer_.guarded_transaction();
-  std::vector<JobPtr> noted;
-  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  std::vector<JobPtr> recorded;
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
   for (const auto& [key, job] : model_.jobs()) {
     if (!job->delegated_here() || !job->record.cancelled || job->cancellation_acknowledged ||
         job->cancellation_recorded || job->cleanup_inflight || job->progress_inflight || job->placed == 0 ||
-        ctx_.env->now() - job->cancelled_at < kWriteNote) {
+        ctx_.env->now() - job->cancelled_at < kAcknowledgementRecordDelaySeconds) {
       continue;
     }
-    if (txn.then.size() + 1 > most) break;
+    if (txn.then.size() + 1 > max_changes) break;
     Json record = delegation_.delegation_record(*job).to_json();
     if (static_cast<double>(dump_json(record).size()) > committer_.value_bytes())
       continue;  // it is only asked for then
     txn.guard(key, job->delegation_revision);
     txn.put(key, std::move(record));
     job->cancellation_recorded = job->progress_inflight = true;
-    noted.push_back(job);
+    recorded.push_back(job);
   }
-  if (noted.empty()) return false;
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [noted](std::uint64_t revision) {
-    for (const JobPtr& job : noted) {
-      job->progress_inflight = false;
-      job->delegation_revision = revision;
-    }
-  });
+  if (recorded.empty()) return false;
+  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn,
+                    [recorded](std::uint64_t revision) {
+                      for (const JobPtr& job : recorded) {
+                        job->progress_inflight = false;
+                        job->delegation_revision = revision;
+                      }
+                    });
   return true;
 }
 
--- a/src/coordination/shard/cancellation.hpp
+++ b/src/coordination/shard/cancellation.hpp
@@ -32,7 +32,7 @@
   // or shortly with 503. The job must be known.
   void cancel(const std::string& ref, Responder responder);
   // Writes the next cancellation that a user has asked for; false: there is none.
-  bool commit_cancels();
+  bool commit_cancellations();
   // At home: it is durable now, or was when it was loaded.
   void on_cancellation_durable(const JobPtr& job);
   // Looks at every cancellation that is not confirmed yet.
@@ -42,11 +42,11 @@
   CancellationReply on_job_cancelled(const CancellationNotice& notice);
   // Delegate: where the home cannot reach this leader, it reads that it knows. (A delegation without tasks on
   // machines is deleted instead.)
-  bool record_seen_cancellations();
+  bool record_acknowledgements();
 
  private:
   void ask_delegate(const JobPtr& job, int shard);
-  void check_owner_changed(const JobPtr& job, int shard, std::uint64_t noted);
+  void check_owner_changed(const JobPtr& job, int shard, std::uint64_t acknowledging_token);
   [[nodiscard]] bool tasks_stopped(const Job& job) const;
 
   const ShardContext& ctx_;
@@ -54,7 +54,7 @@
   RecordCommitter& committer_;
   TaskDelegation& delegation_;
   WorkerCommands& commands_;
-  CallbackGuard alive_;
+  CallbackGuard callback_guard_;
   bool cancellation_timer_armed_ = false;  // until the unconfirmed cancellations are looked at again
 };
 
--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -94,7 +94,7 @@
     if (offer.only_large && type >= 0 && rules_.fits_smaller_type(job, type)) continue;
     // Best-effort work does not travel where it would not be started, or where other work is to go.
     const bool unwelcome = offer.no_best_effort || (!offer.spot && spec.allows_spot);
-    if (unwelcome && rules_.is_preemptible(job) && !rules_.long_unplaced(job)) continue;
+    if (unwelcome && rules_.is_preemptible(job) && !rules_.is_long_unplaced(job)) continue;
     out.requests.push_back(each.request);
     out.requests.back().image_is_cached =
         std::find(offer.images.begin(), offer.images.end(), spec.image) != offer.images.end();
@@ -112,7 +112,7 @@
     const bool has_room = each.chosen < each.surplus && fits(job.demand, room);
     // Quota for a task of a starving job is saved up at the delegate.
     const bool has_quota = (job.demand[0] <= spare.cores && job.demand[2] <= spare.gpus) ||
-                           (rules_.starving(job) && each.chosen == 0);
+                           (rules_.is_starving(job) && each.chosen == 0);
     if (has_room && has_quota) {
       k++;
       continue;
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -275,7 +275,7 @@
     return;
   next_seek_ = now + kSeekEvery;
   for (const auto& [name, job] : model_.jobs()) {
-    if (job->delegated_here() || !gang_waits(*job) || !rules_.starving(*job)) continue;
+    if (job->delegated_here() || !gang_waits(*job) || !rules_.is_starving(*job)) continue;
     if (!capacity_for(*job).empty()) continue;
     asked_for_capacity_ = ctx_.next_shard(asked_for_capacity_);
     seeking_ = true;
@@ -326,7 +326,7 @@
     if (!quota) {
       // Room without quota is of no use: what is not needed of this shard's share moves along.
       quotas_.transfer_quota(job->team, request.shard, needs[0], needs[2], false);
-      if (!rules_.starving(*job)) continue;
+      if (!rules_.is_starving(*job)) continue;
     }
     for (const GangShare& share : shares) {
       for (std::size_t r = 0; r < needs.size(); r++) rooms[share.machine][r] -= share.tasks * job->demand[r];
--- a/src/coordination/shard/job_completion.cpp
+++ b/src/coordination/shard/job_completion.cpp
@@ -63,7 +63,7 @@
   };
   // A cancellation came in between: what belongs to other jobs is tried again.
   const auto conflict = [this, finished](const std::vector<std::string>& failed) {
-    if (!only_cancelled(failed)) return false;
+    if (!conflicts_only_with_cancellations(failed)) return false;
     for (const JobPtr& job : finished) job->finishing = false;
     return true;
   };
@@ -83,7 +83,7 @@
   model_.forget(ref);
 }
 
-bool JobCompletion::only_cancelled(const std::vector<std::string>& failed) const {
+bool JobCompletion::conflicts_only_with_cancellations(const std::vector<std::string>& failed) const {
   return std::all_of(failed.begin(), failed.end(), [this](const std::string& key) {
     const auto it = model_.jobs().find(key.substr(key.rfind('/') + 1));
     return key.rfind(keys::job_records(ctx_.shard), 0) == 0 &&
--- a/src/coordination/shard/job_completion.hpp
+++ b/src/coordination/shard/job_completion.hpp
@@ -25,7 +25,7 @@
   bool commit_endings();
   // Whether all that a write was refused for is that jobs of this shard were cancelled meanwhile; `failed`
   // holds the keys whose guards failed.
-  [[nodiscard]] bool only_cancelled(const std::vector<std::string>& failed) const;
+  [[nodiscard]] bool conflicts_only_with_cancellations(const std::vector<std::string>& failed) const;
   // Deletes what is left of cancelled jobs whose last task is known to be gone; false: there are none.
   bool commit_cancelled_cleanup();
 
--- a/src/coordination/shard/placement_rules.hpp
+++ b/src/coordination/shard/placement_rules.hpp
@@ -32,19 +32,19 @@
   // Nothing of the job has begun for long. Room on a machine that can hold its tasks, and its team's quota
   // share, are then saved up for it: small tasks that take every bit as it comes free would keep it waiting
   // for ever.
-  [[nodiscard]] bool starving(const Job& job) const;
+  [[nodiscard]] bool is_starving(const Job& job) const;
   // Teams whose quota share is saved up, and for which job: the one that has waited longest of those that one
   // of the shard's machines can hold.
-  [[nodiscard]] std::map<int, const Job*> quota_saved_for() const;
+  [[nodiscard]] std::map<int, const Job*> quota_reserved_for() const;
   // What has waited long comes first in the end, however the rest compares: no class, team or size is
   // starved. In units of preference; `wall` in seconds since the epoch.
-  [[nodiscard]] static double age_bonus(const Job& job, double wall);
+  [[nodiscard]] static double age_bonus(const Job& job, double wall_time);
   // Best-effort work, which is stopped for other work. What has waited long for its first task is not.
   [[nodiscard]] bool is_preemptible(const Job& job) const;
   // Of best-effort work nothing was placed for so long that any room will do: other work may be waiting for
   // something that this room is not. (The check of the simulated cluster's days: no job waits for 90 s beside
   // a machine with room.)
-  [[nodiscard]] bool long_unplaced(const Job& job) const;
+  [[nodiscard]] bool is_long_unplaced(const Job& job) const;
   // Waits for nothing but room: under its team's limit, and not at fault.
   [[nodiscard]] bool waits_for_room(const Job& job) const;
   // Greedy filling of freed slices keeps room for large tasks from gathering (as it does for gangs). A
@@ -55,16 +55,16 @@
  private:
   // Waiting tasks by whether they need a machine of a certain type or could as well go to a smaller one.
   struct WaitingBySize {
-    bool large = false;  // any
-    int large_urgency = -1;
-    bool large_starves = false;
-    int small_tasks = 0;
-    int small_urgency = 0;
-    Resources small_demand{};  // of each resource the most that one of them needs
+    bool has_large = false;  // any
+    int max_large_urgency = -1;
+    bool large_is_starving = false;
+    int small_task_count = 0;
+    int max_small_urgency = 0;
+    Resources max_small_demand{};  // of each resource the most that one of them needs
   };
   [[nodiscard]] bool needs_type(double least_cores, int type) const;
-  [[nodiscard]] static bool flexible(const Job& job);
-  [[nodiscard]] bool avoids(const Job& job, const Machine& machine) const;
+  [[nodiscard]] static bool is_flexible(const Job& job);
+  [[nodiscard]] bool avoids_machine(const Job& job, const Machine& machine) const;
   void add_waiting_here(const Machine& machine, WaitingBySize& out) const;
   void add_waiting_elsewhere(const Machine& machine, WaitingBySize& out) const;
   [[nodiscard]] int slots_on_smaller_types(const Machine& machine, const Resources& demand) const;
--- a/src/coordination/shard/preemptor.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -70,7 +70,7 @@
 }
 
 bool Preemptor::open_to_best_effort(const Job& job, const Machine& machine, bool is_quiet) const {
-  if (rules_.long_unplaced(job)) return true;
+  if (rules_.is_long_unplaced(job)) return true;
   const bool wanted_now = machine.last_wanted_at == ctx_.env->now();
   const bool short_task = job.spec().estimated_s <= kShortTask;
   if (short_task ? wanted_now : !is_quiet || beyond_headroom_ < job.demand[0]) return false;
--- a/src/coordination/shard/progress_records.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -111,7 +111,7 @@
   const auto done = [this, written](std::uint64_t revision) { on_progress_written(written, revision); };
   // A cancellation came in between: what belongs to other jobs is tried again.
   const auto conflict = [this, written](const std::vector<std::string>& failed) {
-    if (!completion_.only_cancelled(failed)) return false;
+    if (!completion_.conflicts_only_with_cancellations(failed)) return false;
     for (const JobProgress& progress : written) {
       progress.job->progress_inflight = false;
       progress.job->fold_due = true;
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -75,7 +75,7 @@
 }
 
 void QuotaShares::note_shortage(const Job& job) {
-  if (rules_.starving(job)) {
+  if (rules_.is_starving(job)) {
     // All that others can spare is for one task of it.
     short_of_[job.team] = job.start_demand();
     starving_teams_.insert(job.team);
@@ -124,7 +124,7 @@
 void QuotaShares::on_quota_request(const QuotaRequest& request) {
   const int to = request.shard;
   if (to < 0 || to >= ctx_.shard_count || to == ctx_.shard) return;
-  const std::map<int, const Job*> saved_for = rules_.quota_saved_for();
+  const std::map<int, const Job*> saved_for = rules_.quota_reserved_for();
   for (const QuotaWant& want : request.wants) {
     // Two that save up for the same team would hand it to and fro: the lower shard number goes first.
     if (saved_for.count(want.team) > 0 && (!want.starving || to > ctx_.shard)) continue;
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -171,7 +171,7 @@
   if (!model_.active() || sending_) return;
   sending_ = true;
   const auto room = [this](RecordCommitter::Slot slot) { return committer_.has_room(slot); };
-  while (room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancels()) {
+  while (room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancellations()) {
   }
   if (journal_.has_freed_placements()) journal_.release_freed();
   journal_.write_journal();
@@ -180,7 +180,7 @@
   while (room(RecordCommitter::kDoneSlot) && delegation_.commit_delegations()) {
   }
   while (room(RecordCommitter::kRestSlot) &&
-         (completion_.commit_cancelled_cleanup() || cancellation_.record_seen_cancellations() ||
+         (completion_.commit_cancelled_cleanup() || cancellation_.record_acknowledgements() ||
           progress_.commit_discarded())) {
   }
   sending_ = false;
--- a/src/coordination/shard/summary_builder.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -108,7 +108,7 @@
   if (spec.machine_types) out.machine_types = *spec.machine_types;
   if (spec.zone) out.zone = *spec.zone;
   out.submitted = job.record.submitted_at;
-  out.starving = rules_.starving(job);
+  out.starving = rules_.is_starving(job);
   out.gang = job.is_gang();
   return out;
 }
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -179,7 +179,7 @@
 
 // Waiting tasks that found no place here for long go home, unless others of the job are bound to stay.
 bool TaskDelegation::gives_back(const Job& job) const {
-  const double patience = !rules_.starving(job) ? kGiveBack : job.is_gang() ? kGatherGang : kSaveUp;
+  const double patience = !rules_.is_starving(job) ? kGiveBack : job.is_gang() ? kGatherGang : kSaveUp;
   return !job.waiting.empty() && ctx_.env->now() - job.idle_since > patience &&
          (!job.has_placement_constraints() || (job.placed == 0 && job.backoff.empty()));
 }
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -13,9 +13,10 @@
 namespace mothslip {
 
 namespace {
-constexpr double kLeastCores = 0.01;     // less is no room at all
-constexpr double kEstimateMargin = 1.3;  // estimates are often too low
-constexpr double kAnswerPatience = 1.2;  // workers drop answers after 4 s; committing rarely takes this long
+constexpr double kMinFreeCores = 0.01;          // less is no room at all
+constexpr double kRuntimeEstimateFactor = 1.3;  // estimates are often too low
+constexpr double kMaxAnswerDelaySeconds =
+    1.2;  // workers drop answers after 4 s; committing rarely takes this long
 constexpr double kGuaranteeBonus = 0.5;
 }  // namespace
 
@@ -34,7 +35,7 @@
 void TaskPlacement::schedule_fill() {
   if (fill_scheduled_ || !model_.active()) return;
   fill_scheduled_ = true;
-  ctx_.env->after(0, alive_([this] {
+  ctx_.env->after(0, callback_guard_([this] {
                     fill_scheduled_ = false;
                     fill_held_machines();
                     committer_.send_due_writes();
@@ -55,11 +56,11 @@
   }
   std::stable_sort(held.begin(), held.end(), [](const auto& a, const auto& b) { return a.first < b.first; });
   for (const auto& [fetches, machine] : held) {
-    const std::size_t before = machine->placements.size();
+    const std::size_t placements_before = machine->placements.size();
     fill(*machine);
-    if (machine->placements.size() == before) continue;
+    if (machine->placements.size() == placements_before) continue;
     machine->report_held = false;
-    machine->answer_by = ctx_.env->now() + kAnswerPatience;
+    machine->answer_by = ctx_.env->now() + kMaxAnswerDelaySeconds;
   }
 }
 
@@ -69,7 +70,7 @@
   // more.
   if (!machine.token_acknowledged) return false;
   if (committer_.state_silent() || !ctx_.exclusive_owner()) return false;
-  return fits({kLeastCores, 0, 0}, machine.room);
+  return fits({kMinFreeCores, 0, 0}, machine.room);
 }
 
 // The job has tasks that may be started now, room and quota apart.
@@ -85,17 +86,18 @@
 
 // Notes where the team's quota share is too small.
 bool TaskPlacement::has_quota(const Job& job, const FillPass& pass) {
-  const auto saved = pass.quota_saved_for.find(job.team);
-  if (rules_.within_quota(job)) return saved == pass.quota_saved_for.end();
-  if (saved == pass.quota_saved_for.end() || saved->second == &job) quotas_.note_shortage(job);
+  const auto reservation = pass.quota_reserved_for.find(job.team);
+  if (rules_.within_quota(job)) return reservation == pass.quota_reserved_for.end();
+  if (reservation == pass.quota_reserved_for.end() || reservation->second == &job) quotas_.note_shortage(job);
   return false;
 }
 
 bool TaskPlacement::is_candidate(const Job& job, const Machine& machine, const FillPass& pass) {
   if (!may_start(job, machine) || !has_quota(job, pass)) return false;
   // Others have room for what can go anywhere; what cannot is still taken.
-  if ((machine.cordoned || pass.keep_for_large) && rules_.fits_smaller_type(job, machine.type)) return false;
-  return !rules_.is_preemptible(job) || preemptor_.open_to_best_effort(job, machine, pass.quiet);
+  if ((machine.cordoned || pass.reserved_for_large) && rules_.fits_smaller_type(job, machine.type))
+    return false;
+  return !rules_.is_preemptible(job) || preemptor_.open_to_best_effort(job, machine, pass.no_recent_demand);
 }
 
 ResourceRequest TaskPlacement::request_for(const Job& job, const Machine& machine) const {
@@ -107,7 +109,7 @@
   if (spec.deadline_s) {
     const double time_left_s = job.record.submitted_at + *spec.deadline_s - ctx_.env->wall_time();
     out.pressure =
-        deadline_pressure(time_left_s, kEstimateMargin * std::max(1.0, spec.estimated_s) + fetch_s);
+        deadline_pressure(time_left_s, kRuntimeEstimateFactor * std::max(1.0, spec.estimated_s) + fetch_s);
   }
   return out;
 }
@@ -115,32 +117,32 @@
 void TaskPlacement::fill(Machine& machine) {
   if (!may_fill(machine)) return;
   FillPass pass;
-  pass.keep_for_large = rules_.reserves_for_large(machine);
-  pass.quota_saved_for = rules_.quota_saved_for();
-  pass.quiet = preemptor_.best_effort_here() && preemptor_.quiet(machine);
-  Candidates first;
-  Candidates best_effort;  // placed in what the others leave
+  pass.reserved_for_large = rules_.reserves_for_large(machine);
+  pass.quota_reserved_for = rules_.quota_reserved_for();
+  pass.no_recent_demand = preemptor_.best_effort_here() && preemptor_.quiet(machine);
+  Candidates non_preemptible;
+  Candidates preemptible;  // placed in what the others leave
   for (const auto& [name, job] : model_.jobs()) {
     if (!is_candidate(*job, machine, pass)) continue;
-    Candidates& candidates = rules_.is_preemptible(*job) ? best_effort : first;
+    Candidates& candidates = rules_.is_preemptible(*job) ? preemptible : non_preemptible;
     candidates.requests.push_back(request_for(*job, machine));
     candidates.jobs.push_back(job);
   }
-  place_greedily(machine, first);
-  place_greedily(machine, best_effort);
+  place_greedily(machine, non_preemptible);
+  place_greedily(machine, preemptible);
 }
 
 // Drops the jobs of which nothing may be placed any more, and brings the requests of the others up to date.
 void TaskPlacement::update_requests(const Machine& machine, Candidates& candidates) const {
   auto& [requests, jobs] = candidates;
-  const double wall = ctx_.env->wall_time();
+  const double wall_time = ctx_.env->wall_time();
   for (std::size_t i = 0; i < requests.size();) {
     const Job& job = *jobs[i];
     const JobSpec& spec = job.spec();
-    const bool out = job.waiting.empty() || !fits(job.demand, machine.room) ||
-                     !rules_.allowed_on(job, machine) || !rules_.within_quota(job) ||
-                     (job.is_faulty() && job.placed > 0);
-    if (out) {
+    const bool is_excluded = job.waiting.empty() || !fits(job.demand, machine.room) ||
+                             !rules_.allowed_on(job, machine) || !rules_.within_quota(job) ||
+                             (job.is_faulty() && job.placed > 0);
+    if (is_excluded) {
       requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(i));
       jobs.erase(jobs.begin() + static_cast<std::ptrdiff_t>(i));
       continue;
@@ -151,7 +153,7 @@
     request.nothing_placed = job.placed == 0 && job.done.empty();
     request.bonus = PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) +
                     (model_.teams().within_guarantee(job.team, job.demand) ? kGuaranteeBonus : 0) +
-                    rules_.age_bonus(job, wall);
+                    rules_.age_bonus(job, wall_time);
     i++;
   }
 }
--- a/src/coordination/shard/task_placement.hpp
+++ b/src/coordination/shard/task_placement.hpp
@@ -39,9 +39,9 @@
   };
   // What holds for all jobs while one machine is filled.
   struct FillPass {
-    bool keep_for_large = false;                // no tasks that fit a smaller machine type
-    std::map<int, const Job*> quota_saved_for;  // by team
-    bool quiet = false;                         // best-effort work may start
+    bool reserved_for_large = false;               // no tasks that fit a smaller machine type
+    std::map<int, const Job*> quota_reserved_for;  // by team
+    bool no_recent_demand = false;                 // best-effort work may start
   };
   void fill_held_machines();
   [[nodiscard]] bool has_image_of_waiting_job(const Machine& machine) const;
@@ -61,7 +61,7 @@
   GangScheduler& gangs_;
   Preemptor& preemptor_;
   QuotaShares& quotas_;
-  CallbackGuard alive_;
+  CallbackGuard callback_guard_;
   bool fill_scheduled_ = false;
 };
 
--- a/src/coordination/shard/worker_commands.cpp
+++ b/src/coordination/shard/worker_commands.cpp
@@ -10,15 +10,15 @@
 namespace mothslip {
 
 namespace {
-constexpr double kDirectTimeoutS = 3.0;         // of a direct command
-constexpr int kAnnouncementsAtOnce = 16;        // of the fencing token
-constexpr double kAnnouncementIntervalS = 3.5;  // to one machine
+constexpr double kDirectCommandTimeoutSeconds = 3.0;  // of a direct command
+constexpr int kMaxConcurrentAnnouncements = 16;       // of the fencing token
+constexpr double kAnnouncementIntervalSeconds = 3.5;  // to one machine
 // The machine will be taken away: what can checkpoint does so now and goes on elsewhere.
-bool checkpoints_before_eviction(const Machine& machine, const Placement& placement) {
-  const bool goes = machine.evicted_at || (machine.draining && machine.faulty);
+bool must_checkpoint_before_removal(const Machine& machine, const Placement& placement) {
+  const bool will_be_removed = machine.evicted_at || (machine.draining && machine.faulty);
   // (A gang is stopped as a whole.)
-  return goes && placement.phase == TaskPhase::kRunning && placement.job->spec().can_checkpoint() &&
-         !placement.job->is_gang();
+  return will_be_removed && placement.phase == TaskPhase::kRunning &&
+         placement.job->spec().can_checkpoint() && !placement.job->is_gang();
 }
 }  // namespace
 
@@ -53,7 +53,7 @@
     if (placement.stage != Placement::Stage::kRecorded) continue;
     if (placement.seen_sequence == machine.sequence && machine.sequence != 0) {
       add_stop_order(machine, placement, orders);
-    } else if (may_launch && launch_wanted(placement)) {
+    } else if (may_launch && should_launch(placement)) {
       if (placement.sent_sequence != 0) {
         model_.counters().relaunches++;
         if (!relaunched) machine.ineffective_launches++;
@@ -75,18 +75,18 @@
 void WorkerCommands::add_stop_order(const Machine& machine, const Placement& placement,
                                     std::vector<Order>& orders) {
   const JobSpec& spec = placement.job->spec();
-  auto grace_s = stop_wanted(placement);
-  if (!grace_s && !placement.preempted && checkpoints_before_eviction(machine, placement))
+  auto grace_s = requested_stop_grace_s(placement);
+  if (!grace_s && !placement.preempted && must_checkpoint_before_removal(machine, placement))
     grace_s = stop_grace_s(spec);
   if (grace_s)
     orders.push_back({Order::Verb::kStop, task_name(spec.ref, placement.index), placement.attempt, *grace_s});
 }
 
-bool WorkerCommands::launch_wanted(const Placement& placement) const {
+bool WorkerCommands::should_launch(const Placement& placement) const {
   const Job& job = *placement.job;
-  const bool unwanted =
+  const bool is_unwanted =
       job.cancel_requested() || job.done.contains(placement.index) || gangs_.attempt_over(job);
-  return !unwanted && !placement.preempted && gangs_.gang_may_be_launched(job);
+  return !is_unwanted && !placement.preempted && gangs_.gang_may_be_launched(job);
 }
 
 // For a task that the machine shows and that is not placed there: it is stopped, or, once it has exited, its
@@ -96,27 +96,28 @@
   const std::string name = task_name(task.ref, task.index);
   if (task.phase != TaskPhase::kExited) return Order{Order::Verb::kStop, name, task.attempt, 0};
   const JobPtr job = model_.find_task(task.ref, task.index);
-  const bool held =
+  const bool is_placed =
       std::any_of(machine.placements.begin(), machine.placements.end(), [&task](const Placement& placement) {
         return placement.attempt == task.attempt && placement.index == task.index;
       });
   const bool lost_if_acknowledged = task.cause == ExitCause::kDone && job != nullptr &&
                                     !job->record.cancelled && !job->is_durable(task.index);
-  if (held || lost_if_acknowledged) return std::nullopt;
+  if (is_placed || lost_if_acknowledged) return std::nullopt;
   return Order{Order::Verb::kAcknowledgeExit, name, task.attempt, 0};
 }
 
 void WorkerCommands::send_direct(Machine& machine, const std::vector<Order>& orders, bool announces_token) {
   if (machine.direct_inflight) return;
   machine.direct_inflight = true;
-  announcing_ += announces_token ? 1 : 0;
+  announcements_inflight_ += announces_token ? 1 : 0;
   HttpCall call{machine.record.address, "POST", "/commands",
-                orders_body(ctx_.fencing_token, machine.record.worker_incarnation, orders), kDirectTimeoutS};
+                orders_body(ctx_.fencing_token, machine.record.worker_incarnation, orders),
+                kDirectCommandTimeoutSeconds};
   call.keep_alive = false;
   ctx_.env->call(std::move(call),
-                 alive_([this, name = machine.name, announces_token](const HttpReply& reply) {
+                 callback_guard_([this, name = machine.name, announces_token](const HttpReply& reply) {
                    if (announces_token) {
-                     announcing_--;
+                     announcements_inflight_--;
                      announce_fencing_token();
                    }
                    const auto it = model_.machines().find(name);
@@ -138,13 +139,14 @@
 }
 
 void WorkerCommands::announce_fencing_token() {
-  if (!model_.active() || announcing_ >= kAnnouncementsAtOnce) return;
+  if (!model_.active() || announcements_inflight_ >= kMaxConcurrentAnnouncements) return;
   const double now = ctx_.env->now();
   std::vector<Machine*> due;
   for (auto& [name, machine] : model_.machines()) {
-    const bool tried = machine->last_token_announcement_at != 0 &&
-                       now - machine->last_token_announcement_at < kAnnouncementIntervalS;
-    if (machine->token_acknowledged || machine->placements.empty() || machine->direct_inflight || tried)
+    const bool recently_announced = machine->last_token_announcement_at != 0 &&
+                                    now - machine->last_token_announcement_at < kAnnouncementIntervalSeconds;
+    if (machine->token_acknowledged || machine->placements.empty() || machine->direct_inflight ||
+        recently_announced)
       continue;
     due.push_back(machine.get());
   }
@@ -153,19 +155,19 @@
                                               : a->last_token_announcement_at < b->last_token_announcement_at;
   });
   for (Machine* machine : due) {
-    if (announcing_ >= kAnnouncementsAtOnce) return;
+    if (announcements_inflight_ >= kMaxConcurrentAnnouncements) return;
     machine->last_token_announcement_at = now;
     send_direct(*machine, {}, true);
   }
 }
 
 // With which grace period, in seconds, the task is to be stopped, if it is.
-std::optional<double> WorkerCommands::stop_wanted(const Placement& placement) {
+std::optional<double> WorkerCommands::requested_stop_grace_s(const Placement& placement) {
   const Job& job = *placement.job;
   if (job.cancel_requested() || job.done.contains(placement.index) || job.attempt.failed) return 0;
-  const bool gracefully = placement.preempted || (job.attempt.stopping && job.attempt.stop_recorded);
+  const bool stops_gracefully = placement.preempted || (job.attempt.stopping && job.attempt.stop_recorded);
   // (Whether a second stop ends a task that is checkpointing already is not said.)
-  if (!gracefully || placement.phase == TaskPhase::kCheckpointing) return std::nullopt;
+  if (!stops_gracefully || placement.phase == TaskPhase::kCheckpointing) return std::nullopt;
   return stop_grace_s(job.spec());
 }
 
@@ -184,10 +186,10 @@
   for (const Placement& placement : machine.placements) {
     const Job& job = *placement.job;
     if (placement.stage != Placement::Stage::kRecorded) continue;
-    const auto grace = stop_wanted(placement);
-    if (grace)
+    const auto grace_s = requested_stop_grace_s(placement);
+    if (grace_s)
       orders.push_back(
-          {Order::Verb::kStop, task_name(job.spec().ref, placement.index), placement.attempt, *grace});
+          {Order::Verb::kStop, task_name(job.spec().ref, placement.index), placement.attempt, *grace_s});
   }
   if (!orders.empty()) send_direct(machine, orders);
 }
--- a/src/coordination/shard/worker_commands.hpp
+++ b/src/coordination/shard/worker_commands.hpp
@@ -35,20 +35,20 @@
  private:
   std::vector<Order> orders_for(Machine& machine);
   static void add_stop_order(const Machine& machine, const Placement& placement, std::vector<Order>& orders);
-  [[nodiscard]] bool launch_wanted(const Placement& placement) const;
+  [[nodiscard]] bool should_launch(const Placement& placement) const;
   [[nodiscard]] std::optional<Order> order_for_unmatched(const Machine& machine,
                                                          const TaskReport& task) const;
   void on_direct_answer(Machine& machine, const HttpReply& reply);
   void send_direct(Machine& machine, const std::vector<Order>& orders, bool announces_token = false);
-  [[nodiscard]] static std::optional<double> stop_wanted(const Placement& placement);
+  [[nodiscard]] static std::optional<double> requested_stop_grace_s(const Placement& placement);
 
   const ShardContext& ctx_;
   ShardModel& model_;
   RecordCommitter& committer_;
   GangScheduler& gangs_;
   WorkerLiveness& liveness_;
-  CallbackGuard alive_;
-  int announcing_ = 0;  // direct commands under way that only show the fencing token
+  CallbackGuard callback_guard_;
+  int announcements_inflight_ = 0;  // direct commands under way that only show the fencing token
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/worker_liveness.hpp
+++ b/src/coordination/shard/worker_liveness.hpp
@@ -25,27 +25,28 @@
 
   // Works a report into the books. `direct`: it answered /commands, so a launch in the answer to an ordinary
   // report may still be on its way, and what is missing proves nothing about launches that were sent.
-  bool apply_heartbeat(Machine& machine, const Report& report, bool direct);
+  bool apply_heartbeat(Machine& machine, const Report& report, bool is_direct_answer);
 
  private:
   // By attempt and task index.
   using TaskReports = std::map<std::pair<std::uint64_t, int>, const TaskReport*>;
-  [[nodiscard]] bool shows_our_token(const Report& report) const {
+  [[nodiscard]] bool acknowledges_token(const Report& report) const {
     return report.fencing_token == ctx_.fencing_token;
   }
-  [[nodiscard]] static bool is_news(const Machine& machine, const Report& report);
-  void note_contact(Machine& machine, const Report& report) const;
-  void note_eviction_notice(Machine& machine, const Report& report) const;
-  std::vector<const TaskReport*> match_placements(Machine& machine, const Report& report, bool direct,
-                                                  TaskReports& unmatched);
+  [[nodiscard]] static bool is_newer_report(const Machine& machine, const Report& report);
+  void update_contact(Machine& machine, const Report& report) const;
+  void update_eviction_notice(Machine& machine, const Report& report) const;
+  std::vector<const TaskReport*> match_placements(Machine& machine, const Report& report,
+                                                  bool is_direct_answer, TaskReports& unmatched);
   void update_placement(Machine& machine, Placement& placement, const TaskReport& task) const;
-  void free_if_missing(const Machine& machine, Placement& placement, const Report& report, bool direct);
+  void free_missing_placement(const Machine& machine, Placement& placement, const Report& report,
+                              bool is_direct_answer);
   void apply_exits(Machine& machine, const std::vector<const TaskReport*>& exits);
-  void note_unmatched_completions(const TaskReports& unmatched);
+  void apply_unmatched_completions(const TaskReports& unmatched);
   void begin_incarnation(Machine& machine, std::uint64_t worker_incarnation);
   void evaluate_reachability(Machine& machine);
   void on_exit(Machine& machine, Placement& placement, ExitCause cause);
-  void back_off_failing_job(Job& job);
+  void back_off_faulty_job(Job& job);
 
   const ShardContext& ctx_;
   ShardModel& model_;
