--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -13,19 +13,22 @@
 namespace mothslip {
 
 namespace {
-// Launches sent in vain, one report after the other: not a lost answer.
+// A machine is unreachable after this number of launches, in answers to consecutive reports, that had no
+// effect. A lost answer does not explain so many.
 constexpr int kMaxIneffectiveLaunches = 3;
-constexpr int kMinJobsFailedOnlyHere = 2;      // jobs
-constexpr double kMinTrialDelaySeconds = 5.0;  // between two tries of a job that fails on every machine
+// A machine is faulty if at least this number of jobs has failed on it and on no other machine.
+constexpr int kMinJobsFailedOnlyHere = 2;
+// Bounds of the delay between two trials of a job that fails on every machine.
+constexpr double kMinTrialDelaySeconds = 5.0;
 constexpr double kMaxTrialDelaySeconds = 60.0;
 }  // namespace
 
 WorkerLiveness::WorkerLiveness(const ShardContext& context, ShardModel& model, GangScheduler& gangs)
     : ctx_(context), model_(model), gangs_(gangs) {}
 
-// Reports are ordered by the worker's incarnation and the sequence number within it.
+// Reports are ordered by the worker's incarnation, and by the sequence number within an incarnation.
 bool WorkerLiveness::is_newer_report(const Machine& machine, const Report& report) {
-  // What an earlier leader has recorded of the machine counts, too.
+  // The recorded incarnation may come from an earlier leader, and also counts.
   if (report.worker_incarnation < machine.record.worker_incarnation) return false;
   return !machine.has_reported || std::pair(report.worker_incarnation, report.sequence) >
                                       std::pair(machine.record.worker_incarnation, machine.sequence);
@@ -51,7 +54,8 @@
   if (!report.eviction_notice_s) {
     machine.evicted_at.reset();
   } else if (!machine.evicted_at) {
-    spdlog::info("{} will be evicted in {} s", machine.name, *report.eviction_notice_s);
+    spdlog::info("machine {}: will be evicted in {} s, no new tasks are placed on it", machine.name,
+                 *report.eviction_notice_s);
     machine.evicted_at = ctx_.env->now() + *report.eviction_notice_s;
   }
 }
@@ -63,7 +67,7 @@
   if (report.worker_incarnation > machine.record.worker_incarnation)
     begin_incarnation(machine, report.worker_incarnation);
 
-  // (The tasks of a gang share an attempt number.)
+  // The attempt number alone is not a unique key, because the tasks of a gang share it.
   TaskReports unmatched;
   for (const TaskReport& task : report.tasks) unmatched.emplace(std::pair(task.attempt, task.index), &task);
   const std::vector<const TaskReport*> exits = match_placements(machine, report, is_direct_answer, unmatched);
@@ -77,8 +81,8 @@
   return true;
 }
 
-// Works what the report says of each placement into the model. Takes the reports of tasks that are placed out
-// of `unmatched`, and returns those of tasks that have exited.
+// Applies the report to each placement. Removes the reports of placed tasks from `unmatched`, and returns
+// those of placed tasks that have exited.
 std::vector<const TaskReport*> WorkerLiveness::match_placements(Machine& machine, const Report& report,
                                                                 bool is_direct_answer,
                                                                 TaskReports& unmatched) {
@@ -116,8 +120,8 @@
   placement.phase = task.phase;
 }
 
-// (a) the task is missing from a report that shows this leader's fencing token. It is given up where no
-// launch of it can still be on its way and nobody wants it launched again.
+// Handles a placement whose task is missing from a report that carries this leader's fencing token. Frees the
+// placement if no launch of the task can still be in flight and the task must not be launched again.
 void WorkerLiveness::free_missing_placement(const Machine& machine, Placement& placement,
                                             const Report& report, bool is_direct_answer) {
   if (placement.stage != Placement::Stage::kRecorded) return;
@@ -143,7 +147,8 @@
   std::erase_if(machine.placements, [](const Placement& p) { return p.job == nullptr; });
 }
 
-// Completed under a record that is gone, or taken over before it was noted: the work is done all the same.
+// Handles tasks whose placement is no longer recorded, or was taken over from an earlier leader before the
+// completion was recorded. Their work is done in both cases, so the completions count.
 void WorkerLiveness::apply_unmatched_completions(const TaskReports& unmatched) {
   for (const auto& [attempt, task] : unmatched) {
     if (task->phase != TaskPhase::kExited || task->cause != ExitCause::kDone) continue;
@@ -153,7 +158,8 @@
   }
 }
 
-// (b) the incarnation that the placements belonged to is over: all are gone, launched or not.
+// Frees all placements of the machine: the incarnation to which they belonged is over, so their tasks are
+// gone whether they had been launched or not.
 void WorkerLiveness::begin_incarnation(Machine& machine, std::uint64_t worker_incarnation) {
   const double now = ctx_.env->now();
   std::size_t freed = 0;
@@ -163,12 +169,15 @@
     freed++;
   }
   if (freed > 0)
-    spdlog::info("{} is in incarnation {}: {} placements freed", machine.name, worker_incarnation, freed);
+    spdlog::info("machine {}: the worker has started incarnation {}, {} earlier placements freed",
+                 machine.name, worker_incarnation, freed);
   model_.counters().freed_by_incarnation += freed;
-  // Its lease expired although it was answered. Once, that is a cut or a hang; while its reports came all
-  // the time, or once more, the answers do not arrive. (A worker without answers goes from node to node: it
-  // is heard seldom.)
-  // Reports that a cut held back come all at once when it ends: they show nothing of the kind.
+  // The worker's lease expired although its reports were answered. A single expiry can be due to a network
+  // partition or a hang. Answers do not reach the worker if its reports arrived steadily throughout, or if
+  // the lease expires this way a second time. The second case is needed because a worker that receives no
+  // answers moves from node to node, and its reports arrive only seldom. An incarnation that seems shorter
+  // than half a lease does not count: the reports that a partition held back arrive all at once when it ends,
+  // and prove nothing about the answers.
   const bool was_answered = machine.last_answer_at >= machine.incarnation_since;
   const bool outlasted_half_lease = now - machine.incarnation_since > ctx_.settings->lease_s / 2;
   const bool reported_steadily = now - machine.steady_since > 0.8 * ctx_.settings->lease_s;
@@ -177,40 +186,44 @@
       machine.expired_incarnations >= 2) {
     if (!machine.inbound_unreachable) {
       machine.inbound_unreachable_since = now;
-      spdlog::info("{} is unreachable (inbound): its leases expire while it reports", machine.name);
+      spdlog::info(
+          "machine {}: answers do not reach it, its leases expire although it reports; not used for now",
+          machine.name);
     }
     machine.inbound_unreachable = true;
   }
   machine.record.worker_incarnation = worker_incarnation;
-  machine.last_answer_at = std::max(machine.last_answer_at, now);  // its lease counts from its beginning
+  machine.last_answer_at = std::max(machine.last_answer_at, now);  // the new lease counts from now
   machine.incarnation_since = now;
   machine.ineffective_launches = 0;
   machine.images.clear();
 }
 
-// A worker starts a new incarnation when no answer reached it for its lease; an incarnation older than that
-// has heard one.
+// A worker starts a new incarnation when it has received no answer for the duration of its lease. An
+// incarnation that outlasts the lease has therefore received one.
 void WorkerLiveness::evaluate_reachability(Machine& machine) {
   const double now = ctx_.env->now();
   if (!machine.inbound_unreachable && machine.ineffective_launches >= kMaxIneffectiveLaunches) {
     machine.inbound_unreachable = true;
     machine.inbound_unreachable_since = machine.incarnation_since = now;
     machine.ineffective_launches = 0;
-    // What it was sent in vain has not begun, and no answer to an older report can begin it any more (a).
+    // The last report lacks the tasks of these launches, and no answer to an older report can start them any
+    // more. Their placements are therefore freed.
     for (Placement& placement : machine.placements) {
       const bool is_missing =
           placement.seen_sequence != machine.sequence && placement.sent_sequence < machine.sequence;
       if (placement.stage == Placement::Stage::kRecorded && is_missing && placement.sent_sequence != 0)
         model_.free_placement(placement, 0);
     }
-    spdlog::info("{} is unreachable (inbound): {} launches had no effect", machine.name,
-                 kMaxIneffectiveLaunches);
+    spdlog::info(
+        "machine {}: answers do not reach it, {} consecutive launches had no effect; not used for now",
+        machine.name, kMaxIneffectiveLaunches);
   }
   if (machine.expired_incarnations > 0 && now - machine.incarnation_since > ctx_.worker_lease_bound_s())
     machine.expired_incarnations = 0;
   if (machine.inbound_unreachable && now - machine.incarnation_since > ctx_.worker_lease_bound_s()) {
     machine.inbound_unreachable = false;
-    spdlog::info("{} is reachable again", machine.name);
+    spdlog::info("machine {}: answers reach it again", machine.name);
   }
 }
 
@@ -222,7 +235,8 @@
     machine.error_streak = 0;
     machine.failed_jobs.clear();
     model_.mark_done(job, placement.index);
-    // Not launched again by anyone: it is shown as exited until reaped, and that waits for durability.
+    // No leader launches the task again: the worker reports it as exited until the exit is acknowledged, and
+    // that happens only once the completion is durable.
     model_.release_room(machine, *job);
     placement.job = nullptr;
     return;
@@ -245,9 +259,10 @@
         machine.failed_jobs.end()) {
       machine.failed_jobs.push_back(job->spec().ref);
     }
-    // One job that fails again and again is its own fault. Several that have failed nowhere else are the
-    // machine's, and so is a first streak on a machine while the job completes elsewhere. (Two jobs submitted
-    // with a mistake may well meet on one machine.)
+    // Repeated failures of one job do not show that the machine is faulty. The machine is faulty if several
+    // jobs have failed on it and on no other machine, or if it fails at least two tasks in a row while the
+    // job completes tasks elsewhere. Jobs that have also failed elsewhere do not count, because two jobs that
+    // were submitted with a mistake may well run on the same machine.
     const auto failed_only_here =
         std::count_if(machine.failed_jobs.begin(), machine.failed_jobs.end(),
                       [this](const std::string& ref) { return model_.failed_on_one(ref); });
@@ -255,32 +270,36 @@
     const bool fails_working_job =
         machine.error_streak >= 2 && (job->succeeded_elsewhere || !job->done.empty());
     if (!machine.faulty && (several_jobs_failed || fails_working_job)) {
-      spdlog::warn("{} fails what it starts ({} in a row): not used any more", machine.name,
+      spdlog::warn("machine {}: faulty, {} tasks in a row have failed on it; no longer used", machine.name,
                    machine.error_streak);
       machine.faulty = true;
     }
     machine.no_fill_until = ctx_.env->now() + std::min(8.0, 1.0 * machine.error_streak);
     delay_s = machine.faulty ? 0 : std::min(30.0, 0.5 * std::pow(2.0, std::min(job->error_streak, 6)));
-    spdlog::info("{} failed on {} (attempt {})", task_name(job->spec().ref, placement.index), machine.name,
-                 placement.attempt);
+    spdlog::info("task {}: failed on machine {} (attempt {}), to be retried",
+                 task_name(job->spec().ref, placement.index), machine.name, placement.attempt);
   } else if (cause == ExitCause::kGangPeerLost || cause == ExitCause::kGangIncomplete) {
-    job->fail_attempt();  // neither the machine's fault nor the job's
+    job->fail_attempt();  // neither the machine nor the job is faulty
   } else if (cause != ExitCause::kStopped) {
-    spdlog::info("{} refused by {}: cause {}", task_name(job->spec().ref, placement.index), machine.name,
-                 static_cast<int>(cause));
+    spdlog::info("task {}: not run by machine {} (exit cause {}), to be retried",
+                 task_name(job->spec().ref, placement.index), machine.name, static_cast<int>(cause));
     machine.no_fill_until = ctx_.env->now() + 2;
     delay_s = 1;
   }
   model_.free_placement(placement, delay_s);
 }
 
-// It fails wherever it is tried: the machines are cleared, and one task of it is tried now and then, until it
-// works or its user cancels it. (Incident db4e: five jobs submitted with a mistake failed 1 974 times within
-// minutes, and 156 good machines on which two of them had met were given back as faulty.)
+// Handles an error of a job that fails on every machine. Its failures no longer count against the machines,
+// and one of its tasks is retried at growing intervals until it succeeds or the user cancels the job. Before
+// this rule, in incident db4e, five jobs submitted with a mistake failed 1 974 times within minutes, and 156
+// good machines on each of which two of these jobs had run were returned as faulty.
 void WorkerLiveness::back_off_faulty_job(Job& job) {
   const std::string& ref = job.spec().ref;
-  if (job.trial_delay_s == 0) spdlog::info("{} fails on every machine: tried now and then", ref);
-  // (What had started before it was found at fault fails within the first pause and does not lengthen it.)
+  if (job.trial_delay_s == 0)
+    spdlog::info(
+        "job {}: faulty, it fails on every machine; one task at a time is retried at growing intervals", ref);
+  // Tasks that started before the job was found to be faulty fail within the first delay and do not lengthen
+  // it.
   if (ctx_.env->now() >= job.next_trial_at) {
     job.trial_delay_s = std::clamp(job.trial_delay_s * 2, kMinTrialDelaySeconds, kMaxTrialDelaySeconds);
     job.next_trial_at = ctx_.env->now() + job.trial_delay_s;
@@ -308,7 +327,7 @@
     freed++;
   }
   if (freed == 0) return;
-  spdlog::info("{} silent, its lease has expired: {} placements freed", machine.name, freed);
+  spdlog::info("machine {}: no reports and its lease has expired, {} placements freed", machine.name, freed);
   model_.counters().freed_by_lease += freed;
 }
 
--- a/src/coordination/shard/worker_liveness.hpp
+++ b/src/coordination/shard/worker_liveness.hpp
@@ -1,8 +1,10 @@
-// Heartbeats of workers: what a report shows of tasks, leases and reachability, and which placements it
-// proves to be over. A placement is freed only on evidence:
-//  (a) a report that shows the leader's fencing token lacks the task, and no launch of it can still be on its
-//  way; (b) the worker is in a later incarnation; (c) the worker obeyed only this leader, and its lease has
-//  expired; (d) the cloud has confirmed that the machine is gone (ShardModel::remove_machine).
+// Processes the heartbeats of workers: updates tasks, leases and reachability from each report, and frees the
+// placements that it proves to be over. A placement is freed only on one of these pieces of evidence:
+// - A report that carries this leader's fencing token lacks the task, and no launch of the task can still be
+//   in flight.
+// - The worker has started a later incarnation.
+// - The worker obeyed only this leader, and its lease has expired.
+// - The cloud has confirmed that the machine is gone (ShardModel::remove_machine).
 #pragma once
 
 #include <cstdint>
@@ -20,15 +22,17 @@
 class WorkerLiveness {
  public:
   WorkerLiveness(const ShardContext& context, ShardModel& model, GangScheduler& gangs);
-  // (c) the worker obeyed only this leader, and the last answer can have extended its lease no further.
+  // Frees the machine's placements if its lease has expired: the worker obeyed only this leader, whose last
+  // answer cannot have extended the lease any further.
   void expire_lease(Machine& machine);
 
-  // Works a report into the books. `direct`: it answered /commands, so a launch in the answer to an ordinary
-  // report may still be on its way, and what is missing proves nothing about launches that were sent.
+  // Applies a report to the model. Returns false if the report is outdated. `is_direct_answer`: the report
+  // answers a direct command (/commands). A launch in the answer to an ordinary report may then still be in
+  // flight, so a missing task proves nothing about launches that were sent.
   bool apply_heartbeat(Machine& machine, const Report& report, bool is_direct_answer);
 
  private:
-  // By attempt and task index.
+  // Keyed by attempt number and task index.
   using TaskReports = std::map<std::pair<std::uint64_t, int>, const TaskReport*>;
   [[nodiscard]] bool acknowledges_token(const Report& report) const {
     return report.fencing_token == ctx_.fencing_token;
