--- a/src/coordination/shard/placement_rules.cpp
+++ b/src/coordination/shard/placement_rules.cpp
@@ -5,15 +5,21 @@
 namespace mothslip {
 
 namespace {
-constexpr double kAvoidMachineSeconds = 60;    // a machine, after the job's last error there
-constexpr double kStarvationSeconds = 45;      // since submission
-constexpr double kGangStarvationSeconds = 12;  // likewise for gangs: their room does not gather by itself
-constexpr double kAgeBonusStartSeconds = 90;   // since submission; from then on a unit of preference
-constexpr double kAgeBonusUnitSeconds = 45;    // every so many seconds
-// Best-effort work of which nothing has begun for this long is treated like other work until its first task
-// is placed: nothing waits for ever, however busy the cluster is.
+// A job avoids a machine for this long after its last error there.
+constexpr double kAvoidMachineSeconds = 60;
+// A job starves when none of its tasks has started this long after the submission. Gangs starve earlier,
+// because room for them does not accumulate by itself.
+constexpr double kStarvationSeconds = 45;
+constexpr double kGangStarvationSeconds = 12;
+// The age bonus begins to grow this long after the submission, by one unit of preference per
+// kAgeBonusUnitSeconds.
+constexpr double kAgeBonusStartSeconds = 90;
+constexpr double kAgeBonusUnitSeconds = 45;
+// A best-effort job of which no task has started this long after the submission is treated like other work
+// until its first task is placed. No job waits forever, however busy the cluster is.
 constexpr double kPromotionSeconds = 120.0;
-constexpr double kLongUnplacedSeconds = 30.0;  // of best-effort work
+// A best-effort job may use any room when none of its tasks has been placed for this long.
+constexpr double kLongUnplacedSeconds = 30.0;
 }  // namespace
 
 PlacementRules::PlacementRules(const ShardContext& context, ShardModel& model)
@@ -33,7 +39,8 @@
   }
 }
 
-// No smaller type would do.
+// Whether no type smaller than `type` can hold the task. `least_cores` are those of the smallest type that
+// can.
 bool PlacementRules::needs_type(double least_cores, int type) const {
   return least_cores >= ctx_.types->at(type).cores;
 }
@@ -42,7 +49,7 @@
   return is_flexible(job) && !needs_type(job.least_cores, type);
 }
 
-// Could go to any machine that is large enough.
+// Whether the job's tasks could run on any machine that is large enough.
 bool PlacementRules::is_flexible(const Job& job) {
   const JobSpec& spec = job.spec();
   return spec.allows_spot && !spec.zone && !spec.machine_types && !spec.must_share_zone &&
@@ -57,8 +64,9 @@
                                           machine_type) != spec.machine_types->end();
 }
 
-// A job that fails on a machine is tried elsewhere first, at other shards if need be: where the machine is at
-// fault and the only one here, the job failed there for ever. One that fails on several is at fault itself.
+// A job that fails on a machine is tried elsewhere first, at other shards if necessary. Before this rule, a
+// job failed forever on a faulty machine that was the only one of its shard. A job that fails on several
+// machines is itself faulty.
 bool PlacementRules::avoids_machine(const Job& job, const Machine& machine) const {
   const auto it = job.failures_by_machine.find(machine.name);
   if (it == job.failures_by_machine.end() ||
@@ -76,7 +84,7 @@
   const auto in_zone = job.placed_by_zone.find(machine.zone);
   const int placed_in_zone = in_zone == job.placed_by_zone.end() ? 0 : in_zone->second;
   if (job.has_placement_constraints() && job.delegated_open() > 0)
-    return false;  // another shard holds what is placed of it
+    return false;  // the placed tasks of the job are at another shard
   if (spec.must_share_zone && job.placed > placed_in_zone) return false;
   return !spec.must_spread_zones || placed_in_zone + 1 <= (spec.task_count + 1) / 2;
 }
@@ -88,7 +96,7 @@
 
 bool PlacementRules::is_starving(const Job& job) const {
   if (job.placed > 0 || !job.done.empty() || job.waiting.empty() || job.delegated_open() > 0) return false;
-  if (job.is_faulty()) return false;  // it has begun, and failed
+  if (job.is_faulty()) return false;  // its tasks have started and failed
   return ctx_.env->wall_time() - job.record.submitted_at >
          (job.is_gang() ? kGangStarvationSeconds : kStarvationSeconds);
 }
@@ -129,7 +137,7 @@
          !job.is_faulty() && within_quota(job);
 }
 
-// Waiting tasks of this shard, but for best-effort work.
+// Adds the waiting tasks of this shard, except those of preemptible jobs.
 void PlacementRules::add_waiting_here(const Machine& machine, WaitingBySize& out) const {
   for (const auto& [ref, job] : model_.jobs()) {
     if (job->waiting.empty() || job->is_over() || is_preemptible(*job)) continue;
@@ -150,7 +158,7 @@
   }
 }
 
-// Large tasks that wait at other shards.
+// Adds the large tasks that wait at other shards.
 void PlacementRules::add_waiting_elsewhere(const Machine& machine, WaitingBySize& out) const {
   for (const WaitingHint& hint : model_.demand_elsewhere()) {
     if (machine.record.spot && !hint.allows_spot) continue;
@@ -161,10 +169,10 @@
   }
 }
 
-// How many tasks of this demand the machines of smaller types have room for now.
+// Number of tasks with this demand for which the machines of smaller types have room now.
 int PlacementRules::slots_on_smaller_types(const Machine& machine, const Resources& demand) const {
-  constexpr double kMaxSlots = 1e6;            // on one machine, where the demand is nothing
-  constexpr double kRoundingTolerance = 1e-6;  // of a slot
+  constexpr double kMaxSlots = 1e6;            // per machine, if the tasks demand no resources
+  constexpr double kRoundingTolerance = 1e-6;  // in slots
   const double cores = ctx_.types->at(machine.type).cores;
   const double now = ctx_.env->now();
   int slots = 0;
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -13,10 +13,12 @@
 namespace mothslip {
 
 namespace {
-constexpr double kMinFreeCores = 0.01;          // less is no room at all
-constexpr double kRuntimeEstimateFactor = 1.3;  // estimates are often too low
-constexpr double kMaxAnswerDelaySeconds =
-    1.2;  // workers drop answers after 4 s; committing rarely takes this long
+constexpr double kMinFreeCores = 0.01;          // a machine with less is full
+constexpr double kRuntimeEstimateFactor = 1.3;  // run-time estimates are often too low
+// An answer waits at most this long for the placements to be committed. Workers drop answers after 4 s, and a
+// commit rarely takes this long.
+constexpr double kMaxAnswerDelaySeconds = 1.2;
+// Preference bonus of jobs whose team is within its guarantee.
 constexpr double kGuaranteeBonus = 0.5;
 }  // namespace
 
@@ -49,7 +51,7 @@
 }
 
 void TaskPlacement::fill_held_machines() {
-  std::vector<std::pair<bool, Machine*>> held;  // with whether the image would have to be fetched
+  std::vector<std::pair<bool, Machine*>> held;  // true: an image must be fetched
   for (auto& [name, machine] : model_.machines()) {
     if (!machine->report_held || machine->answer.answered()) continue;
     held.emplace_back(!has_image_of_waiting_job(*machine), machine.get());
@@ -66,14 +68,14 @@
 
 bool TaskPlacement::may_fill(const Machine& machine) const {
   if (machine.type < 0 || !machine.schedulable() || ctx_.env->now() < machine.no_fill_until) return false;
-  // A machine that has not shown the leader's token may be a late copy of a report, of a machine that is no
-  // more.
+  // Until the machine has acknowledged the leader's token, its report may be a late copy, and the machine may
+  // no longer exist.
   if (!machine.token_acknowledged) return false;
   if (committer_.state_silent() || !ctx_.exclusive_owner()) return false;
   return fits({kMinFreeCores, 0, 0}, machine.room);
 }
 
-// The job has tasks that may be started now, room and quota apart.
+// Whether a task of the job may be started on the machine now, as far as the quota allows.
 bool TaskPlacement::may_start(const Job& job, const Machine& machine) const {
   const double now = ctx_.env->now();
   if (job.waiting.empty() || job.is_over() || job.cancelling || !job.cancel_waiters.empty()) return false;
@@ -84,7 +86,8 @@
   return rules_.allowed_on(job, machine);
 }
 
-// Notes where the team's quota share is too small.
+// Whether the team's quota share has room for the job and is not reserved for another one. Records a shortage
+// if the share is too small.
 bool TaskPlacement::has_quota(const Job& job, const FillPass& pass) {
   const auto reservation = pass.quota_reserved_for.find(job.team);
   if (rules_.within_quota(job)) return reservation == pass.quota_reserved_for.end();
@@ -94,7 +97,7 @@
 
 bool TaskPlacement::is_candidate(const Job& job, const Machine& machine, const FillPass& pass) {
   if (!may_start(job, machine) || !has_quota(job, pass)) return false;
-  // Others have room for what can go anywhere; what cannot is still taken.
+  // Tasks that fit a smaller machine type are left to other machines. Those that need this type are accepted.
   if ((machine.cordoned || pass.reserved_for_large) && rules_.fits_smaller_type(job, machine.type))
     return false;
   return !rules_.is_preemptible(job) || preemptor_.open_to_best_effort(job, machine, pass.no_recent_demand);
@@ -121,7 +124,7 @@
   pass.quota_reserved_for = rules_.quota_reserved_for();
   pass.no_recent_demand = preemptor_.best_effort_here() && preemptor_.quiet(machine);
   Candidates non_preemptible;
-  Candidates preemptible;  // placed in what the others leave
+  Candidates preemptible;  // placed in the room that the others leave
   for (const auto& [name, job] : model_.jobs()) {
     if (!is_candidate(*job, machine, pass)) continue;
     Candidates& candidates = rules_.is_preemptible(*job) ? preemptible : non_preemptible;
@@ -132,7 +135,7 @@
   place_greedily(machine, preemptible);
 }
 
-// Drops the jobs of which nothing may be placed any more, and brings the requests of the others up to date.
+// Removes the jobs of which no more tasks may be placed, and updates the requests of the others.
 void TaskPlacement::update_requests(const Machine& machine, Candidates& candidates) const {
   auto& [requests, jobs] = candidates;
   const double wall_time = ctx_.env->wall_time();
@@ -158,7 +161,8 @@
   }
 }
 
-// Takes one task of the job with the highest preference, and scores again, until nothing fits.
+// Places one task of the job with the highest preference, or the whole gang, then recomputes the preferences,
+// until nothing fits any more.
 void TaskPlacement::place_greedily(Machine& machine, Candidates& candidates) {
   auto& [requests, jobs] = candidates;
   while (!requests.empty()) {
@@ -167,7 +171,7 @@
     if (best < 0) break;
     const JobPtr job = jobs[static_cast<std::size_t>(best)];
     if (!job->is_gang()) {
-      // Unique and rising: the fencing token is new for every leader, the counter within it.
+      // Attempt numbers are unique and increase: every leader has a new fencing token, and counts within it.
       place_task(machine, job, model_.next_attempt());
     } else if (!gangs_.place_gang(job)) {
       requests.erase(requests.begin() + best);
--- a/src/coordination/shard/task_placement.hpp
+++ b/src/coordination/shard/task_placement.hpp
@@ -1,5 +1,5 @@
-// Fills a machine that reports with waiting tasks: HaSTE-A's greedy filling (docs/design.md, Yao et al.
-// section 3.4) with the preferences of scheduling/preference.hpp.
+// Places waiting tasks on machines that report. The algorithm is the greedy filling of HaSTE-A
+// (docs/design.md; Yao et al., section 3.4) with the preferences of scheduling/preference.hpp.
 #pragma once
 
 #include <map>
@@ -24,12 +24,12 @@
   TaskPlacement(const ShardContext& context, ShardModel& model, RecordCommitter& committer, Journal& journal,
                 PlacementRules& rules, GangScheduler& gangs, Preemptor& preemptor, QuotaShares& quotas);
 
-  // There is new work: machines whose reports are held can start it at once, those that have an image of it
-  // first.
+  // Called when new tasks wait. Schedules their placement on the machines whose reports are held, which can
+  // start them at once. Machines that have the image of a waiting job come first.
   void schedule_fill();
   // Places waiting tasks on a machine that has just reported.
   void fill(Machine& machine);
-  // Takes the first waiting task of the job.
+  // Places the first waiting task of the job on the machine.
   void place_task(Machine& machine, const JobPtr& job, std::uint64_t attempt);
 
  private:
@@ -37,11 +37,11 @@
     std::vector<ResourceRequest> requests;
     std::vector<JobPtr> jobs;
   };
-  // What holds for all jobs while one machine is filled.
+  // Values that apply to all jobs while one machine is filled.
   struct FillPass {
-    bool reserved_for_large = false;               // no tasks that fit a smaller machine type
+    bool reserved_for_large = false;               // tasks that fit a smaller machine type are excluded
     std::map<int, const Job*> quota_reserved_for;  // by team
-    bool no_recent_demand = false;                 // best-effort work may start
+    bool no_recent_demand = false;                 // no other work has needed the machine for a while
   };
   void fill_held_machines();
   [[nodiscard]] bool has_image_of_waiting_job(const Machine& machine) const;
