--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -12,14 +12,14 @@
 namespace mothslip {
 
 namespace {
-// So long a user waits for a cancellation; the next try finds it made.
+// A request to cancel waits this long for the confirmation. The user's next request finds the job cancelled.
 constexpr double kCancelAnswerTimeoutSeconds = 2.0;
-constexpr int kUnaccountedRetrySeconds = 10;  // until an operator has decided
+constexpr int kUnaccountedRetrySeconds = 10;  // while an operator has not decided about unaccounted tasks
 constexpr double kCancellationRetrySeconds = 0.25;
-// Machines that can be reached have stopped the tasks by then; the others do so within their leases.
+// Machines that can be reached have stopped the tasks within this time. The others do so within their leases.
 constexpr double kTaskStopTimeoutSeconds = 1.2;
-constexpr double kAcknowledgementRecordDelaySeconds =
-    3.0;  // a home that has not asked by then may not reach this leader
+// A home shard that has not asked within this time may be unable to reach this leader.
+constexpr double kAcknowledgementRecordDelaySeconds = 3.0;
 }  // namespace
 
 Cancellation::Cancellation(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
@@ -41,13 +41,13 @@
     responder.send(503, R"({"error":"not known whether it has ended"})", kUnaccountedRetrySeconds);
     return;
   }
-  // When the job is finishing, the ending decides what the user hears.
+  // If the job's ending is being written, the outcome of that write decides the answer.
   job->cancel_waiters.push_back({std::move(responder), ctx_.env->now() + kCancelAnswerTimeoutSeconds});
   committer_.send_due_writes();
   retry_cancellations();
 }
 
-// Not held: the user is told when to come back; the cancellation itself stays under way.
+// The requests are not held any longer: their answers say when to retry. The cancellation itself continues.
 void Cancellation::expire_waiters(Job& job) {
   const double now = ctx_.env->now();
   std::erase_if(job.cancel_waiters, [this, now](const Job::CancelWaiter& waiter) {
@@ -80,7 +80,8 @@
                         job->job_revision = revision;
                         job->waiting.clear();
                         job->backoff.clear();
-                        spdlog::info("{} cancelled, {} tasks to stop", job->spec().ref, job->placed);
+                        spdlog::info("job {}: its cancellation is recorded, {} placed tasks to stop",
+                                     job->spec().ref, job->placed);
                         on_cancellation_durable(job);
                       });
     commands_.stop_directly(job);
@@ -136,7 +137,7 @@
              const auto reply = CancellationReply::from_json(answer);
              if (!reply) return check_owner_changed(job, shard, 0);
              if (!reply->noted) {
-               job->asked_shards.erase(shard);  // it knows, and its machines are still stopping
+               job->asked_shards.erase(shard);  // it knows, but its tasks are still being stopped
              } else if (reply->lease_valid) {
                job->asked_shards.erase(shard);
                job->unacknowledged_shards.erase(shard);
@@ -147,7 +148,9 @@
            }));
 }
 
-// `noted`: the token of the owner that has taken note, but whose lease may be over.
+// Reads the shard's owner key to find out whether the shard has acknowledged the cancellation.
+// `acknowledging_token`: the fencing token of an owner that has acknowledged it, but whose lease may have
+// expired; 0 if there is none.
 void Cancellation::check_owner_changed(const JobPtr& job, int shard, std::uint64_t acknowledging_token) {
   ctx_.state->get(RequestPriority::kCancel, keys::shard_owner(shard),
                   callback_guard_([this, job, shard, acknowledging_token](const StateReply& reply) {
@@ -167,7 +170,7 @@
   if (job->cancellation_confirmed) return;
   job->cancellation_confirmed = true;
   const std::string& ref = job->spec().ref;
-  spdlog::info("{}: cancellation confirmed", ref);
+  spdlog::info("job {}: cancellation confirmed, users are informed", ref);
   for (const Job::CancelWaiter& waiter : job->cancel_waiters) {
     waiter.responder.send(200, cancellation_body(ref, JobPhase::kCancelled));
   }
@@ -175,7 +178,8 @@
   ctx_.ended(ref, {JobPhase::kCancelled, 0, 0});
 }
 
-// Its tasks are gone, as far as can be waited for: a launch on its way has arrived and is stopped.
+// Whether the tasks are gone, or the time for which this shard waits for that has passed. Launches that were
+// in flight have then arrived and been stopped.
 bool Cancellation::tasks_stopped(const Job& job) const {
   return job.placed == 0 || ctx_.env->now() - job.cancelled_at >= kTaskStopTimeoutSeconds;
 }
@@ -206,7 +210,7 @@
     if (txn.then.size() + 1 > max_changes) break;
     Json record = delegation_.delegation_record(*job).to_json();
     if (static_cast<double>(dump_json(record).size()) > committer_.value_bytes())
-      continue;  // it is only asked for then
+      continue;  // the acknowledgement is then given only when the home shard asks
     txn.guard(key, job->delegation_revision);
     txn.put(key, std::move(record));
     job->cancellation_recorded = job->progress_inflight = true;
--- a/src/coordination/shard/cancellation.hpp
+++ b/src/coordination/shard/cancellation.hpp
@@ -1,11 +1,15 @@
-// A cancellation is told to users only once it is durable and every shard that may hold tasks of the job has
-// taken note: a delegate that the state service refuses would otherwise go on renewing the leases of machines
-// that run cancelled tasks, and so it did, through an outage longer than cancel_s.
+// Cancellation of jobs. A cancellation is confirmed to users only once it is durable and every shard that may
+// hold tasks of the job has acknowledged it. Otherwise a delegate that the state service refuses would
+// continue to renew the leases of machines that run cancelled tasks. That happened, throughout an outage
+// longer than cancel_s.
 //
-// Taken note has a delegate whose owner has answered the home's message while its lease was valid, or whose
-// key showed that very owner, or no owner, or a later one, after the cancellation: who owns the shard later
-// loads its records later. One that shrank, completed or deleted its delegation, or wrote the cancellation
-// into it, has shown it too. (Owners that were deposed before are bounded by Ownership::may_renew.)
+// A delegate has acknowledged the cancellation in each of these cases:
+// - Its owner has answered the home shard's message while the owner's lease was valid.
+// - After the cancellation, the shard's owner key showed the owner that had answered, no owner, or a later
+// one.
+//   A node that becomes the owner later also loads the shard's records later.
+// - The delegate has reduced, completed or deleted its delegation, or has written the cancellation into it.
+// Owners that were deposed earlier are covered by Ownership::may_renew.
 #pragma once
 
 #include <string>
@@ -25,23 +29,25 @@
  public:
   Cancellation(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
                TaskDelegation& delegation, WorkerCommands& commands);
-  // Answers users that wait for the job's cancellation longer than they should, and drops answered ones.
+  // Answers the users who have waited too long for the job's cancellation, and removes answered waiters.
   void expire_waiters(Job& job);
 
-  // Answers the responder once the cancellation is durable and all who may run tasks of the job know of it,
-  // or shortly with 503. The job must be known.
+  // Answers the responder once the cancellation is durable and all shards that may run tasks of the job have
+  // acknowledged it, or after a short wait with 503. The job must be known.
   void cancel(const std::string& ref, Responder responder);
-  // Writes the next cancellation that a user has asked for; false: there is none.
+  // Writes the next cancellation that a user has requested. Returns false if there is none.
   bool commit_cancellations();
-  // At home: it is durable now, or was when it was loaded.
+  // Home: called when the cancellation has become durable, or was durable when the job was loaded.
   void on_cancellation_durable(const JobPtr& job);
-  // Looks at every cancellation that is not confirmed yet.
+  // Checks every cancellation that is not confirmed yet, and asks the delegates whose acknowledgement is
+  // missing.
   void retry_cancellations();
   void confirm(const JobPtr& job);
-  // Delegate: the home's owner says that a job is cancelled.
+  // Delegate: handles the home shard's message that a job is cancelled.
   CancellationReply on_job_cancelled(const CancellationNotice& notice);
-  // Delegate: where the home cannot reach this leader, it reads that it knows. (A delegation without tasks on
-  // machines is deleted instead.)
+  // Delegate: writes the acknowledgement into the delegation record, so that a home shard that cannot reach
+  // this leader can read it. A delegation without placed tasks is deleted instead. Returns false if there is
+  // nothing to write.
   bool record_acknowledgements();
 
  private:
@@ -55,7 +61,7 @@
   TaskDelegation& delegation_;
   WorkerCommands& commands_;
   CallbackGuard callback_guard_;
-  bool cancellation_timer_armed_ = false;  // until the unconfirmed cancellations are looked at again
+  bool cancellation_timer_armed_ = false;  // until unconfirmed cancellations are checked again
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/job_completion.cpp
+++ b/src/coordination/shard/job_completion.cpp
@@ -14,8 +14,9 @@
                              ProgressRecords& progress, Cancellation& cancellation)
     : ctx_(context), model_(model), committer_(committer), progress_(progress), cancellation_(cancellation) {}
 
-// Jobs whose ending can be written, urgent ones first. (A swarm of one-task jobs brings more endings than the
-// state service takes changes: in the order of their names, urgent jobs were told to be done minutes late.)
+// Jobs whose ending can be written, urgent ones first. Many one-task jobs can cause more endings than the
+// state service accepts changes. When endings were written in the order of the jobs' names, users were
+// informed minutes late that urgent jobs were done.
 std::vector<JobPtr> JobCompletion::jobs_to_end() const {
   std::vector<JobPtr> out;
   for (const auto& [name, job] : model_.jobs()) {
@@ -61,7 +62,7 @@
   const auto done = [this, finished](std::uint64_t) {
     for (const JobPtr& job : finished) on_ended(job);
   };
-  // A cancellation came in between: what belongs to other jobs is tried again.
+  // If a cancellation was written in between, the endings of the other jobs are tried again.
   const auto conflict = [this, finished](const std::vector<std::string>& failed) {
     if (!conflicts_only_with_cancellations(failed)) return false;
     for (const JobPtr& job : finished) job->finishing = false;
@@ -73,7 +74,8 @@
 
 void JobCompletion::on_ended(const JobPtr& job) {
   const std::string ref = job->spec().ref;
-  spdlog::info("{} done after {:.1f} s", ref, ctx_.env->wall_time() - job->record.submitted_at);
+  spdlog::info("job {}: done {:.1f} s after its submission", ref,
+               ctx_.env->wall_time() - job->record.submitted_at);
   for (const Job::CancelWaiter& waiter : job->cancel_waiters) {
     waiter.responder.send(200, cancellation_body(ref, JobPhase::kDone));
   }
@@ -108,20 +110,21 @@
   return true;
 }
 
-// Adds to the transaction what is left of a cancelled job or delegation of which nothing runs any more.
+// Adds the deletion of the remaining records of a cancelled job or delegation, if no task of it is placed any
+// more.
 JobCompletion::Cleanup JobCompletion::add_cleanup(Transaction& txn, const std::string& name, const Job& job,
                                                   std::size_t max_changes) const {
   if (!job.record.cancelled || job.cleanup_inflight || job.placed > 0 || job.progress_inflight)
     return Cleanup::kNotDue;
   if (job.delegated_here()) {
-    // A delegation whose record is complete is the home shard's to delete.
+    // The home shard deletes delegations whose record is complete.
     if (job.complete() && job.unsaved.empty()) return Cleanup::kNotDue;
     if (txn.then.size() + 1 > max_changes) return Cleanup::kNoRoom;
     txn.guard(name, job.delegation_revision);
     txn.remove(name);
     return Cleanup::kAdded;
   }
-  if (!job.all_delegated_complete()) return Cleanup::kNotDue;  // the shards that they went to delete them
+  if (!job.all_delegated_complete()) return Cleanup::kNotDue;  // the delegates delete their delegations
   const std::size_t needed = changes_to_end(job);
   if (txn.then.size() + needed > max_changes && !txn.then.empty()) return Cleanup::kNoRoom;
   if (needed > max_changes) return Cleanup::kTooManyDelegations;
@@ -149,7 +152,8 @@
 
 void JobCompletion::on_cleaned(const std::vector<std::string>& names) {
   for (const std::string& name : names) {
-    // Its delegations are gone or complete: the shards that they went to know, or have nothing left of it.
+    // The job's delegations are deleted or complete, so each delegate knows of the cancellation or holds no
+    // open tasks of the job.
     const auto it = model_.jobs().find(name);
     if (it == model_.jobs().end()) continue;
     if (!it->second->delegated_here()) cancellation_.confirm(it->second);
--- a/src/coordination/shard/job_completion.hpp
+++ b/src/coordination/shard/job_completion.hpp
@@ -1,4 +1,5 @@
-// Endings of jobs, completed or cancelled: one transaction writes the ending and removes the job record.
+// Ends jobs that have completed or been cancelled. One transaction writes the ending and removes the job
+// record.
 #pragma once
 
 #include <string>
@@ -18,24 +19,26 @@
   JobCompletion(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
                 ProgressRecords& progress, Cancellation& cancellation);
 
-  // How many changes the transaction that ends the job takes: with the ending go the record of its progress
-  // and the tasks delegated of it, unless they are gone before. (Further records of progress go afterwards.)
+  // Number of changes in the transaction that ends the job. Besides writing the ending, it removes the job's
+  // progress record and its delegations, as far as they still exist. Additional progress records are removed
+  // afterwards.
   [[nodiscard]] std::size_t changes_to_end(const Job& job) const;
-  // Writes the endings of completed jobs, urgent ones first; false: there are none, or none fits.
+  // Writes the endings of completed jobs, urgent ones first. Returns false if there are none, or none fits.
   bool commit_endings();
-  // Whether all that a write was refused for is that jobs of this shard were cancelled meanwhile; `failed`
-  // holds the keys whose guards failed.
+  // Whether a write was refused only because jobs of this shard have been cancelled meanwhile. `failed` holds
+  // the keys whose guards failed.
   [[nodiscard]] bool conflicts_only_with_cancellations(const std::vector<std::string>& failed) const;
-  // Deletes what is left of cancelled jobs whose last task is known to be gone; false: there are none.
+  // Deletes the remaining records of cancelled jobs whose last task is known to be gone. Returns false if
+  // there are none.
   bool commit_cancelled_cleanup();
 
  private:
-  // What became of a job in the transaction that cleans up after cancelled ones.
+  // Result of adding a job to the transaction that deletes the records of cancelled jobs.
   enum class Cleanup {
     kNotDue,
     kAdded,
     kNoRoom,              // the transaction is full
-    kTooManyDelegations,  // to go along with the ending: they go first
+    kTooManyDelegations,  // they do not fit along with the ending, and are deleted first
   };
   [[nodiscard]] std::vector<JobPtr> jobs_to_end() const;
   void add_ending(Transaction& txn, const Job& job, const char* phase) const;
--- a/src/coordination/shard/worker_commands.cpp
+++ b/src/coordination/shard/worker_commands.cpp
@@ -10,13 +10,15 @@
 namespace mothslip {
 
 namespace {
-constexpr double kDirectCommandTimeoutSeconds = 3.0;  // of a direct command
-constexpr int kMaxConcurrentAnnouncements = 16;       // of the fencing token
-constexpr double kAnnouncementIntervalSeconds = 3.5;  // to one machine
-// The machine will be taken away: what can checkpoint does so now and goes on elsewhere.
+constexpr double kDirectCommandTimeoutSeconds = 3.0;
+// Limits for announcements of the fencing token: the number in flight, and the interval per machine.
+constexpr int kMaxConcurrentAnnouncements = 16;
+constexpr double kAnnouncementIntervalSeconds = 3.5;
+// Whether the task must save its progress now, because the machine will be removed. The task resumes on
+// another machine.
 bool must_checkpoint_before_removal(const Machine& machine, const Placement& placement) {
   const bool will_be_removed = machine.evicted_at || (machine.draining && machine.faulty);
-  // (A gang is stopped as a whole.)
+  // Gangs are excluded because they are stopped as a whole.
   return will_be_removed && placement.phase == TaskPhase::kRunning &&
          placement.job->spec().can_checkpoint() && !placement.job->is_gang();
 }
@@ -30,8 +32,8 @@
   if (machine.answer.answered()) return;
   machine.report_held = false;
   if (!ctx_.may_renew()) {
-    // Another leader may be in charge and have confirmed cancellations: what may be cancelled is not kept
-    // alive.
+    // Another leader may have taken over and may have confirmed cancellations. The lease is not renewed, so
+    // that tasks that may be cancelled do not continue to run.
     machine.answer.send(503, R"({"error":"perhaps no longer the owner"})", 1);
     machine.answer = Responder();
     return;
@@ -44,9 +46,9 @@
 
 std::vector<Order> WorkerCommands::orders_for(Machine& machine) {
   std::vector<Order> orders;
-  // A cancellation can have been promised by another leader since this one's lease ran out. And a report that
-  // does not show this leader's token may be a late copy from before it led the shard: orders would be wasted
-  // on it.
+  // Launches need exclusive ownership, because another leader may have confirmed a cancellation since this
+  // leader's lease ran out. They also need a worker that has acknowledged this leader's token: otherwise the
+  // report may be a late copy from before this leader took over, and the orders would be lost.
   const bool may_launch = ctx_.exclusive_owner() && machine.token_acknowledged && machine.schedulable();
   bool relaunched = false;
   for (Placement& placement : machine.placements) {
@@ -71,7 +73,7 @@
   return orders;
 }
 
-// For a task that the machine has just shown.
+// Adds a stop order for a task in the machine's last report, if the task must be stopped.
 void WorkerCommands::add_stop_order(const Machine& machine, const Placement& placement,
                                     std::vector<Order>& orders) {
   const JobSpec& spec = placement.job->spec();
@@ -89,8 +91,9 @@
   return !is_unwanted && !placement.preempted && gangs_.gang_may_be_launched(job);
 }
 
-// For a task that the machine shows and that is not placed there: it is stopped, or, once it has exited, its
-// exit is acknowledged, unless its completion would be lost with that.
+// Returns the order for a reported task that is not placed on the machine, or that has exited. A running task
+// is stopped. The exit of a task is acknowledged, unless the task is still placed or its completion would be
+// lost with that.
 std::optional<Order> WorkerCommands::order_for_unmatched(const Machine& machine,
                                                          const TaskReport& task) const {
   const std::string name = task_name(task.ref, task.index);
@@ -161,12 +164,13 @@
   }
 }
 
-// With which grace period, in seconds, the task is to be stopped, if it is.
+// Returns the grace period with which the task must be stopped, or nothing if it must not be stopped now.
 std::optional<double> WorkerCommands::requested_stop_grace_s(const Placement& placement) {
   const Job& job = *placement.job;
   if (job.cancel_requested() || job.done.contains(placement.index) || job.attempt.failed) return 0;
   const bool stops_gracefully = placement.preempted || (job.attempt.stopping && job.attempt.stop_recorded);
-  // (Whether a second stop ends a task that is checkpointing already is not said.)
+  // A task that is already checkpointing gets no second stop, because the protocol does not specify whether
+  // that would end the task.
   if (!stops_gracefully || placement.phase == TaskPhase::kCheckpointing) return std::nullopt;
   return stop_grace_s(job.spec());
 }
--- a/src/coordination/shard/worker_commands.hpp
+++ b/src/coordination/shard/worker_commands.hpp
@@ -1,5 +1,5 @@
-// What workers are told: orders in the answers to their reports, and direct commands (stops and the fencing
-// token, never launches).
+// Commands to workers: orders in the answers to their reports, and direct commands, which carry stops and the
+// fencing token but never launches.
 #pragma once
 
 #include <optional>
@@ -20,16 +20,16 @@
   WorkerCommands(const ShardContext& context, ShardModel& model, RecordCommitter& committer,
                  GangScheduler& gangs, WorkerLiveness& liveness);
 
-  // Answers the report that the machine waits with, if any.
+  // Answers the machine's pending report, if there is one.
   void answer(Machine& machine);
-  // Shows the leader's fencing token to machines with placements, a few at a time: a node that has taken over
-  // has leases to renew and users to answer meanwhile. Machines that report go first; silent ones are tried
-  // now and then.
+  // Announces the leader's fencing token to the machines with placements that have not acknowledged it, a few
+  // at a time, because a node that has taken over must also renew leases and answer users. Machines that have
+  // reported come first. Silent machines are retried at intervals.
   void announce_fencing_token();
-  // Tells all machines with tasks of the job to stop them.
+  // Sends direct commands to all machines with tasks of the job, which must stop them.
   void stop_directly(const JobPtr& job);
-  // Tells the machine to stop all on it that is cancelled or preempted; where a direct command is under way,
-  // once that is over.
+  // Sends the machine a direct command to stop all its tasks that are cancelled or preempted. While another
+  // direct command to the machine is in flight, this one is delayed until that has finished.
   void send_stops(Machine& machine);
 
  private:
@@ -48,7 +48,7 @@
   GangScheduler& gangs_;
   WorkerLiveness& liveness_;
   CallbackGuard callback_guard_;
-  int announcements_inflight_ = 0;  // direct commands under way that only show the fencing token
+  int announcements_inflight_ = 0;  // direct commands in flight that only announce the fencing token
 };
 
 }  // namespace mothslip
