--- a/src/coordination/shard/cancellation.hpp
+++ b/src/coordination/shard/cancellation.hpp
@@ -5,9 +5,8 @@
 //
 // A delegate has acknowledged the cancellation in each of these cases:
 // - Its owner has answered the home shard's message while the owner's lease was valid.
-// - After the cancellation, the shard's owner key showed the owner that had answered, no owner, or a later
-// one.
-//   A node that becomes the owner later also loads the shard's records later.
+// - After the cancellation, the owner key of its shard showed the owner that had answered, a later owner or
+//   none. A node that becomes the owner later also loads the records of the shard later.
 // - The delegate has reduced, completed or deleted its delegation, or has written the cancellation into it.
 // Owners that were deposed earlier are covered by Ownership::may_renew.
 #pragma once
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -75,7 +75,7 @@
   return fits({kMinFreeCores, 0, 0}, machine.room);
 }
 
-// Whether a task of the job may be started on the machine now, as far as the quota allows.
+// Whether a task of the job may be started on the machine now. The team's quota is not considered.
 bool TaskPlacement::may_start(const Job& job, const Machine& machine) const {
   const double now = ctx_.env->now();
   if (job.waiting.empty() || job.is_over() || job.cancelling || !job.cancel_waiters.empty()) return false;
--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -54,7 +54,7 @@
   if (!report.eviction_notice_s) {
     machine.evicted_at.reset();
   } else if (!machine.evicted_at) {
-    spdlog::info("machine {}: will be evicted in {} s, no new tasks are placed on it", machine.name,
+    spdlog::info("machine {}: will be evicted in {} s, no more tasks are started on it", machine.name,
                  *report.eviction_notice_s);
     machine.evicted_at = ctx_.env->now() + *report.eviction_notice_s;
   }
@@ -187,7 +187,8 @@
     if (!machine.inbound_unreachable) {
       machine.inbound_unreachable_since = now;
       spdlog::info(
-          "machine {}: answers do not reach it, its leases expire although it reports; not used for now",
+          "machine {}: answers do not reach it, its leases expire although it reports; no tasks are started "
+          "on it",
           machine.name);
     }
     machine.inbound_unreachable = true;
@@ -216,14 +217,15 @@
         model_.free_placement(placement, 0);
     }
     spdlog::info(
-        "machine {}: answers do not reach it, {} consecutive launches had no effect; not used for now",
+        "machine {}: answers do not reach it, {} consecutive launches had no effect; no tasks are started on "
+        "it",
         machine.name, kMaxIneffectiveLaunches);
   }
   if (machine.expired_incarnations > 0 && now - machine.incarnation_since > ctx_.worker_lease_bound_s())
     machine.expired_incarnations = 0;
   if (machine.inbound_unreachable && now - machine.incarnation_since > ctx_.worker_lease_bound_s()) {
     machine.inbound_unreachable = false;
-    spdlog::info("machine {}: answers reach it again", machine.name);
+    spdlog::info("machine {}: answers reach it again, tasks may be started on it", machine.name);
   }
 }
 
@@ -270,18 +272,18 @@
     const bool fails_working_job =
         machine.error_streak >= 2 && (job->succeeded_elsewhere || !job->done.empty());
     if (!machine.faulty && (several_jobs_failed || fails_working_job)) {
-      spdlog::warn("machine {}: faulty, {} tasks in a row have failed on it; no longer used", machine.name,
-                   machine.error_streak);
+      spdlog::warn("machine {}: faulty, {} tasks in a row have failed on it; no more tasks are started on it",
+                   machine.name, machine.error_streak);
       machine.faulty = true;
     }
     machine.no_fill_until = ctx_.env->now() + std::min(8.0, 1.0 * machine.error_streak);
     delay_s = machine.faulty ? 0 : std::min(30.0, 0.5 * std::pow(2.0, std::min(job->error_streak, 6)));
-    spdlog::info("task {}: failed on machine {} (attempt {}), to be retried",
+    spdlog::info("task {}: failed on machine {} (attempt {}), will be retried",
                  task_name(job->spec().ref, placement.index), machine.name, placement.attempt);
   } else if (cause == ExitCause::kGangPeerLost || cause == ExitCause::kGangIncomplete) {
     job->fail_attempt();  // neither the machine nor the job is faulty
   } else if (cause != ExitCause::kStopped) {
-    spdlog::info("task {}: not run by machine {} (exit cause {}), to be retried",
+    spdlog::info("task {}: not run by machine {} (exit cause {}), will be retried",
                  task_name(job->spec().ref, placement.index), machine.name, static_cast<int>(cause));
     machine.no_fill_until = ctx_.env->now() + 2;
     delay_s = 1;
