--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -96,7 +96,7 @@
     if (offer.large_tasks_only && type >= 0 && rules_.fits_smaller_type(job, type)) continue;
     // Best-effort work is not delegated to machines that would not start it or are meant for other work.
     const bool excludes_best_effort = offer.excludes_best_effort || (!offer.spot && spec.allows_spot);
-    if (excludes_best_effort && rules_.is_preemptible(job) && !rules_.long_unplaced(job)) continue;
+    if (excludes_best_effort && rules_.is_preemptible(job) && !rules_.is_long_unplaced(job)) continue;
     out.requests.push_back(each.request);
     out.requests.back().image_is_cached =
         std::find(offer.images.begin(), offer.images.end(), spec.image) != offer.images.end();
@@ -115,7 +115,7 @@
     const bool has_room = each.chosen < each.surplus && fits(job.demand, room);
     // Quota for a task of a starving job is saved up at the delegate.
     const bool has_quota = (job.demand[0] <= spare.cores && job.demand[2] <= spare.gpus) ||
-                           (rules_.starving(job) && each.chosen == 0);
+                           (rules_.is_starving(job) && each.chosen == 0);
     if (has_room && has_quota) {
       k++;
       continue;
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -292,7 +292,7 @@
     return;
   next_capacity_request_at_ = now + kCapacityRequestIntervalSeconds;
   for (const auto& [name, job] : model_.jobs()) {
-    if (job->delegated_here() || !gang_waits(*job) || !rules_.starving(*job)) continue;
+    if (job->delegated_here() || !gang_waits(*job) || !rules_.is_starving(*job)) continue;
     if (!find_machines_with_capacity(*job).empty()) continue;
     last_shard_asked_ = ctx_.next_shard(last_shard_asked_);
     capacity_request_inflight_ = true;
@@ -344,7 +344,7 @@
     if (!has_quota) {
       // Room is of no use without quota, so unused quota of this shard's share is transferred as well.
       quotas_.transfer_quota(job->team, request.shard, needs[0], needs[2], false);
-      if (!rules_.starving(*job)) continue;
+      if (!rules_.is_starving(*job)) continue;
     }
     for (const GangShare& share : shares) {
       for (std::size_t r = 0; r < needs.size(); r++) rooms[share.machine][r] -= share.tasks * job->demand[r];
--- a/src/coordination/shard/preemptor.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -76,7 +76,7 @@
 }
 
 bool Preemptor::may_start_best_effort(const Job& job, const Machine& machine, bool uncontended) const {
-  if (rules_.long_unplaced(job)) return true;
+  if (rules_.is_long_unplaced(job)) return true;
   const bool is_wanted_now = machine.last_wanted_at == ctx_.env->now();
   const bool is_short_task = job.spec().estimated_s <= kShortTaskSeconds;
   if (is_short_task ? is_wanted_now : !uncontended || cores_beyond_headroom_ < job.demand[0]) return false;
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -77,7 +77,7 @@
 }
 
 void QuotaShares::add_shortage(const Job& job) {
-  if (rules_.starving(job)) {
+  if (rules_.is_starving(job)) {
     // Other shards are asked for the quota that this job alone needs to start: one task, or a whole gang.
     shortages_[job.team] = job.start_demand();
     starving_teams_.insert(job.team);
@@ -127,7 +127,7 @@
 void QuotaShares::on_quota_request(const QuotaRequest& request) {
   const int to = request.shard;
   if (to < 0 || to >= ctx_.shard_count || to == ctx_.shard) return;
-  const std::map<int, const Job*> saved_for = rules_.quota_saved_for();
+  const std::map<int, const Job*> saved_for = rules_.quota_reserved_for();
   for (const QuotaShortfall& want : request.shortfalls) {
     // Two shards that save up quota for the same team would pass it back and forth, so the shard with the
     // lower number goes first.
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -181,7 +181,7 @@
   if (!model_.active() || sending_writes_) return;
   sending_writes_ = true;
   const auto has_room = [this](RecordCommitter::Slot slot) { return committer_.has_room(slot); };
-  while (has_room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancels()) {
+  while (has_room(RecordCommitter::kCancelSlot) && cancellation_.commit_cancellations()) {
   }
   if (journal_.has_freed_placements()) journal_.release_freed_placements();
   journal_.write_journal();
@@ -191,7 +191,7 @@
   while (has_room(RecordCommitter::kDoneSlot) && delegation_.commit_delegations()) {
   }
   while (has_room(RecordCommitter::kRestSlot) &&
-         (completion_.commit_cancelled_cleanup() || cancellation_.record_seen_cancellations() ||
+         (completion_.commit_cancelled_cleanup() || cancellation_.record_acknowledgements() ||
           progress_.commit_discarded())) {
   }
   sending_writes_ = false;
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -188,9 +188,9 @@
 // place here for long. If the job has placement constraints, they stay while other tasks of it
 // are placed or delayed here.
 bool TaskDelegation::should_return_waiting(const Job& job) const {
-  const double return_after_s = !rules_.starving(job) ? kReturnAfterSeconds
-                                : job.is_gang()       ? kStarvingGangReturnAfterSeconds
-                                                      : kStarvingReturnAfterSeconds;
+  const double return_after_s = !rules_.is_starving(job) ? kReturnAfterSeconds
+                                : job.is_gang()          ? kStarvingGangReturnAfterSeconds
+                                                         : kStarvingReturnAfterSeconds;
   return !job.waiting.empty() && ctx_.env->now() - job.idle_since > return_after_s &&
          (!job.has_placement_constraints() || (job.placed == 0 && job.backoff.empty()));
 }
--- a/src/coordination/shard/worker_liveness.hpp
+++ b/src/coordination/shard/worker_liveness.hpp
@@ -1,8 +1,10 @@
-// Heartbeats of workers: what a report shows of tasks, leases and reachability, and which placements it
-// proves to be over. A placement is freed only on evidence:
-//  (a) a report that shows the leader's fencing token lacks the task, and no launch of it can still be on its
-//  way; (b) the worker is in a later incarnation; (c) the worker obeyed only this leader, and its lease has
-//  expired; (d) the cloud has confirmed that the machine is gone (ShardModel::remove_machine).
+// Processes the heartbeats of workers: updates tasks, leases and reachability from each report, and frees the
+// placements that it proves to be over. A placement is freed only on one of these pieces of evidence:
+// - A report that carries this leader's fencing token lacks the task, and no launch of the task can still be
+//   in flight.
+// - The worker has started a later incarnation.
+// - The worker obeyed only this leader, and its lease has expired.
+// - The cloud has confirmed that the machine is gone (ShardModel::remove_machine).
 #pragma once
 
 #include <cstdint>
@@ -20,32 +22,35 @@
 class WorkerLiveness {
  public:
   WorkerLiveness(const ShardContext& context, ShardModel& model, GangScheduler& gangs);
-  // (c) the worker obeyed only this leader, and the last answer can have extended its lease no further.
+  // Frees the machine's placements if its lease has expired: the worker obeyed only this leader, whose last
+  // answer cannot have extended the lease any further.
   void expire_lease(Machine& machine);
 
-  // Works a report into the books. `direct`: it answered /commands, so a launch in the answer to an ordinary
-  // report may still be on its way, and what is missing proves nothing about launches that were sent.
-  bool apply_heartbeat(Machine& machine, const Report& report, bool direct);
+  // Applies a report to the model. Returns false if the report is outdated. `is_direct_answer`: the report
+  // answers a direct command (/commands). A launch in the answer to an ordinary report may then still be in
+  // flight, so a missing task proves nothing about launches that were sent.
+  bool apply_heartbeat(Machine& machine, const Report& report, bool is_direct_answer);
 
  private:
-  // By attempt and task index.
+  // Keyed by attempt number and task index.
   using TaskReports = std::map<std::pair<std::uint64_t, int>, const TaskReport*>;
-  [[nodiscard]] bool shows_our_token(const Report& report) const {
+  [[nodiscard]] bool acknowledges_token(const Report& report) const {
     return report.fencing_token == ctx_.fencing_token;
   }
-  [[nodiscard]] static bool is_news(const Machine& machine, const Report& report);
-  void note_contact(Machine& machine, const Report& report) const;
-  void note_eviction_notice(Machine& machine, const Report& report) const;
-  std::vector<const TaskReport*> match_placements(Machine& machine, const Report& report, bool direct,
-                                                  TaskReports& unmatched);
+  [[nodiscard]] static bool is_newer_report(const Machine& machine, const Report& report);
+  void update_contact(Machine& machine, const Report& report) const;
+  void update_eviction_notice(Machine& machine, const Report& report) const;
+  std::vector<const TaskReport*> match_placements(Machine& machine, const Report& report,
+                                                  bool is_direct_answer, TaskReports& unmatched);
   void update_placement(Machine& machine, Placement& placement, const TaskReport& task) const;
-  void free_if_missing(const Machine& machine, Placement& placement, const Report& report, bool direct);
+  void free_missing_placement(const Machine& machine, Placement& placement, const Report& report,
+                              bool is_direct_answer);
   void apply_exits(Machine& machine, const std::vector<const TaskReport*>& exits);
-  void note_unmatched_completions(const TaskReports& unmatched);
+  void apply_unmatched_completions(const TaskReports& unmatched);
   void begin_incarnation(Machine& machine, std::uint64_t worker_incarnation);
   void evaluate_reachability(Machine& machine);
   void on_exit(Machine& machine, Placement& placement, ExitCause cause);
-  void back_off_failing_job(Job& job);
+  void back_off_faulty_job(Job& job);
 
   const ShardContext& ctx_;
   ShardModel& model_;
