--- a/src/coordination/node/call_budget.cpp
+++ b/src/coordination/node/call_budget.cpp
@@ -20,7 +20,7 @@
   const double owned = static_cast<double>(ownership_.held_count()) / shard_count;
   // Until the shards are known nobody has any, and all nodes have to start.
   state_.set_share(shards_known ? kStateShareOfUsers / nodes + (1 - kStateShareOfUsers) * owned : 1 / nodes);
-  const bool manages_fleet = shards_known && ownership_.mine(kFleetShard);
+  const bool manages_fleet = shards_known && ownership_.owns(kFleetShard);
   cloud_.set_share(manages_fleet ? kCloudShareOfFleet : kCloudShareOfOthers / nodes);
 }
 
--- a/src/coordination/node/job_status.cpp
+++ b/src/coordination/node/job_status.cpp
@@ -111,7 +111,7 @@
 void JobStatusService::start_read(const std::string& ref) {
   Reading& reading = readings_.at(ref);
   reading.served = std::exchange(reading.waiting, {});
-  if (ctx_.state->key_space().incarnation().first()) {
+  if (ctx_.state->key_space().incarnation().is_first()) {
     read_job_record(ref);
   } else {
     read_unaccounted(ref);
--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -82,7 +82,7 @@
   context.types = &machine_types_.types();
   context.ownership = &ownership_;
   context.shard = [this](int index) { return shards_.find_active(index); };
-  context.gangs = capabilities.gangs;
+  context.gangs = capabilities.supports_gangs;
   context.decides = [this] { return decides(); };
   return context;
 }
@@ -100,18 +100,18 @@
     shard_router_.ask(other, path, body, std::move(answer));
   };
   context.exclusive_owner = [this, shard] { return exclusive_owner(shard); };
-  context.may_renew = [this, shard] { return ownership_.may_renew(shard); };
+  context.may_renew = [this, shard] { return ownership_.may_renew_worker_leases(shard); };
   context.owner_since = [this](int other) { return ownership_.owner(other).fencing_token; };
   // Both end the leader that calls: they run after its own code has returned.
   context.restart_shard = [this, shard, fencing_token](const std::string& why) {
     env_.after(0, [this, shard, fencing_token, why] {
-      if (monitor_ != nullptr && monitor_->lost()) return;
+      if (monitor_ != nullptr && monitor_->is_state_lost()) return;
       const ShardLeader* leader = shards_.find(shard);
       if (leader != nullptr && leader->fencing_token() == fencing_token) ownership_.restart_shard(shard, why);
     });
   };
   context.deposed = [this, shard](std::uint64_t newer) {
-    env_.after(0, [this, shard, newer] { ownership_.heard(shard, "", newer); });
+    env_.after(0, [this, shard, newer] { ownership_.on_owner_reported(shard, "", newer); });
   };
   context.contradicted = [this](const std::string& what) {
     if (monitor_ != nullptr) monitor_->on_contradiction(what);
@@ -176,7 +176,7 @@
 void Node::open_waiting_shards() {
   const auto waiting = std::exchange(waiting_for_types_, {});
   for (const auto& [shard, fencing_token] : waiting) {
-    if (ownership_.mine(shard)) on_shard_gained(shard, fencing_token);
+    if (ownership_.owns(shard)) on_shard_gained(shard, fencing_token);
   }
 }
 
@@ -185,16 +185,16 @@
 NodeMemory Node::memory() const {
   NodeMemory out;
   out.shards = ownership_.shard_count();
-  const double lease_left = ownership_.lease_end() - env_.now();
+  const double lease_left = ownership_.earliest_lease_expiry_at() - env_.now();
   for (const auto& [index, leader] : shards_.leaders()) {
-    if (!ownership_.mine(index)) continue;
+    if (!ownership_.owns(index)) continue;
     ShardMemory memory;
     if (leader->active()) memory = leader->memory();
     memory.shard = index;
     memory.token = leader->fencing_token();
     memory.loaded = leader->active();
     memory.lease_left_s = lease_left;
-    memory.renew_left_s = ownership_.renew_deadline(index) - env_.now();
+    memory.renew_left_s = ownership_.worker_renewal_deadline(index) - env_.now();
     out.owned.push_back(std::move(memory));
   }
   user_api_.remember(out);
@@ -204,7 +204,7 @@
 void Node::log_counters() {
   const auto& calls = state_.counters();
   spdlog::info("state calls {}, writes {}, refused here {}, 429 {}, unanswered {}", calls.calls, calls.writes,
-               calls.refused_here, calls.too_many, calls.unanswered);
+               calls.refused_locally, calls.too_many_requests, calls.unanswered);
   for (const auto& [index, leader] : shards_.leaders()) {
     const auto& c = leader->counters();
     spdlog::info(
--- a/src/coordination/node/node.hpp
+++ b/src/coordination/node/node.hpp
@@ -85,7 +85,9 @@
   void open_waiting_shards();
   void log_counters();
   [[nodiscard]] bool decides() const { return env_.now() >= decides_from_; }
-  [[nodiscard]] bool exclusive_owner(int shard) const { return decides() && ownership_.exclusive(shard); }
+  [[nodiscard]] bool exclusive_owner(int shard) const {
+    return decides() && ownership_.owns_exclusively(shard);
+  }
 
   Env& env_;
   Settings settings_;
--- a/src/coordination/node/peer_heartbeats.cpp
+++ b/src/coordination/node/peer_heartbeats.cpp
@@ -24,12 +24,12 @@
 void PeerHeartbeats::send() {
   const auto round = std::make_shared<Round>(Round{ctx_.env->now(), 0});
   // Without other nodes there is nobody who could replace this one.
-  if (ctx_.settings->members.empty()) ctx_.ownership->note_unreplaced(round->sent_at);
+  if (ctx_.settings->members.empty()) ctx_.ownership->confirm_not_replaced(round->sent_at);
   PeerHeartbeat heartbeat;
   heartbeat.node = ctx_.settings->node;
   heartbeat.owned = ctx_.owned_shards();
   if (heartbeat.owned.empty()) return;
-  if (ctx_.monitor != nullptr) heartbeat.revision = ctx_.monitor->newest();
+  if (ctx_.monitor != nullptr) heartbeat.revision = ctx_.monitor->newest_revision();
   const std::string body = dump_json(heartbeat.to_json());
   for (const Member& member : ctx_.settings->members) {
     ctx_.env->call({member.address, "POST", peer_paths::kHeartbeat, body, kTimeoutSeconds},
@@ -45,9 +45,10 @@
   const auto answer = PeerHeartbeatReply::from_json(parse_json(reply.body));
   if (!answer) return;
   const double heard_at = ctx_.env->now() - answer->silent_s * (1 - kClockDrift);
-  if (heard_at >= ctx_.ownership->lease_end()) return;
+  if (heard_at >= ctx_.ownership->earliest_lease_expiry_at()) return;
   round.silent_nodes++;
-  if (round.silent_nodes == ctx_.settings->members.size()) ctx_.ownership->note_unreplaced(round.sent_at);
+  if (round.silent_nodes == ctx_.settings->members.size())
+    ctx_.ownership->confirm_not_replaced(round.sent_at);
 }
 
 void PeerHeartbeats::on_heartbeat(const HttpRequest& request, const Responder& responder) {
@@ -60,7 +61,7 @@
   std::vector<std::uint64_t> tokens;
   for (const OwnedShard& item : heartbeat->owned) {
     tokens.push_back(item.fencing_token);
-    ctx_.ownership->heard(item.shard, heartbeat->node, item.fencing_token);
+    ctx_.ownership->on_owner_reported(item.shard, heartbeat->node, item.fencing_token);
   }
   ctx_.relay->heard_from(heartbeat->node, tokens, ctx_.env->now());
   responder.send(200, dump_json(PeerHeartbeatReply{ctx_.state->silent_s()}.to_json()));
--- a/src/coordination/node/user_api.cpp
+++ b/src/coordination/node/user_api.cpp
@@ -68,7 +68,7 @@
 std::optional<JobFinding> UserApi::ask_owned_shard(const std::string& ref) const {
   if (!shards_known()) return std::nullopt;
   const int shard = home_shard(ref);
-  const ShardLeader* leader = ctx_.ownership->exclusive(shard) ? ctx_.shard(shard) : nullptr;
+  const ShardLeader* leader = ctx_.ownership->owns_exclusively(shard) ? ctx_.shard(shard) : nullptr;
   if (leader == nullptr) return std::nullopt;
   return leader->find(ref);
 }
@@ -144,7 +144,7 @@
     refuse(spec.ref, 422, never, responder);
     return;
   }
-  if (ctx_.state->busy(RequestPriority::kAccept, kAcceptPatienceSeconds)) {
+  if (ctx_.state->is_busy(RequestPriority::kAccept, kAcceptPatienceSeconds)) {
     responder.send(429, R"({"error":"too many submissions"})", kRetryWhenLessBusy);
     return;
   }
@@ -158,7 +158,7 @@
 // Nodes of an earlier version can't run gangs. While one is known to live, none is accepted; but once one has
 // been, wherever, that does not hold the others up.
 void UserApi::accept_gang(const JobSpec& spec, const Responder& responder) {
-  if (gangs_accepted_ || !ctx_.ownership->earlier_version_alive()) return accept(spec, responder);
+  if (gangs_accepted_ || !ctx_.ownership->has_live_node_without_gangs()) return accept(spec, responder);
   ctx_.state->get(RequestPriority::kAccept, keys::kGangs, [this, spec, responder](const StateReply& reply) {
     if (reply.ok()) {
       gangs_accepted_ = true;
@@ -194,7 +194,7 @@
   Transaction txn;
   txn.guard(keys::job_record(shard, spec.ref), 0);
   for (const std::string& key : key_space.ending_keys(shard, spec.ref)) txn.guard(key, 0);
-  const bool records_were_lost = !key_space.incarnation().first();
+  const bool records_were_lost = !key_space.incarnation().is_first();
   if (records_were_lost && !acceptance.unaccounted) txn.guard(keys::unaccounted(shard, spec.ref), 0);
   if (ctx_.settings->tuning.recovery) txn.guard(keys::kMeta, ctx_.ownership->meta_revision());
   txn.put(keys::job_record(shard, spec.ref), acceptance.record.to_json());
--- a/src/coordination/ownership/home_return.cpp
+++ b/src/coordination/ownership/home_return.cpp
@@ -9,13 +9,13 @@
 namespace mothslip {
 
 namespace {
-constexpr double kSteadySeconds = 15.0;  // a node that has been back this long gets its shards back
-constexpr double kCheckEverySeconds = 3.0;
+constexpr double kMinHomeUptimeSeconds = 15.0;  // a node that has been back this long gets its shards back
+constexpr double kCheckIntervalSeconds = 3.0;
 }  // namespace
 
 HomeReturn::HomeReturn(Env& env, StateClient& state, const Settings& settings, const NodeLease& lease,
                        const LiveNodes& live_nodes, ShardOwners& owners, ShardClaims& claims,
-                       UnknownHandler release_unknown)
+                       ReleaseUnknownHandler on_release_unknown)
     : env_(env),
       state_(state),
       settings_(settings),
@@ -23,38 +23,38 @@
       live_nodes_(live_nodes),
       owners_(owners),
       claims_(claims),
-      release_unknown_(std::move(release_unknown)) {}
+      on_release_unknown_(std::move(on_release_unknown)) {}
 
 void HomeReturn::start() {
-  env_.after(kCheckEverySeconds, [this] { check(); });
+  env_.after(kCheckIntervalSeconds, [this] { check(); });
 }
 
 void HomeReturn::check() {
   start();
-  if (releasing_ || !lease_.valid()) return;
+  if (releasing_ || !lease_.is_valid()) return;
   for (int shard = 0; shard < owners_.count(); shard++) {
-    if (due(shard)) return release(shard);
+    if (should_return(shard)) return release(shard);
   }
 }
 
-bool HomeReturn::due(int shard) const {
+bool HomeReturn::should_return(int shard) const {
   if (!owners_.at(shard).held()) return false;
   const std::string home = claim_order(settings_, shard).front();
-  return home != settings_.node && live_nodes_.alive_for(home, kSteadySeconds, env_.now());
+  return home != settings_.node && live_nodes_.is_alive_for(home, kMinHomeUptimeSeconds, env_.now());
 }
 
 void HomeReturn::release(int shard) {
   spdlog::info("shard {} is handed back to its home {}", shard, claim_order(settings_, shard).front());
   ShardOwners::Shard& entry = owners_.at(shard);
   releasing_ = true;
-  entry.release_sent = env_.now();
+  entry.release_sent_at = env_.now();
   Transaction txn;
   txn.guard(keys::shard_owner(shard), entry.held_token);
   txn.remove(keys::shard_owner(shard));
   state_.commit(RequestPriority::kLease, txn,
                 [this, shard, fencing_token = entry.held_token](const StateReply& reply) {
                   releasing_ = false;
-                  owners_.at(shard).release_sent.reset();
+                  owners_.at(shard).release_sent_at.reset();
                   on_released(shard, fencing_token, reply);
                 });
 }
@@ -62,9 +62,9 @@
 void HomeReturn::on_released(int shard, std::uint64_t fencing_token, const StateReply& reply) {
   if (owners_.at(shard).held_token != fencing_token || reply.outcome == Outcome::kRefused) return;
   // The key may be gone, or go at any later time, while this node's lease goes on: nothing would tell.
-  if (!reply.ok()) return release_unknown_(shard, "sending it home: nobody knows");
+  if (!reply.ok()) return on_release_unknown_(shard, "sending it home: nobody knows");
   owners_.release(shard, reply.revision());
-  claims_.consider(shard);
+  claims_.try_claim(shard);
 }
 
 }  // namespace mothslip
--- a/src/coordination/ownership/home_return.hpp
+++ b/src/coordination/ownership/home_return.hpp
@@ -17,18 +17,18 @@
 class HomeReturn {
  public:
   // The deletion of a held shard's key may or may not have been carried out.
-  using UnknownHandler = std::function<void(int shard, const std::string& why)>;
+  using ReleaseUnknownHandler = std::function<void(int shard, const std::string& why)>;
   // All must outlive this.
   HomeReturn(Env& env, StateClient& state, const Settings& settings, const NodeLease& lease,
              const LiveNodes& live_nodes, ShardOwners& owners, ShardClaims& claims,
-             UnknownHandler release_unknown);
+             ReleaseUnknownHandler on_release_unknown);
 
   // From now on looks every few seconds for a shard to return; one at a time.
   void start();
 
  private:
   void check();
-  [[nodiscard]] bool due(int shard) const;
+  [[nodiscard]] bool should_return(int shard) const;
   void release(int shard);
   void on_released(int shard, std::uint64_t fencing_token, const StateReply& reply);
 
@@ -39,7 +39,7 @@
   const LiveNodes& live_nodes_;
   ShardOwners& owners_;
   ShardClaims& claims_;
-  UnknownHandler release_unknown_;
+  ReleaseUnknownHandler on_release_unknown_;
   bool releasing_ = false;
 };
 
--- a/src/coordination/ownership/incarnation_check.hpp
+++ b/src/coordination/ownership/incarnation_check.hpp
@@ -18,7 +18,7 @@
       : env_(env), state_(state), monitor_(monitor) {}
 
   // The record, unless it is of another form or incarnation, or a rebuilding is under way.
-  [[nodiscard]] std::optional<MetaRecord> read(const Json& meta) const;
+  [[nodiscard]] std::optional<MetaRecord> read_current(const Json& meta) const;
 
   // Reads `meta` from the state service and calls `confirmed` when it is that of this incarnation. Otherwise
   // the monitor is told; without an answer `retry` is called a little later. Nothing is asked without a
--- a/src/coordination/ownership/live_nodes.cpp
+++ b/src/coordination/ownership/live_nodes.cpp
@@ -4,13 +4,14 @@
 
 namespace mothslip {
 
-bool LiveNodes::alive_for(const std::string& node, double seconds, double now) const {
+bool LiveNodes::is_alive_for(const std::string& node, double min_uptime_s, double now) const {
   const auto found = nodes_.find(node);
-  return found != nodes_.end() && now - found->second.since >= seconds;
+  return found != nodes_.end() && now - found->second.announced_at >= min_uptime_s;
 }
 
-bool LiveNodes::earlier_version_alive() const {
-  return std::any_of(nodes_.begin(), nodes_.end(), [](const auto& item) { return !item.second.gangs; });
+bool LiveNodes::has_live_node_without_gangs() const {
+  return std::any_of(nodes_.begin(), nodes_.end(),
+                     [](const auto& item) { return !item.second.supports_gangs; });
 }
 
 }  // namespace mothslip
--- a/src/coordination/ownership/node_lease.cpp
+++ b/src/coordination/ownership/node_lease.cpp
@@ -8,14 +8,14 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRenewEverySeconds = 1.0;
-constexpr double kRenewTimeoutSeconds = kRenewEverySeconds * 1.5;
-constexpr double kShortestPauseSeconds = 0.05;  // between two renewals
-constexpr double kRetrySeconds = 0.3;
-constexpr double kDrift = 0.001;  // of the clocks, a second; twice what the protocol allows
-constexpr double kMarginSeconds = 0.05;
+constexpr double kRenewIntervalSeconds = 1.0;
+constexpr double kRenewTimeoutSeconds = kRenewIntervalSeconds * 1.5;
+constexpr double kMinRenewPauseSeconds = 0.05;  // between two renewals
+constexpr double kRetryDelaySeconds = 0.3;
+constexpr double kMaxClockDriftFraction = 0.001;  // of the clocks, a second; twice what the protocol allows
+constexpr double kExpiryMarginSeconds = 0.05;
 // Of a worker's lease against cancel_s: messages and steps of its clock.
-constexpr double kWorkerMarginSeconds = 1.0;
+constexpr double kWorkerLeaseMarginSeconds = 1.0;
 }  // namespace
 
 NodeLease::NodeLease(Env& env, StateClient& state, const Settings& settings,
@@ -28,16 +28,16 @@
       listener_(std::move(listener)) {}
 
 void NodeLease::open() {
-  const double asked = env_.now();
-  state_.lease_create(kLeaseSeconds, [this, asked](const StateReply& reply) {
+  const double sent_at = env_.now();
+  state_.lease_create(kLeaseSeconds, [this, sent_at](const StateReply& reply) {
     const std::uint64_t id = reply.ok() ? reply.lease_id() : 0;
     if (id == 0) {
-      env_.after(kRetrySeconds, [this] { open(); });
+      env_.after(kRetryDelaySeconds, [this] { open(); });
       return;
     }
     id_ = id;
-    note_renewed(asked);
-    env_.after(kRenewEverySeconds, [this] { renew(); });
+    on_renewed(sent_at);
+    env_.after(kRenewIntervalSeconds, [this] { renew(); });
     listener_.opened();
   });
 }
@@ -45,37 +45,40 @@
 // Where lost state is watched for, a lease counts only together with a look at `meta`: a controller that has
 // not noticed the loss stops deciding when its lease is over, however long the service goes on renewing it.
 void NodeLease::renew() {
-  const double asked = env_.now();
-  incarnation_check_.confirm([this, asked] { send_renewal(asked); }, [this] { renew(); });
+  const double sent_at = env_.now();
+  incarnation_check_.confirm([this, sent_at] { send_renewal(sent_at); }, [this] { renew(); });
 }
 
-void NodeLease::send_renewal(double asked) {
+void NodeLease::send_renewal(double sent_at) {
   const std::uint64_t id = id_;
-  state_.lease_renew(id, kRenewTimeoutSeconds, [this, asked, id](const StateReply& reply) {
+  state_.lease_renew(id, kRenewTimeoutSeconds, [this, sent_at, id](const StateReply& reply) {
     if (id != id_) return;
     if (reply.outcome == Outcome::kMissing) {
       on_missing();
       return;
     }
-    if (reply.ok()) note_renewed(asked);
-    const double wait = reply.ok() ? kRenewEverySeconds - (env_.now() - asked) : kRetrySeconds;
-    env_.after(std::max(kShortestPauseSeconds, wait), [this] { renew(); });
+    if (reply.ok()) on_renewed(sent_at);
+    const double wait_s = reply.ok() ? kRenewIntervalSeconds - (env_.now() - sent_at) : kRetryDelaySeconds;
+    env_.after(std::max(kMinRenewPauseSeconds, wait_s), [this] { renew(); });
   });
 }
 
-void NodeLease::note_renewed(double asked) {
-  end_ = std::max(end_, asked + kLeaseSeconds * (1 - kDrift));
-  valid_until_ = end_ - kMarginSeconds;
+void NodeLease::on_renewed(double sent_at) {
+  earliest_expiry_at_ = std::max(earliest_expiry_at_, sent_at + kLeaseSeconds * (1 - kMaxClockDriftFraction));
+  valid_until_ = earliest_expiry_at_ - kExpiryMarginSeconds;
 }
 
-void NodeLease::note_unreplaced(double moment) { unreplaced_at_ = std::max(unreplaced_at_, moment); }
+void NodeLease::confirm_not_replaced(double confirmed_at) {
+  not_replaced_at_ = std::max(not_replaced_at_, confirmed_at);
+}
 
-double NodeLease::renew_deadline(std::optional<double> release_sent) const {
-  double unreplaced = std::max(end_, unreplaced_at_);
-  if (release_sent) unreplaced = std::min(unreplaced, *release_sent);
-  const double spare =
-      settings_.cancel_s * (1 - kDrift) - settings_.lease_s * (1 + kDrift) - kWorkerMarginSeconds;
-  return unreplaced + spare;
+double NodeLease::worker_renewal_deadline(std::optional<double> release_sent_at) const {
+  double not_replaced_until = std::max(earliest_expiry_at_, not_replaced_at_);
+  if (release_sent_at) not_replaced_until = std::min(not_replaced_until, *release_sent_at);
+  const double cancellation_margin_s = settings_.cancel_s * (1 - kMaxClockDriftFraction) -
+                                       settings_.lease_s * (1 + kMaxClockDriftFraction) -
+                                       kWorkerLeaseMarginSeconds;
+  return not_replaced_until + cancellation_margin_s;
 }
 
 // The service does not know the lease any more. If that is before its time, the service contradicts itself.
@@ -83,11 +86,11 @@
 // before that is noticed.
 void NodeLease::on_missing() {
   if (monitor_ == nullptr) return expire("lease ended");
-  if (env_.now() < end_) return monitor_->on_contradiction("a lease ended before its time");
+  if (env_.now() < earliest_expiry_at_) return monitor_->on_contradiction("a lease ended before its time");
   state_.get(RequestPriority::kLease, keys::kRevisionProbe, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
-      env_.after(kRetrySeconds, [this] { on_missing(); });
-    } else if (!monitor_->lost()) {
+      env_.after(kRetryDelaySeconds, [this] { on_missing(); });
+    } else if (!monitor_->is_state_lost()) {
       expire("lease ended");
     }
   });
@@ -96,8 +99,8 @@
 void NodeLease::expire(const char* why) {
   id_ = 0;
   valid_until_ = 0;
-  end_ = 0;
-  unreplaced_at_ = 0;
+  earliest_expiry_at_ = 0;
+  not_replaced_at_ = 0;
   listener_.expired(why);
   open();
 }
--- a/src/coordination/ownership/node_lease.hpp
+++ b/src/coordination/ownership/node_lease.hpp
@@ -32,20 +32,20 @@
   [[nodiscard]] bool is_open() const { return id_ != 0; }
   // Nobody else can own what this lease holds before this moment.
   [[nodiscard]] double valid_until() const { return valid_until_; }
-  [[nodiscard]] bool valid() const { return env_.now() < valid_until_; }
+  [[nodiscard]] bool is_valid() const { return env_.now() < valid_until_; }
   // When the lease may have ended in the state service at the earliest.
-  [[nodiscard]] double end() const { return end_; }
+  [[nodiscard]] double earliest_expiry_at() const { return earliest_expiry_at_; }
   // Nobody had replaced this node at that moment.
-  void note_unreplaced(double moment);
+  void confirm_not_replaced(double confirmed_at);
   // The moment from which on workers must not be given new leases. Somebody may have replaced this node
   // unnoticed and have confirmed cancellations since; the tasks must be gone within cancel_s of that, so a
   // worker's lease must end by then. `release_sent`: since when this node has been giving the shard up.
-  [[nodiscard]] double renew_deadline(std::optional<double> release_sent) const;
+  [[nodiscard]] double worker_renewal_deadline(std::optional<double> release_sent_at) const;
 
  private:
   void renew();
-  void send_renewal(double asked);
-  void note_renewed(double asked);
+  void send_renewal(double sent_at);
+  void on_renewed(double sent_at);
   void on_missing();
   void expire(const char* why);
 
@@ -57,8 +57,8 @@
   Listener listener_;
   std::uint64_t id_ = 0;
   double valid_until_ = 0;
-  double end_ = 0;
-  double unreplaced_at_ = 0;
+  double earliest_expiry_at_ = 0;
+  double not_replaced_at_ = 0;
 };
 
 }  // namespace mothslip
--- a/src/coordination/ownership/owner_records.cpp
+++ b/src/coordination/ownership/owner_records.cpp
@@ -10,15 +10,15 @@
 constexpr char kAnnouncementMark = '@';
 }  // namespace
 
-Json OwnerRecord::to_json() const { return {{"node", node}, {"boot", boot}}; }
+Json OwnerRecord::to_json() const { return {{"node", node}, {"boot", boot_id}}; }
 
 OwnerRecord OwnerRecord::from_json(const Json& value) {
   return {value.value("node", ""), value.value("boot", "")};
 }
 
 Json NodeAnnouncement::to_json() const {
-  Json out = {{"boot", boot}};
-  if (gangs) out["gangs"] = true;
+  Json out = {{"boot", boot_id}};
+  if (supports_gangs) out["gangs"] = true;
   return out;
 }
 
--- a/src/coordination/ownership/owner_records.hpp
+++ b/src/coordination/ownership/owner_records.hpp
@@ -13,7 +13,7 @@
 
 struct OwnerRecord {
   std::string node;
-  std::string boot;  // tells the process that took the shard from other processes of the same node
+  std::string boot_id;  // tells the process that took the shard from other processes of the same node
 
   [[nodiscard]] Json to_json() const;
   // Missing fields are read as empty: the owner of a rebuilt incarnation (kRebuiltOwner) has no boot.
@@ -21,8 +21,8 @@
 };
 
 struct NodeAnnouncement {
-  std::string boot;    // as in OwnerRecord
-  bool gangs = false;  // it can run gangs; earlier versions say nothing of them
+  std::string boot_id;          // as in OwnerRecord
+  bool supports_gangs = false;  // it can run gangs; earlier versions say nothing of them
 
   [[nodiscard]] Json to_json() const;
   // Nothing where the value is no object.
--- a/src/coordination/ownership/owner_watch.cpp
+++ b/src/coordination/ownership/owner_watch.cpp
@@ -9,8 +9,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRetrySeconds = 0.3;
-constexpr double kWatchSeconds = 8.0;  // a watch whose answer is lost tells nothing until it is over
+constexpr double kRetryDelaySeconds = 0.3;
+constexpr double kMaxWatchSeconds = 8.0;  // a watch whose answer is lost tells nothing until it is over
 constexpr double kQuickFailureSeconds = 1.0;
 }  // namespace
 
@@ -25,11 +25,11 @@
               [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t revision) {
                 reading_ = false;
                 if (outcome != Outcome::kOk) {
-                  env_.after(kRetrySeconds, [this] { read_all(); });
+                  env_.after(kRetryDelaySeconds, [this] { read_all(); });
                   return;
                 }
                 on_records(items, revision);
-                watched_ = revision;
+                watched_revision_ = revision;
                 if (!watching_) watch();
                 claims_.on_owners_read();
               });
@@ -46,33 +46,34 @@
       continue;
     }
     present[static_cast<std::size_t>(key->shard)] = true;
-    claims_.on_owner_seen(key->shard, OwnerRecord::from_json(item.data).node, item.revision);
+    claims_.on_owner_read(key->shard, OwnerRecord::from_json(item.data).node, item.revision);
   }
   for (int shard = 0; shard < owners_.count(); shard++) {
-    if (!present[static_cast<std::size_t>(shard)]) claims_.on_owner_seen(shard, "", revision);
+    if (!present[static_cast<std::size_t>(shard)]) claims_.on_owner_read(shard, "", revision);
   }
 }
 
 void OwnerWatch::watch() {
   watching_ = true;
-  const double asked = env_.now();
-  state_.watch(keys::kShardOwners, watched_, kWatchSeconds, [this, asked](const StateReply& reply) {
-    watching_ = false;
-    on_watch_reply(asked, reply);
-  });
+  const double sent_at = env_.now();
+  state_.watch(keys::kShardOwners, watched_revision_, kMaxWatchSeconds,
+               [this, sent_at](const StateReply& reply) {
+                 watching_ = false;
+                 on_watch_reply(sent_at, reply);
+               });
 }
 
-void OwnerWatch::on_watch_reply(double asked, const StateReply& reply) {
+void OwnerWatch::on_watch_reply(double sent_at, const StateReply& reply) {
   if (reply.ok()) {
     for (const WatchEvent& event : reply.events()) on_event(event);
-    watched_ = std::max(watched_, reply.revision());
+    watched_revision_ = std::max(watched_revision_, reply.revision());
     watch();
   } else if (reply.outcome == Outcome::kGone) {
     read_all();
   } else {
     // A watch that failed may have missed changes only up to what the next one reports.
-    const bool quick = env_.now() - asked < kQuickFailureSeconds;
-    env_.after(quick ? kRetrySeconds : 0.0, [this] {
+    const bool failed_quickly = env_.now() - sent_at < kQuickFailureSeconds;
+    env_.after(failed_quickly ? kRetryDelaySeconds : 0.0, [this] {
       if (!watching_) watch();
     });
   }
@@ -86,16 +87,16 @@
     on_announcement(key->node, event.put && !event.has_data ? without_fields : event.data);
   } else {
     const std::string node = event.put ? OwnerRecord::from_json(event.data).node : "";
-    claims_.on_owner_seen(key->shard, node, event.revision);
+    claims_.on_owner_read(key->shard, node, event.revision);
   }
 }
 
 // `announced`: null when the announcement is gone.
 void OwnerWatch::on_announcement(const std::string& node, const Json& announced) {
   if (const auto announcement = NodeAnnouncement::from_json(announced)) {
-    live_nodes_.note_announced(node, *announcement, env_.now());
+    live_nodes_.on_announced(node, *announcement, env_.now());
   } else {
-    live_nodes_.note_gone(node);
+    live_nodes_.on_gone(node);
   }
 }
 
--- a/src/coordination/ownership/owner_watch.hpp
+++ b/src/coordination/ownership/owner_watch.hpp
@@ -23,7 +23,7 @@
  private:
   void on_records(const std::vector<StateItem>& items, std::uint64_t revision);
   void watch();
-  void on_watch_reply(double asked, const StateReply& reply);
+  void on_watch_reply(double sent_at, const StateReply& reply);
   void on_event(const WatchEvent& event);
   void on_announcement(const std::string& node, const Json& announced);
 
@@ -32,7 +32,7 @@
   const ShardOwners& owners_;
   ShardClaims& claims_;
   LiveNodes& live_nodes_;
-  std::uint64_t watched_ = 0;  // the revision up to which changes are known
+  std::uint64_t watched_revision_ = 0;  // the revision up to which changes are known
   bool reading_ = false;
   bool watching_ = false;
 };
--- a/src/coordination/ownership/ownership.cpp
+++ b/src/coordination/ownership/ownership.cpp
@@ -10,9 +10,9 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRetrySeconds = 0.3;
-constexpr double kOtherFormSeconds = 10;  // until records of another form are looked at again
-constexpr double kAnnounceRetrySeconds = 1.0;
+constexpr double kRetryDelaySeconds = 0.3;
+constexpr double kUnknownFormatRecheckSeconds = 10;  // until records of another form are looked at again
+constexpr double kAnnounceRetryDelaySeconds = 1.0;
 }  // namespace
 
 Ownership::Ownership(Env& env, StateClient& state, const Settings& settings, Capabilities capabilities,
@@ -22,12 +22,12 @@
       settings_(settings),
       capabilities_(capabilities),
       monitor_(monitor),
-      boot_(settings.node + "." + std::to_string(env.random() >> 16)),
+      boot_id_(settings.node + "." + std::to_string(env.random() >> 16)),
       incarnation_check_(env, state, monitor),
       lease_(env, state, settings, incarnation_check_, monitor,
              {[this] { on_lease_opened(); }, [this](const char* why) { owners_.lose_all(why); }}),
       owners_(monitor, std::move(listener)),
-      claims_(env, state, settings, boot_, lease_, owners_),
+      claims_(env, state, settings, boot_id_, lease_, owners_),
       watch_(env, state, owners_, claims_, live_nodes_),
       home_return_(env, state, settings, lease_, live_nodes_, owners_, claims_,
                    [this](int shard, const std::string& why) { restart_shard(shard, why); }) {}
@@ -38,13 +38,13 @@
   home_return_.start();
 }
 
-bool Ownership::exclusive(int shard) const {
+bool Ownership::owns_exclusively(int shard) const {
   // (A deletion that is under way may be carried out already, and the next owner may have ended jobs since.)
-  return valid() && mine(shard) && !owners_.at(shard).release_sent;
+  return is_lease_valid() && owns(shard) && !owners_.at(shard).release_sent_at;
 }
 
-double Ownership::renew_deadline(int shard) const {
-  return lease_.renew_deadline(owners_.at(shard).release_sent);
+double Ownership::worker_renewal_deadline(int shard) const {
+  return lease_.worker_renewal_deadline(owners_.at(shard).release_sent_at);
 }
 
 void Ownership::read_meta() {
@@ -54,17 +54,17 @@
     } else if (reply.outcome == Outcome::kMissing) {
       write_meta();
     } else {
-      env_.after(kRetrySeconds, [this] { read_meta(); });
+      env_.after(kRetryDelaySeconds, [this] { read_meta(); });
     }
   });
 }
 
 void Ownership::on_meta(const StateReply& reply) {
-  const auto meta = incarnation_check_.read(reply.data());
+  const auto meta = incarnation_check_.read_current(reply.data());
   if (!meta) {
     if (monitor_ != nullptr) return monitor_->on_other_incarnation();
     spdlog::error("the state service holds records of another form: they are left alone, nothing is done");
-    env_.after(kOtherFormSeconds, [this] { read_meta(); });
+    env_.after(kUnknownFormatRecheckSeconds, [this] { read_meta(); });
     return;
   }
   meta_revision_ = reply.item_revision();
@@ -85,7 +85,7 @@
 
 void Ownership::on_lease_opened() {
   announce();
-  claims_.consider_all();
+  claims_.try_claim_all();
 }
 
 // Tells the other nodes that this one lives, and what it can do, as long as its lease holds.
@@ -93,17 +93,17 @@
   const std::uint64_t lease_id = lease_.id();
   Transaction txn;
   txn.put_with_lease(keys::announcement(settings_.node),
-                     NodeAnnouncement{boot_, capabilities_.gangs}.to_json(), lease_id);
+                     NodeAnnouncement{boot_id_, capabilities_.supports_gangs}.to_json(), lease_id);
   state_.commit(RequestPriority::kLease, txn, [this, lease_id](const StateReply& reply) {
     const bool same_lease = lease_.is_open() && lease_id == lease_.id();
-    if (!reply.ok() && same_lease) env_.after(kAnnounceRetrySeconds, [this] { announce(); });
+    if (!reply.ok() && same_lease) env_.after(kAnnounceRetryDelaySeconds, [this] { announce(); });
   });
 }
 
 // What contradicts this node may be that records were lost, or are being rebuilt. What it knows is needed
 // then.
 void Ownership::restart_shard(int shard, const std::string& why) {
-  if (!mine(shard)) return;
+  if (!owns(shard)) return;
   const std::uint64_t fencing_token = owners_.at(shard).held_token;
   incarnation_check_.confirm([this, shard, fencing_token, why] { give_up(shard, fencing_token, why); },
                              [this, shard, why] { restart_shard(shard, why); });
@@ -116,11 +116,11 @@
   // The same node takes it again at once under a new fencing token; whatever is still on its way dies with
   // the old one.
   owners_.at(shard).owner = {settings_.node, fencing_token};
-  claims_.consider(shard);
+  claims_.try_claim(shard);
 }
 
-void Ownership::heard(int shard, const std::string& node, std::uint64_t fencing_token) {
-  owners_.hear(shard, node, fencing_token);
+void Ownership::on_owner_reported(int shard, const std::string& node, std::uint64_t fencing_token) {
+  owners_.update_from_report(shard, node, fencing_token);
 }
 
 }  // namespace mothslip
--- a/src/coordination/ownership/ownership.hpp
+++ b/src/coordination/ownership/ownership.hpp
@@ -25,7 +25,7 @@
 
 // What a node can do that earlier versions can't. Tests have nodes behave like an earlier version.
 struct Capabilities {
-  bool gangs = true;
+  bool supports_gangs = true;
 };
 
 class Ownership {
@@ -44,31 +44,33 @@
   // 0 until `meta` has been read.
   [[nodiscard]] int shard_count() const { return owners_.count(); }
   [[nodiscard]] const ShardOwner& owner(int shard) const { return owners_.at(shard).owner; }
-  [[nodiscard]] bool mine(int shard) const { return owners_.at(shard).held(); }
+  [[nodiscard]] bool owns(int shard) const { return owners_.at(shard).held(); }
   [[nodiscard]] int held_count() const { return owners_.held_count(); }
   // Of the record `meta` as last read. What is written on the condition that it has not changed cannot come
   // after a rebuilding of lost records has begun.
   [[nodiscard]] std::uint64_t meta_revision() const { return meta_revision_; }
   // By this node's own clock, drift allowed: nobody else can own what it owns before this time.
-  [[nodiscard]] double valid_until() const { return lease_.valid_until(); }
-  [[nodiscard]] bool valid() const { return lease_.valid(); }
+  [[nodiscard]] double lease_valid_until() const { return lease_.valid_until(); }
+  [[nodiscard]] bool is_lease_valid() const { return lease_.is_valid(); }
   // Nobody else can own this shard now: the lease is good, and the shard is not being given away.
-  [[nodiscard]] bool exclusive(int shard) const;
+  [[nodiscard]] bool owns_exclusively(int shard) const;
   // When this node's lease in the state service may have ended at the earliest, by its clock.
-  [[nodiscard]] double lease_end() const { return lease_.end(); }
+  [[nodiscard]] double earliest_lease_expiry_at() const { return lease_.earliest_expiry_at(); }
   // A node that is known to live has said nothing of gangs: it is of an earlier version.
-  [[nodiscard]] bool earlier_version_alive() const { return live_nodes_.earlier_version_alive(); }
+  [[nodiscard]] bool has_live_node_without_gangs() const { return live_nodes_.has_live_node_without_gangs(); }
   // At that moment no other node had heard anything from the state service since the end of this node's
   // lease: nobody can have replaced it, or told a user anything, by then.
-  void note_unreplaced(double moment) { lease_.note_unreplaced(moment); }
+  void confirm_not_replaced(double confirmed_at) { lease_.confirm_not_replaced(confirmed_at); }
   // May this shard's workers be given new leases (NodeLease::renew_deadline)?
-  [[nodiscard]] bool may_renew(int shard) const { return env_.now() < renew_deadline(shard); }
+  [[nodiscard]] bool may_renew_worker_leases(int shard) const {
+    return env_.now() < worker_renewal_deadline(shard);
+  }
   // The moment from which on they may not.
-  [[nodiscard]] double renew_deadline(int shard) const;
+  [[nodiscard]] double worker_renewal_deadline(int shard) const;
   // Anything unexpected about a shard's records: give it up and load it anew under a new fencing token.
   void restart_shard(int shard, const std::string& why);
   // Another node was heard of holding the shard with this fencing token.
-  void heard(int shard, const std::string& node, std::uint64_t fencing_token);
+  void on_owner_reported(int shard, const std::string& node, std::uint64_t fencing_token);
 
  private:
   void read_meta();
@@ -83,7 +85,7 @@
   const Settings& settings_;
   Capabilities capabilities_;
   StateMonitor* monitor_;
-  std::string boot_;  // tells this process from an earlier one of the same node
+  std::string boot_id_;  // tells this process from an earlier one of the same node
   IncarnationCheck incarnation_check_;
   NodeLease lease_;
   LiveNodes live_nodes_;
--- a/src/coordination/ownership/shard_claims.cpp
+++ b/src/coordination/ownership/shard_claims.cpp
@@ -9,8 +9,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kTurnSeconds = 0.15;  // between the claims of two nodes that follow in the order
-constexpr double kRetrySeconds = 0.3;
+constexpr double kClaimStaggerSeconds = 0.15;  // between the claims of two nodes that follow in the order
+constexpr double kRetryDelaySeconds = 0.3;
 }  // namespace
 
 std::vector<std::string> claim_order(const Settings& settings, int shard) {
@@ -21,22 +21,27 @@
   return names;
 }
 
-ShardClaims::ShardClaims(Env& env, StateClient& state, const Settings& settings, std::string boot,
+ShardClaims::ShardClaims(Env& env, StateClient& state, const Settings& settings, std::string boot_id,
                          const NodeLease& lease, ShardOwners& owners)
-    : env_(env), state_(state), settings_(settings), boot_(std::move(boot)), lease_(lease), owners_(owners) {}
+    : env_(env),
+      state_(state),
+      settings_(settings),
+      boot_id_(std::move(boot_id)),
+      lease_(lease),
+      owners_(owners) {}
 
 void ShardClaims::on_owners_read() {
   if (owners_read_) return;
   owners_read_ = true;
-  consider_all();
+  try_claim_all();
 }
 
-void ShardClaims::on_owner_seen(int shard, const std::string& node, std::uint64_t revision) {
-  if (owners_.see(shard, node, revision)) consider(shard);
+void ShardClaims::on_owner_read(int shard, const std::string& node, std::uint64_t revision) {
+  if (owners_.update_from_state(shard, node, revision)) try_claim(shard);
 }
 
-void ShardClaims::consider_all() {
-  for (int shard = 0; shard < owners_.count(); shard++) consider(shard);
+void ShardClaims::try_claim_all() {
+  for (int shard = 0; shard < owners_.count(); shard++) try_claim(shard);
 }
 
 bool ShardClaims::may_claim(int shard) const {
@@ -44,11 +49,11 @@
   return lease_.is_open() && !entry.held() && !entry.claiming;
 }
 
-void ShardClaims::consider(int shard) {
+void ShardClaims::try_claim(int shard) {
   if (!owners_read_ || !may_claim(shard)) return;
   const ShardOwner& owner = owners_.at(shard).owner;
   if (owner.node.empty()) {
-    env_.after(claim_delay(shard), [this, shard] {
+    env_.after(claim_delay_s(shard), [this, shard] {
       if (may_claim(shard) && owners_.at(shard).owner.node.empty()) claim(shard, 0);
     });
   } else if (owner.node == settings_.node) {
@@ -60,10 +65,10 @@
 }
 
 // A free shard is taken at once by its home; the others hold back a little, so that claims do not collide.
-double ShardClaims::claim_delay(int shard) const {
+double ShardClaims::claim_delay_s(int shard) const {
   const std::vector<std::string> order = claim_order(settings_, shard);
   const auto turn = std::find(order.begin(), order.end(), settings_.node) - order.begin();
-  return kTurnSeconds * static_cast<double>(turn);
+  return kClaimStaggerSeconds * static_cast<double>(turn);
 }
 
 // `revision`: that of the shard's key as it is now; 0: there is none.
@@ -72,7 +77,7 @@
   const std::uint64_t lease_id = lease_.id();
   Transaction txn;
   txn.guard(keys::shard_owner(shard), revision);
-  txn.put_with_lease(keys::shard_owner(shard), OwnerRecord{settings_.node, boot_}.to_json(), lease_id);
+  txn.put_with_lease(keys::shard_owner(shard), OwnerRecord{settings_.node, boot_id_}.to_json(), lease_id);
   state_.commit(RequestPriority::kLease, txn, [this, shard, lease_id](const StateReply& reply) {
     owners_.at(shard).claiming = false;
     if (reply.ok() && lease_id == lease_.id()) {
@@ -97,16 +102,16 @@
     const OwnerRecord found = OwnerRecord::from_json(reply.data());
     const std::uint64_t revision = reply.item_revision();
     const bool same_lease = lease_.is_open() && lease_id == lease_.id() && reply.lease_id() == lease_.id();
-    if (found.boot == boot_ && same_lease) {
+    if (found.boot_id == boot_id_ && same_lease) {
       if (owners_.at(shard).held_token != revision) owners_.gain(shard, found.node, revision, " (found)");
       return;
     }
-    on_owner_seen(shard, found.node, revision);
+    on_owner_read(shard, found.node, revision);
   } else if (reply.outcome == Outcome::kMissing) {
-    on_owner_seen(shard, "", reply.revision());
+    on_owner_read(shard, "", reply.revision());
   }
   // What was seen may be no news, and the shard still be to be had: a start once stalled here.
-  env_.after(kRetrySeconds, [this, shard] { consider(shard); });
+  env_.after(kRetryDelaySeconds, [this, shard] { try_claim(shard); });
 }
 
 }  // namespace mothslip
--- a/src/coordination/ownership/shard_owners.cpp
+++ b/src/coordination/ownership/shard_owners.cpp
@@ -19,7 +19,7 @@
 
 // What is older than what is known already (a claim's own answer overtakes the watch) must not take a fresh
 // shard away from this node.
-bool ShardOwners::see(int shard, const std::string& node, std::uint64_t revision) {
+bool ShardOwners::update_from_state(int shard, const std::string& node, std::uint64_t revision) {
   Shard& entry = at(shard);
   if (revision < entry.owner.fencing_token) return false;
   if (monitor_ != nullptr && node == kRebuiltOwner) {
@@ -39,7 +39,7 @@
   return changed;
 }
 
-void ShardOwners::hear(int shard, const std::string& node, std::uint64_t fencing_token) {
+void ShardOwners::update_from_report(int shard, const std::string& node, std::uint64_t fencing_token) {
   if (shard < 0 || shard >= count()) return;
   Shard& entry = at(shard);
   if (fencing_token <= entry.owner.fencing_token) return;
@@ -60,7 +60,7 @@
 void ShardOwners::lose(int shard, const char* why) {
   Shard& entry = at(shard);
   if (!entry.held()) return;
-  if (monitor_ != nullptr && monitor_->lost()) return;
+  if (monitor_ != nullptr && monitor_->is_state_lost()) return;
   spdlog::info("shard {} lost, fencing token {}: {}", shard, entry.held_token, why);
   entry.held_token = 0;
   listener_.lost(shard);
--- a/src/coordination/ownership/shard_owners.hpp
+++ b/src/coordination/ownership/shard_owners.hpp
@@ -28,9 +28,9 @@
   };
   struct Shard {
     ShardOwner owner;
-    std::uint64_t held_token = 0;        // this node's fencing token; 0: the shard is not its own
-    bool claiming = false;               // a claim is under way
-    std::optional<double> release_sent;  // since when a deletion of this node's key has been under way
+    std::uint64_t held_token = 0;           // this node's fencing token; 0: the shard is not its own
+    bool claiming = false;                  // a claim is under way
+    std::optional<double> release_sent_at;  // since when a deletion of this node's key has been under way
 
     [[nodiscard]] bool held() const { return held_token != 0; }
   };
@@ -46,9 +46,9 @@
 
   // The state service said that at `revision` the shard's key belonged to `node` (empty: was not there). True
   // when that is news; the shard may be free to be claimed then.
-  [[nodiscard]] bool see(int shard, const std::string& node, std::uint64_t revision);
+  [[nodiscard]] bool update_from_state(int shard, const std::string& node, std::uint64_t revision);
   // Another node was heard of holding the shard with this fencing token.
-  void hear(int shard, const std::string& node, std::uint64_t fencing_token);
+  void update_from_report(int shard, const std::string& node, std::uint64_t fencing_token);
   // This node owns the shard from now on; `how` goes to the log.
   void gain(int shard, const std::string& node, std::uint64_t fencing_token, const char* how);
   // Drops the shard, if it is held. (Not once state is known to be lost: what it knows is needed to rebuild.)
--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -193,14 +193,14 @@
 bool Cancellation::record_seen_cancellations() {
   Transaction txn = committer_.guarded_transaction();
   std::vector<JobPtr> noted;
-  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  const auto most = static_cast<std::size_t>(ctx_.state->max_writes_per_txn());
   for (const auto& [key, job] : model_.jobs()) {
     if (!job->delegated_here() || !job->record.cancelled || job->cancellation_acknowledged ||
         job->cancellation_recorded || job->cleanup_inflight || job->progress_inflight || job->placed == 0 ||
         ctx_.env->now() - job->cancelled_at < kWriteNote) {
       continue;
     }
-    if (txn.then.size() + 1 > most) break;
+    if (txn.changes.size() + 1 > most) break;
     Json record = delegation_.delegation_record(*job).to_json();
     if (static_cast<double>(dump_json(record).size()) > committer_.value_bytes())
       continue;  // it is only asked for then
--- a/src/coordination/shard/cancellation.hpp
+++ b/src/coordination/shard/cancellation.hpp
@@ -5,7 +5,8 @@
 // Taken note has a delegate whose owner has answered the home's message while its lease was valid, or whose
 // key showed that very owner, or no owner, or a later one, after the cancellation: who owns the shard later
 // loads its records later. One that shrank, completed or deleted its delegation, or wrote the cancellation
-// into it, has shown it too. (Owners that were deposed before are bounded by Ownership::may_renew.)
+// into it, has shown it too. (Owners that were deposed before are bounded by
+// Ownership::may_renew_worker_leases.)
 #pragma once
 
 #include <string>
--- a/src/coordination/shard/job_completion.cpp
+++ b/src/coordination/shard/job_completion.cpp
@@ -49,9 +49,9 @@
 bool JobCompletion::commit_endings() {
   Transaction txn = committer_.guarded_transaction();
   std::vector<JobPtr> finished;
-  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->max_writes_per_txn());
   for (const JobPtr& job : jobs_to_end()) {
-    if (txn.then.size() + changes_to_end(*job) > max_changes) continue;
+    if (txn.changes.size() + changes_to_end(*job) > max_changes) continue;
     job->finishing = true;
     model_.counters().endings++;
     add_ending(txn, *job, "done");
@@ -116,14 +116,14 @@
   if (job.delegated_here()) {
     // A delegation whose record is complete is the home shard's to delete.
     if (job.complete() && job.unsaved.empty()) return Cleanup::kNotDue;
-    if (txn.then.size() + 1 > max_changes) return Cleanup::kNoRoom;
+    if (txn.changes.size() + 1 > max_changes) return Cleanup::kNoRoom;
     txn.guard(name, job.delegation_revision);
     txn.remove(name);
     return Cleanup::kAdded;
   }
   if (!job.all_delegated_complete()) return Cleanup::kNotDue;  // the shards that they went to delete them
   const std::size_t needed = changes_to_end(job);
-  if (txn.then.size() + needed > max_changes && !txn.then.empty()) return Cleanup::kNoRoom;
+  if (txn.changes.size() + needed > max_changes && !txn.changes.empty()) return Cleanup::kNoRoom;
   if (needed > max_changes) return Cleanup::kTooManyDelegations;
   add_ending(txn, job, "aborted");
   return Cleanup::kAdded;
@@ -132,7 +132,7 @@
 bool JobCompletion::commit_cancelled_cleanup() {
   Transaction txn = committer_.guarded_transaction();
   std::vector<std::string> cleaned;
-  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->max_writes_per_txn());
   for (auto& [name, job] : model_.jobs()) {
     const Cleanup cleanup = add_cleanup(txn, name, *job, max_changes);
     if (cleanup == Cleanup::kNotDue) continue;
--- a/src/coordination/shard/journal.cpp
+++ b/src/coordination/shard/journal.cpp
@@ -56,9 +56,9 @@
 // The journal is written at most so often that the shard keeps to its share of the changes: sooner while
 // the budget is full (a quiet day), with more in each write while it is not. In seconds.
 double Journal::write_interval(std::size_t changes) const {
-  const double share = ctx_.state->write_rate() / ctx_.shard_count;
+  const double share = ctx_.state->write_limit_rps() / ctx_.shard_count;
   const double gap = static_cast<double>(changes) / std::max(0.1, kJournalShare * share);
-  return ctx_.state->writes_left() > 0.6 ? gap / 4 : gap;
+  return ctx_.state->write_token_fraction() > 0.6 ? gap / 4 : gap;
 }
 
 // Completions that the job's own record, or its ending, is about to hold need no write here. (Written all the
@@ -117,7 +117,7 @@
 JournalWrite Journal::new_journal_write() const {
   JournalWrite write;
   write.txn = committer_.guarded_transaction();
-  write.max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  write.max_changes = static_cast<std::size_t>(ctx_.state->max_writes_per_txn());
   write.max_guards = 4 * static_cast<std::size_t>(ctx_.settings->txn_ops);
   return write;
 }
--- a/src/coordination/shard/progress_records.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -79,7 +79,7 @@
   for (const auto& [key, delegated] : job.delegated) {
     RangeSet missing = delegated.done;
     missing.erase(written);
-    if (!delegated.complete() || !missing.empty() || txn.then.size() + 1 > max_changes) continue;
+    if (!delegated.complete() || !missing.empty() || txn.changes.size() + 1 > max_changes) continue;
     txn.guard(key, delegated.revision);
     txn.remove(key);
     merged.push_back(key);
@@ -90,7 +90,7 @@
 bool ProgressRecords::commit_progress() {
   Transaction txn = committer_.guarded_transaction();
   std::vector<JobProgress> written;
-  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->max_writes_per_txn());
   for (auto& [ref, job] : model_.jobs()) {
     if (job->delegated_here() || job->finishing || job->cancelling || job->progress_inflight ||
         job->record.cancelled)
@@ -99,7 +99,7 @@
         static_cast<std::size_t>(std::count_if(job->delegated.begin(), job->delegated.end(),
                                                [](const auto& item) { return item.second.complete(); }));
     if (!progress_due(*job, complete, max_changes)) continue;
-    if (txn.then.size() + 1 + (complete > 0 ? 1 : 0) > max_changes) break;
+    if (txn.changes.size() + 1 + (complete > 0 ? 1 : 0) > max_changes) break;
     JobProgress progress;
     progress.job = job;
     progress.write = add_progress(txn, *job);
@@ -147,8 +147,8 @@
 bool ProgressRecords::commit_discarded() {
   if (discarded_.empty()) return false;
   Transaction txn = committer_.guarded_transaction();
-  const auto max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
-  while (!discarded_.empty() && txn.then.size() < max_changes) {
+  const auto max_changes = static_cast<std::size_t>(ctx_.state->max_writes_per_txn());
+  while (!discarded_.empty() && txn.changes.size() < max_changes) {
     const DiscardedRecord record = std::move(discarded_.front());
     discarded_.pop_front();
     txn.guard(record.key, record.revision);
--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -59,8 +59,8 @@
   write->priority = priority;
   write->slot = slot;
   write->body = txn.body();
-  write->changes = static_cast<int>(txn.then.size());
-  for (const Json& change : txn.then)
+  write->changes = static_cast<int>(txn.changes.size());
+  for (const Json& change : txn.changes)
     write->own.insert(change.at(change.contains("put") ? "put" : "delete").get<std::string>());
   write->done = std::move(done);
   write->conflict = std::move(conflict);
--- a/src/coordination/shard/shard_context.hpp
+++ b/src/coordination/shard/shard_context.hpp
@@ -23,7 +23,7 @@
   int shard_count = 1;
   // Nobody else can own this shard now (Ownership::exclusive).
   std::function<bool()> exclusive_owner;
-  // The leases of the shard's workers may be renewed (Ownership::may_renew).
+  // The leases of the shard's workers may be renewed (Ownership::may_renew_worker_leases).
   std::function<bool()> may_renew;
   // The revision at which the shard got the owner that is known of, or lost its last one.
   std::function<std::uint64_t(int shard)> owner_since;
--- a/src/coordination/shard/shard_loader.cpp
+++ b/src/coordination/shard/shard_loader.cpp
@@ -34,7 +34,7 @@
       on_loaded_(std::move(on_loaded)) {}
 
 void ShardLoader::load() {
-  if (ctx_.state->key_space().incarnation().first()) {
+  if (ctx_.state->key_space().incarnation().is_first()) {
     load_job_records();
   } else {
     load_unaccounted();
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -211,7 +211,7 @@
 bool TaskDelegation::commit_delegations() {
   Transaction txn = committer_.guarded_transaction();
   std::vector<DelegationWrite> batch;
-  const auto most = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  const auto most = static_cast<std::size_t>(ctx_.state->max_writes_per_txn());
   for (auto& [key, job] : model_.jobs()) {
     if (!job->delegated_here() || job->record.cancelled || job->progress_inflight || job->cleanup_inflight)
       continue;
@@ -219,7 +219,7 @@
     // Until the delegation is complete its completions are kept in the journal's segments.
     const bool due = (!job->unsaved.empty() && job->complete()) || job->fold_due;
     if (!give_back && !due) continue;
-    if (txn.then.size() + 1 > most) break;
+    if (txn.changes.size() + 1 > most) break;
     if (fit_delegation(*job)) batch.push_back(add_write(txn, key, job, give_back));
   }
   if (batch.empty()) return false;
--- a/src/coordination/state/incarnation.cpp
+++ b/src/coordination/state/incarnation.cpp
@@ -17,14 +17,14 @@
 // A first incarnation is written as versions before this one write it. Any other has a form of its own, so
 // that those versions leave the records alone.
 Json MetaRecord::to_json() const {
-  if (incarnation.first() && !rebuilding()) return {{"parts", shards}, {"form", kRecordFormatVersion}};
+  if (incarnation.is_first() && !is_rebuilding()) return {{"parts", shards}, {"form", kRecordFormatVersion}};
   return {{"parts", shards},
           {"form", kIncarnationFormatVersion},
           {"incarnation", incarnation.number},
           {"prefix", incarnation.prefix},
           {"offset", incarnation.token_offset},
           {"earlier", incarnation.earlier_prefixes},
-          {"begun", begun}};
+          {"begun", rebuild_number}};
 }
 
 std::optional<MetaRecord> MetaRecord::from_json(const Json& value) {
@@ -40,7 +40,7 @@
     out.incarnation.prefix = value.at("prefix").get<std::string>();
     out.incarnation.token_offset = value.at("offset").get<std::uint64_t>();
     out.incarnation.earlier_prefixes = value.at("earlier").get<std::vector<std::string>>();
-    out.begun = value.at("begun").get<int>();
+    out.rebuild_number = value.at("begun").get<int>();
   } catch (const Json::exception&) {
     return std::nullopt;
   }
@@ -58,29 +58,29 @@
   return out;
 }
 
-std::string KeySpace::own_key(const std::string& stored) const {
+std::string KeySpace::logical_key(const std::string& stored) const {
   if (is_shared(stored)) return stored;
   const std::string& prefix = incarnation_.prefix;
   return stored.rfind(prefix, 0) == 0 ? stored.substr(prefix.size()) : "/" + stored;
 }
 
-std::uint64_t KeySpace::to_own(std::uint64_t revision) const {
+std::uint64_t KeySpace::to_logical_revision(std::uint64_t revision) const {
   return revision == 0 ? 0 : revision + incarnation_.token_offset;
 }
 
 // A revision from before this incarnation is none that the service can have: a condition on it fails.
-std::uint64_t KeySpace::to_stored(std::uint64_t revision) const {
+std::uint64_t KeySpace::to_stored_revision(std::uint64_t revision) const {
   if (revision == 0) return 0;
   if (revision <= incarnation_.token_offset) return std::numeric_limits<std::int64_t>::max();
   return revision - incarnation_.token_offset;
 }
 
 std::string KeySpace::stored_body(std::string body) const {
-  if (incarnation_.first() && body.find("\"/") == std::string::npos) return body;
+  if (incarnation_.is_first() && body.find("\"/") == std::string::npos) return body;
   Json transaction = parse_json(body);
   for (Json& guard : transaction["guards"]) {
     guard["k"] = stored_key(guard["k"].get<std::string>());
-    guard["stamp"] = to_stored(guard["stamp"].get<std::uint64_t>());
+    guard["stamp"] = to_stored_revision(guard["stamp"].get<std::uint64_t>());
   }
   for (Json& change : transaction["then"]) {
     const char* verb = change.contains("put") ? "put" : "delete";
@@ -92,16 +92,16 @@
 void KeySpace::translate_fields(Json& object) const {
   for (const char* field : {"k", "put", "delete"}) {
     if (const auto key = object.find(field); key != object.end() && key->is_string())
-      *key = own_key(key->get<std::string>());
+      *key = logical_key(key->get<std::string>());
   }
   for (const char* field : {"stamp", "epoch"}) {
     if (const auto number = object.find(field); number != object.end() && number->is_number_unsigned())
-      *number = to_own(number->get<std::uint64_t>());
+      *number = to_logical_revision(number->get<std::uint64_t>());
   }
 }
 
-void KeySpace::translate_answer(Json& body) const {
-  if (incarnation_.first() || !body.is_object()) return;
+void KeySpace::translate_reply(Json& body) const {
+  if (incarnation_.is_first() || !body.is_object()) return;
   translate_fields(body);
   for (const char* list : {"items", "events"}) {
     const auto entries = body.find(list);
@@ -109,7 +109,7 @@
     for (Json& entry : *entries) translate_fields(entry);
   }
   if (const auto failed = body.find("failed"); failed != body.end() && failed->is_array()) {
-    for (Json& key : *failed) key = own_key(key.get<std::string>());
+    for (Json& key : *failed) key = logical_key(key.get<std::string>());
   }
 }
 
--- a/src/coordination/state/incarnation.hpp
+++ b/src/coordination/state/incarnation.hpp
@@ -23,7 +23,7 @@
   std::uint64_t token_offset = 0;             // added to the revisions of the state service
   std::vector<std::string> earlier_prefixes;  // of the incarnations before: job endings stay where they are
 
-  [[nodiscard]] bool first() const { return number == 1; }
+  [[nodiscard]] bool is_first() const { return number == 1; }
   friend bool operator==(const Incarnation&, const Incarnation&) = default;
 };
 
@@ -33,9 +33,9 @@
   Incarnation incarnation;
   // The highest incarnation number that anybody has begun to rebuild; above `incarnation.number` while a
   // rebuilding is under way.
-  int begun = 1;
+  int rebuild_number = 1;
 
-  [[nodiscard]] bool rebuilding() const { return begun > incarnation.number; }
+  [[nodiscard]] bool is_rebuilding() const { return rebuild_number > incarnation.number; }
   [[nodiscard]] Json to_json() const;
   // Nothing where the record is of a form that this version does not know.
   static std::optional<MetaRecord> from_json(const Json& value);
@@ -51,13 +51,13 @@
   [[nodiscard]] std::string stored_key(const std::string& key) const;
   // Where the ending of a job may be: in this incarnation, then in those before, as absolute keys.
   [[nodiscard]] std::vector<std::string> ending_keys(int shard, const std::string& ref) const;
-  [[nodiscard]] std::string own_key(const std::string& stored) const;
-  [[nodiscard]] std::uint64_t to_own(std::uint64_t revision) const;
-  [[nodiscard]] std::uint64_t to_stored(std::uint64_t revision) const;
+  [[nodiscard]] std::string logical_key(const std::string& stored) const;
+  [[nodiscard]] std::uint64_t to_logical_revision(std::uint64_t revision) const;
+  [[nodiscard]] std::uint64_t to_stored_revision(std::uint64_t revision) const;
   // The body of a transaction as the state service has to see it.
   [[nodiscard]] std::string stored_body(std::string body) const;
   // Keys and revisions of an answer, in place.
-  void translate_answer(Json& body) const;
+  void translate_reply(Json& body) const;
 
  private:
   void translate_fields(Json& object) const;
--- a/src/coordination/state/list_scan.cpp
+++ b/src/coordination/state/list_scan.cpp
@@ -4,7 +4,7 @@
 
 namespace mothslip {
 
-void ListScan::start(PageReader read, PageHandler page, ScanEnd end) {
+void ListScan::start(PageReader read, PageHandler page, ScanEndHandler end) {
   const std::shared_ptr<ListScan> scan(new ListScan(std::move(read), std::move(page), std::move(end)));
   scan->read_next();
 }
@@ -20,7 +20,7 @@
   }
   if (revision_ == 0) revision_ = reply.revision();
   std::vector<StateItem> page = reply.take_items();
-  const bool more = reply.more_items() && !page.empty();
+  const bool more = reply.has_more_items() && !page.empty();
   if (more) from_ = page.back().key;
   page_(std::move(page));
   if (more) {
--- a/src/coordination/state/list_scan.hpp
+++ b/src/coordination/state/list_scan.hpp
@@ -19,19 +19,19 @@
   using PageReader = std::function<void(const std::string& from, StateHandler)>;
   using PageHandler = std::function<void(std::vector<StateItem>)>;
   // The outcome of the last call, and the revision of the first page (0 unless kOk).
-  using ScanEnd = std::function<void(Outcome, std::uint64_t revision)>;
+  using ScanEndHandler = std::function<void(Outcome, std::uint64_t revision)>;
 
-  static void start(PageReader read, PageHandler page, ScanEnd end);
+  static void start(PageReader read, PageHandler page, ScanEndHandler end);
 
  private:
-  ListScan(PageReader read, PageHandler page, ScanEnd end)
+  ListScan(PageReader read, PageHandler page, ScanEndHandler end)
       : read_(std::move(read)), page_(std::move(page)), end_(std::move(end)) {}
   void read_next();
   void on_page(StateReply reply);
 
   PageReader read_;
   PageHandler page_;
-  ScanEnd end_;
+  ScanEndHandler end_;
   std::string from_;
   std::uint64_t revision_ = 0;
 };
--- a/src/coordination/state/request_budget.hpp
+++ b/src/coordination/state/request_budget.hpp
@@ -23,7 +23,7 @@
   // The service took a transaction for too large.
   void shrink_transactions(double now);
   // The service turned a call down (429); `write`: one that changes something.
-  void turned_down(bool write, double now);
+  void on_refusal(bool write, double now);
   // Lets the rates rise again after refusals; at most once a second, however often it is called.
   void raise_rates(double now);
 
@@ -33,14 +33,14 @@
   // Seconds until `take` turns true.
   [[nodiscard]] double wait_s(RequestPriority priority, int writes, double now);
   // True when that many calls, or that many changes, would take longer than `patience_s`.
-  [[nodiscard]] bool takes_longer(double calls, double writes, double patience_s, double now);
+  [[nodiscard]] bool wait_exceeds(double calls, double writes, double max_wait_s, double now);
 
   // Changes that one transaction should have at most.
-  [[nodiscard]] int writes_per_txn() const { return writes_per_txn_; }
+  [[nodiscard]] int max_writes_per_txn() const { return max_writes_per_txn_; }
   // Changes a second that the service is taken to serve, for all nodes together.
-  [[nodiscard]] double write_rate() const { return write_rate_.current_rps(); }
+  [[nodiscard]] double write_limit_rps() const { return write_rate_.current_rps(); }
   // How much of the changes that may be made at once is left, 0..1.
-  [[nodiscard]] double writes_left(double now) { return writes_.fill_fraction(now); }
+  [[nodiscard]] double write_token_fraction(double now) { return writes_.fill_fraction(now); }
 
  private:
   void apply_share(double now);
@@ -48,9 +48,9 @@
   AdaptiveRate call_rate_;
   AdaptiveRate write_rate_;
   double share_;
-  double next_raise_;
-  int txn_ops_;  // changes that a transaction may have, as far as is known
-  int writes_per_txn_;
+  double next_raise_at_;
+  int max_txn_ops_;  // changes that a transaction may have, as far as is known
+  int max_writes_per_txn_;
   TokenBucket calls_;
   TokenBucket writes_;
 };
--- a/src/coordination/state/request_queue.cpp
+++ b/src/coordination/state/request_queue.cpp
@@ -6,12 +6,12 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMaxQueueLength = 128;  // requests of one priority class
-constexpr double kQueueSeconds = 2.0;
-constexpr double kLeaseRetrySeconds = 0.1;
+constexpr std::size_t kMaxQueuedRequestsPerPriority = 128;  // requests of one priority class
+constexpr double kMaxQueueWaitSeconds = 2.0;
+constexpr double kLeaseRetryDelaySeconds = 0.1;
 // Bounds of the time until the next look at the queues.
-constexpr double kShortestWaitSeconds = 0.002;
-constexpr double kLongestWaitSeconds = 0.5;
+constexpr double kMinRecheckDelaySeconds = 0.002;
+constexpr double kMaxRecheckDelaySeconds = 0.5;
 }  // namespace
 
 RequestQueue::RequestQueue(Env& env, RequestBudget& budget, Listener listener)
@@ -23,44 +23,45 @@
 
 void RequestQueue::submit(RequestPriority priority, HttpCall call, int writes, StateHandler handler) {
   auto& queue = queue_of(priority);
-  if (queue.size() >= kMaxQueueLength) {
+  if (queue.size() >= kMaxQueuedRequestsPerPriority) {
     listener_.refused(std::move(handler));
     return;
   }
-  queue.push_back({std::move(call), writes, env_.now() + kQueueSeconds, std::move(handler)});
+  queue.push_back({std::move(call), writes, env_.now() + kMaxQueueWaitSeconds, std::move(handler)});
   send_ready();
 }
 
-void RequestQueue::put_back(RequestPriority priority, QueuedRequest request) {
+void RequestQueue::requeue(RequestPriority priority, QueuedRequest request) {
   queue_of(priority).push_front(std::move(request));
   if (priority == RequestPriority::kLease) {
-    env_.after(kLeaseRetrySeconds, [this] { send_ready(); });  // it needs no tokens, but is not sent at once
+    env_.after(kLeaseRetryDelaySeconds,
+               [this] { send_ready(); });  // it needs no tokens, but is not sent at once
   } else {
     send_ready();
   }
 }
 
-bool RequestQueue::busy(RequestPriority priority, double patience_s) {
+bool RequestQueue::is_busy(RequestPriority priority, double max_wait_s) {
   std::size_t calls_ahead = 0;
   double writes = 1;
   for (std::size_t i = 0; i <= static_cast<std::size_t>(priority); i++) {
     calls_ahead += queues_[i].size();
     for (const QueuedRequest& request : queues_[i]) writes += request.writes;
   }
-  return budget_.takes_longer(static_cast<double>(calls_ahead + 1), writes, patience_s, env_.now());
+  return budget_.wait_exceeds(static_cast<double>(calls_ahead + 1), writes, max_wait_s, env_.now());
 }
 
 // Sends what has its tokens, and looks again when the next request may have them.
 void RequestQueue::send_ready() {
   const double now = env_.now();
   budget_.raise_rates(now);
-  std::optional<double> shortest_wait;
+  std::optional<double> shortest_wait_s;
   for (std::size_t i = 0; i < queues_.size(); i++) {
-    const std::optional<double> wait = send_ready(static_cast<RequestPriority>(i), now);
-    if (wait && (!shortest_wait || *wait < *shortest_wait)) shortest_wait = wait;
+    const std::optional<double> wait_s = send_ready(static_cast<RequestPriority>(i), now);
+    if (wait_s && (!shortest_wait_s || *wait_s < *shortest_wait_s)) shortest_wait_s = wait_s;
   }
-  if (!shortest_wait || send_timer_ != 0) return;
-  send_timer_ = env_.after(*shortest_wait, [this] {
+  if (!shortest_wait_s || send_timer_ != 0) return;
+  send_timer_ = env_.after(*shortest_wait_s, [this] {
     send_timer_ = 0;
     send_ready();
   });
@@ -77,8 +78,8 @@
       continue;
     }
     if (!budget_.take(priority, next.writes, now)) {
-      const double wait = std::min(budget_.wait_s(priority, next.writes, now), next.deadline - now);
-      return std::clamp(wait, kShortestWaitSeconds, kLongestWaitSeconds);
+      const double wait_s = std::min(budget_.wait_s(priority, next.writes, now), next.deadline - now);
+      return std::clamp(wait_s, kMinRecheckDelaySeconds, kMaxRecheckDelaySeconds);
     }
     QueuedRequest ready = std::move(next);
     queue.pop_front();
--- a/src/coordination/state/request_queue.hpp
+++ b/src/coordination/state/request_queue.hpp
@@ -40,9 +40,9 @@
 
   void submit(RequestPriority priority, HttpCall call, int writes, StateHandler handler);
   // A request that was sent and not executed: it waits for the next tokens like the rest of its class.
-  void put_back(RequestPriority priority, QueuedRequest request);
+  void requeue(RequestPriority priority, QueuedRequest request);
   // True when a call in this priority class would have to wait longer than `patience_s`.
-  [[nodiscard]] bool busy(RequestPriority priority, double patience_s);
+  [[nodiscard]] bool is_busy(RequestPriority priority, double max_wait_s);
 
  private:
   void send_ready();
--- a/src/coordination/state/state_client.cpp
+++ b/src/coordination/state/state_client.cpp
@@ -7,9 +7,9 @@
 namespace mothslip {
 
 namespace {
-constexpr double kCallSeconds = 1.5;
-constexpr double kWatchMarginSeconds = 2;  // beyond the time for which the service may hold a watch
-constexpr const char* kPageLimit = "500";  // records that one page of a list may have
+constexpr double kCallTimeoutSeconds = 1.5;
+constexpr double kWatchTimeoutMarginSeconds = 2;  // beyond the time for which the service may hold a watch
+constexpr const char* kMaxItemsPerPage = "500";   // records that one page of a list may have
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 }  // namespace
@@ -23,14 +23,14 @@
       queue_(env, budget_,
              {[this](RequestPriority priority, QueuedRequest request) { send(priority, std::move(request)); },
               [this](StateHandler handler) { refuse(std::move(handler)); }}),
-      last_answer_(env.now()) {}
+      last_answer_at_(env.now()) {}
 
 void StateClient::set_share(double share) { budget_.set_share(share, env_.now()); }
 
 void StateClient::shrink_transactions() { budget_.shrink_transactions(env_.now()); }
 
-bool StateClient::busy(RequestPriority priority, double patience_s) {
-  return queue_.busy(priority, patience_s);
+bool StateClient::is_busy(RequestPriority priority, double max_wait_s) {
+  return queue_.is_busy(priority, max_wait_s);
 }
 
 void StateClient::submit(RequestPriority priority, HttpCall call, int writes, StateHandler handler) {
@@ -39,27 +39,27 @@
 }
 
 void StateClient::refuse(StateHandler handler) {
-  counters_.refused_here++;
+  counters_.refused_locally++;
   env_.after(0, [handler = std::move(handler)] { handler({Outcome::kRefused, Json()}); });
 }
 
 void StateClient::send(RequestPriority priority, QueuedRequest request) {
   counters_.calls++;
   counters_.writes += static_cast<std::uint64_t>(request.writes);
-  const auto kept = std::make_shared<QueuedRequest>(std::move(request));
-  const std::uint64_t newest = monitor_ == nullptr ? 0 : monitor_->newest();
-  env_.call(kept->call, [this, priority, kept, newest](const HttpReply& reply) {
-    if (!reply.unanswered() && reply.status != kUnavailable) last_answer_ = env_.now();
+  const auto shared_request = std::make_shared<QueuedRequest>(std::move(request));
+  const std::uint64_t newest_when_sent = monitor_ == nullptr ? 0 : monitor_->newest_revision();
+  env_.call(shared_request->call, [this, priority, shared_request, newest_when_sent](const HttpReply& reply) {
+    if (!reply.unanswered() && reply.status != kUnavailable) last_answer_at_ = env_.now();
     if (reply.status == kTooManyRequests) {
-      counters_.too_many++;
-      budget_.turned_down(kept->writes > 0, env_.now());
+      counters_.too_many_requests++;
+      budget_.on_refusal(shared_request->writes > 0, env_.now());
       // Not executed: it may be sent again.
-      if (env_.now() < kept->deadline) return queue_.put_back(priority, std::move(*kept));
+      if (env_.now() < shared_request->deadline) return queue_.requeue(priority, std::move(*shared_request));
     }
     if (reply.unanswered()) counters_.unanswered++;
     StateReply out = read_reply(reply);
-    tell_monitor(newest, out);
-    kept->handler(std::move(out));
+    notify_monitor(newest_when_sent, out);
+    shared_request->handler(std::move(out));
   });
 }
 
@@ -68,27 +68,27 @@
   out.outcome = outcome_of_status(reply.status);
   if (!reply.body.empty()) out.body = parse_json(reply.body);
   if (out.outcome == Outcome::kOk && !out.body.is_object()) out.outcome = Outcome::kUnknown;
-  key_space_.translate_answer(out.body);
+  key_space_.translate_reply(out.body);
   return out;
 }
 
-void StateClient::tell_monitor(std::uint64_t newest_when_asked, const StateReply& reply) const {
+void StateClient::notify_monitor(std::uint64_t newest_when_sent, const StateReply& reply) const {
   if (monitor_ == nullptr) return;
   const std::uint64_t revision = reply.revision();
-  if (revision != 0) monitor_->on_revision(newest_when_asked, revision);
+  if (revision != 0) monitor_->on_revision(newest_when_sent, revision);
 }
 
 void StateClient::commit(RequestPriority priority, const Transaction& txn, StateHandler handler) {
-  commit_body(priority, txn.body(), static_cast<int>(txn.then.size()), std::move(handler));
+  commit_body(priority, txn.body(), static_cast<int>(txn.changes.size()), std::move(handler));
 }
 
 void StateClient::commit_body(RequestPriority priority, std::string body, int writes, StateHandler handler) {
-  submit(priority, {"", "POST", "/commit", key_space_.stored_body(std::move(body)), kCallSeconds}, writes,
-         std::move(handler));
+  submit(priority, {"", "POST", "/commit", key_space_.stored_body(std::move(body)), kCallTimeoutSeconds},
+         writes, std::move(handler));
 }
 
 void StateClient::get(RequestPriority priority, const std::string& key, StateHandler handler) {
-  submit(priority, {"", "GET", "/keys/" + key_space_.stored_key(key), "", kCallSeconds}, 0,
+  submit(priority, {"", "GET", "/keys/" + key_space_.stored_key(key), "", kCallTimeoutSeconds}, 0,
          std::move(handler));
 }
 
@@ -105,11 +105,12 @@
       });
 }
 
-void StateClient::scan(RequestPriority priority, const std::string& prefix, PageHandler page, ScanEnd end) {
+void StateClient::scan(RequestPriority priority, const std::string& prefix, PageHandler page,
+                       ScanEndHandler end) {
   const auto read_page = [this, priority, prefix](const std::string& from, StateHandler handler) {
-    std::string path = "/keys?prefix=" + key_space_.stored_key(prefix) + "&most=" + kPageLimit;
+    std::string path = "/keys?prefix=" + key_space_.stored_key(prefix) + "&most=" + kMaxItemsPerPage;
     if (!from.empty()) path += "&from=" + key_space_.stored_key(from);
-    submit(priority, {"", "GET", path, "", kCallSeconds}, 0, std::move(handler));
+    submit(priority, {"", "GET", path, "", kCallTimeoutSeconds}, 0, std::move(handler));
   };
   ListScan::start(read_page, std::move(page), std::move(end));
 }
@@ -118,15 +119,15 @@
   HttpCall call;
   call.method = "GET";
   call.path = "/changes?prefix=" + key_space_.stored_key(prefix) +
-              "&from=" + std::to_string(key_space_.to_stored(from)) +
+              "&from=" + std::to_string(key_space_.to_stored_revision(from)) +
               "&wait_ms=" + std::to_string(static_cast<int>(wait_s * 1000));
-  call.timeout_s = wait_s + kWatchMarginSeconds;
+  call.timeout_s = wait_s + kWatchTimeoutMarginSeconds;
   submit(RequestPriority::kLease, std::move(call), 0, std::move(handler));
 }
 
 void StateClient::lease_create(double ttl_s, StateHandler handler) {
   const Json body = {{"ttl_ms", static_cast<int>(ttl_s * 1000)}};
-  submit(RequestPriority::kLease, {"", "POST", "/leases", dump_json(body), kCallSeconds}, 0,
+  submit(RequestPriority::kLease, {"", "POST", "/leases", dump_json(body), kCallTimeoutSeconds}, 0,
          std::move(handler));
 }
 
--- a/src/coordination/state/state_client.hpp
+++ b/src/coordination/state/state_client.hpp
@@ -42,8 +42,8 @@
   void list(RequestPriority priority, const std::string& prefix, ListHandler handler);
   // Likewise, each page as it comes: for what is too much to be held at once.
   using PageHandler = ListScan::PageHandler;
-  using ScanEnd = ListScan::ScanEnd;
-  void scan(RequestPriority priority, const std::string& prefix, PageHandler page, ScanEnd end);
+  using ScanEndHandler = ListScan::ScanEndHandler;
+  void scan(RequestPriority priority, const std::string& prefix, PageHandler page, ScanEndHandler end);
   // Changes under the prefix after the revision `from`; without any, the service answers after `wait_s`.
   // kGone: the service does not remember changes as old as that.
   void watch(const std::string& prefix, std::uint64_t from, double wait_s, StateHandler handler);
@@ -53,22 +53,22 @@
 
   // Seconds since it last said anything but 503, to any call; never: since the start. What happened there
   // before that start is not known, so a new process has been without it only since then.
-  [[nodiscard]] double silent_s() const { return env_.now() - last_answer_; }
+  [[nodiscard]] double silent_s() const { return env_.now() - last_answer_at_; }
   [[nodiscard]] const KeySpace& key_space() const { return key_space_; }
-  [[nodiscard]] int writes_per_txn() const { return budget_.writes_per_txn(); }
+  [[nodiscard]] int max_writes_per_txn() const { return budget_.max_writes_per_txn(); }
   // Changes a second that the service is taken to serve, for all nodes together: the present limit, or less
   // once it has turned calls down, but no less than the limit that it has announced.
-  [[nodiscard]] double write_rate() const { return budget_.write_rate(); }
+  [[nodiscard]] double write_limit_rps() const { return budget_.write_limit_rps(); }
   // The service took a transaction for too large.
   void shrink_transactions();
   // How much of the changes that may be made at once is left, 0..1.
-  [[nodiscard]] double writes_left() { return budget_.writes_left(env_.now()); }
+  [[nodiscard]] double write_token_fraction() { return budget_.write_token_fraction(env_.now()); }
   // True when a call in this priority class would have to wait longer than `patience_s`.
-  [[nodiscard]] bool busy(RequestPriority priority, double patience_s);
+  [[nodiscard]] bool is_busy(RequestPriority priority, double max_wait_s);
 
   // Since the start. refused_here: never sent; too_many: answered with 429.
   struct Counters {
-    std::uint64_t calls = 0, writes = 0, refused_here = 0, too_many = 0, unanswered = 0;
+    std::uint64_t calls = 0, writes = 0, refused_locally = 0, too_many_requests = 0, unanswered = 0;
   };
   [[nodiscard]] const Counters& counters() const { return counters_; }
 
@@ -77,7 +77,7 @@
   void send(RequestPriority priority, QueuedRequest request);
   void refuse(StateHandler handler);
   [[nodiscard]] StateReply read_reply(const HttpReply& reply) const;
-  void tell_monitor(std::uint64_t newest_when_asked, const StateReply& reply) const;
+  void notify_monitor(std::uint64_t newest_when_sent, const StateReply& reply) const;
 
   Env& env_;
   KeySpace key_space_;
@@ -85,7 +85,7 @@
   std::string address_;
   RequestBudget budget_;
   RequestQueue queue_;
-  double last_answer_;  // steady clock, seconds
+  double last_answer_at_;  // steady clock, seconds
   Counters counters_;
 };
 
--- a/src/coordination/state/state_messages.cpp
+++ b/src/coordination/state/state_messages.cpp
@@ -68,7 +68,7 @@
 std::string Transaction::body() const {
   Json conditions = Json::array();
   for (const auto& [key, revision] : guards) conditions.push_back({{"k", key}, {"stamp", revision}});
-  return dump_json({{"guards", std::move(conditions)}, {"then", then}});
+  return dump_json({{"guards", std::move(conditions)}, {"then", changes}});
 }
 
 }  // namespace mothslip
--- a/src/coordination/state/state_messages.hpp
+++ b/src/coordination/state/state_messages.hpp
@@ -65,7 +65,7 @@
   // Of the answer to a list, one page; empty when the answer has no items.
   [[nodiscard]] std::vector<StateItem> take_items();
   // More pages follow that one.
-  [[nodiscard]] bool more_items() const { return body.value("more", false); }
+  [[nodiscard]] bool has_more_items() const { return body.value("more", false); }
 
   // Of the answer to a commit that failed with kConflict: the keys whose guard failed.
   [[nodiscard]] std::vector<std::string> failed_keys() const;
@@ -81,15 +81,17 @@
 // sent.
 struct Transaction {
   std::vector<std::pair<std::string, std::uint64_t>> guards;  // key and revision; 0: the key must not exist
-  Json then = Json::array();                                  // the changes, as the service takes them
+  Json changes = Json::array();                               // the changes, as the service takes them
 
   void guard(const std::string& key, std::uint64_t revision) { guards.emplace_back(key, revision); }
-  void put(const std::string& key, Json data) { then.push_back({{"put", key}, {"data", std::move(data)}}); }
+  void put(const std::string& key, Json data) {
+    changes.push_back({{"put", key}, {"data", std::move(data)}});
+  }
   // The record goes when the lease ends.
   void put_with_lease(const std::string& key, Json data, std::uint64_t lease_id) {
-    then.push_back({{"put", key}, {"data", std::move(data)}, {"hold", lease_id}});
+    changes.push_back({{"put", key}, {"data", std::move(data)}, {"hold", lease_id}});
   }
-  void remove(const std::string& key) { then.push_back({{"delete", key}}); }
+  void remove(const std::string& key) { changes.push_back({{"delete", key}}); }
   // The body of the commit.
   [[nodiscard]] std::string body() const;
 };
--- a/src/coordination/state/state_monitor.hpp
+++ b/src/coordination/state/state_monitor.hpp
@@ -15,11 +15,11 @@
   virtual ~StateMonitor() = default;
 
   // The newest revision that anybody is known to have seen.
-  [[nodiscard]] virtual std::uint64_t newest() const = 0;
+  [[nodiscard]] virtual std::uint64_t newest_revision() const = 0;
   // State was found to be lost: the node is about to be stopped and must not give anything up meanwhile.
-  [[nodiscard]] virtual bool lost() const = 0;
+  [[nodiscard]] virtual bool is_state_lost() const = 0;
   // The state service was at `revision` when it answered; `newest_when_asked` was known when it was asked.
-  virtual void on_revision(std::uint64_t newest_when_asked, std::uint64_t revision) = 0;
+  virtual void on_revision(std::uint64_t newest_when_sent, std::uint64_t revision) = 0;
   // Another controller has seen this revision.
   virtual void on_peer_revision(std::uint64_t revision) = 0;
   // The service contradicts a durable answer of its own.
--- a/src/recovery/loss_detector.hpp
+++ b/src/recovery/loss_detector.hpp
@@ -22,8 +22,8 @@
   // `newest`: the newest revision that is known to begin with.
   LossDetector(std::uint64_t newest, LossHandler on_loss);
 
-  [[nodiscard]] std::uint64_t newest() const override { return newest_; }
-  [[nodiscard]] bool lost() const override { return lost_; }
+  [[nodiscard]] std::uint64_t newest_revision() const override { return newest_; }
+  [[nodiscard]] bool is_state_lost() const override { return lost_; }
   void on_revision(std::uint64_t newest_when_asked, std::uint64_t revision) override;
   void on_peer_revision(std::uint64_t revision) override;
   void on_contradiction(const std::string& what) override;
--- a/src/recovery/rebuild.cpp
+++ b/src/recovery/rebuild.cpp
@@ -46,12 +46,13 @@
       plan_(std::move(plan)),
       handlers_(std::move(handlers)),
       began_(env.now()),
-      collector_(env_, settings, plan_.meta.begun) {
+      collector_(env_, settings, plan_.meta.rebuild_number) {
   store_.set_share(kStoreShare);
 }
 
 void Rebuild::start() {
-  spdlog::warn("recovery: this controller rebuilds the records, as incarnation {}", plan_.meta.begun);
+  spdlog::warn("recovery: this controller rebuilds the records, as incarnation {}",
+               plan_.meta.rebuild_number);
   gather();
 }
 
@@ -147,7 +148,7 @@
 
 Incarnation Rebuild::next_incarnation(std::uint64_t newest) const {
   Incarnation out;
-  out.number = plan_.meta.begun;
+  out.number = plan_.meta.rebuild_number;
   out.prefix = "r/" + std::to_string(out.number) + "-" + plan_.nonce + "/";
   out.token_offset = newest + kTokenGap;
   const auto add = [&out](const std::string& prefix) {
--- a/src/recovery/record_writer.cpp
+++ b/src/recovery/record_writer.cpp
@@ -45,7 +45,7 @@
 std::vector<RecordWrite> RecordWriter::take_batch() {
   std::vector<RecordWrite> batch;
   std::size_t bytes = 0;
-  const auto most = static_cast<std::size_t>(store_.writes_per_txn());
+  const auto most = static_cast<std::size_t>(store_.max_writes_per_txn());
   while (!queue_.empty() && batch.size() < most) {
     const std::size_t needs =
         queue_.back().key.size() * 2 + dump_json(queue_.back().data).size() + kFrameBytes;
@@ -103,7 +103,8 @@
 void RecordWriter::settle(const std::vector<RecordWrite>& batch, std::uint64_t revision) {
   written_ += batch.size();
   for (const RecordWrite& record : batch) {
-    if (record.key.rfind(keys::kJobRecords, 0) == 0) job_revisions_[record.key] = key_space_.to_own(revision);
+    if (record.key.rfind(keys::kJobRecords, 0) == 0)
+      job_revisions_[record.key] = key_space_.to_logical_revision(revision);
   }
   next();
 }
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -52,8 +52,8 @@
     return look_again();
   }
   const std::uint64_t revision = stored_revision(reply);
-  begun_ = std::max(begun_, meta->begun);
-  if (meta->rebuilding()) return look_for_leader(*meta, revision);
+  begun_ = std::max(begun_, meta->rebuild_number);
+  if (meta->is_rebuilding()) return look_for_leader(*meta, revision);
   const int published = meta->incarnation.number;
   if (published > ctx_.last.number && published >= begun_) return ctx_.published(*meta);
   claim(*meta, revision);
@@ -81,14 +81,15 @@
 // incarnation before from their owners.
 void Recovery::claim_with(std::uint64_t lease, const MetaRecord& meta, std::uint64_t meta_revision) {
   MetaRecord next = meta;
-  next.begun = std::max({meta.begun, begun_, ctx_.last.number}) + 1;
+  next.rebuild_number = std::max({meta.rebuild_number, begun_, ctx_.last.number}) + 1;
   Transaction transaction;
   transaction.guard(keys::kMeta, meta_revision);
   transaction.guard(kLeaderKey, 0);
   transaction.put(keys::kMeta, next.to_json());
-  transaction.put_with_lease(kLeaderKey, LeaderRecord{ctx_.settings->node, next.begun}.to_json(), lease);
+  transaction.put_with_lease(kLeaderKey, LeaderRecord{ctx_.settings->node, next.rebuild_number}.to_json(),
+                             lease);
   const auto most = static_cast<std::size_t>(ctx_.settings->txn_ops);
-  for (int shard = 0; shard < meta.shards && transaction.then.size() < most; shard++)
+  for (int shard = 0; shard < meta.shards && transaction.changes.size() < most; shard++)
     transaction.put(meta.incarnation.prefix + keys::shard_owner(shard), {{"node", kRebuiltOwner}});
   store_.commit(RequestPriority::kLease, transaction, [this, lease, next](const StateReply& reply) {
     if (reply.ok()) {
@@ -101,7 +102,7 @@
 
 void Recovery::lead(std::uint64_t lease, const MetaRecord& meta, std::uint64_t revision) {
   lease_ = lease;
-  begun_ = meta.begun;
+  begun_ = meta.rebuild_number;
   Rebuild::Plan plan;
   plan.meta = meta;
   plan.meta_revision = revision;
--- a/src/recovery/serving_mode.hpp
+++ b/src/recovery/serving_mode.hpp
@@ -36,7 +36,7 @@
   // All that the node knows and the state service may not.
   [[nodiscard]] NodeMemory memory() const { return node_.memory(); }
   // The newest revision of the state service that was heard of.
-  [[nodiscard]] std::uint64_t newest_revision() const { return detector_.newest(); }
+  [[nodiscard]] std::uint64_t newest_revision() const { return detector_.newest_revision(); }
 
  private:
   // In this order: the environment ends what the node has under way, and the detector outlives both.
--- a/src/recovery/start_up.cpp
+++ b/src/recovery/start_up.cpp
@@ -32,7 +32,7 @@
 
 void StartUp::on_meta(const StateReply& reply) {
   meta_ = meta_of(reply);
-  if (meta_ && meta_->rebuilding()) {
+  if (meta_ && meta_->is_rebuilding()) {
     conclude_loss("records are being rebuilt");
   } else if (meta_ || reply.outcome == Outcome::kMissing) {
     ask_peers();
@@ -85,7 +85,7 @@
 void StartUp::compare_with_store(std::uint64_t stored_revision) {
   const Incarnation incarnation = meta_ ? meta_->incarnation : Incarnation{};
   const std::uint64_t newest_known = std::max(reported().newest, newest_of_peers_);
-  const bool service_is_behind = newest_known > KeySpace(incarnation).to_own(stored_revision);
+  const bool service_is_behind = newest_known > KeySpace(incarnation).to_logical_revision(stored_revision);
   // (An empty service, at the very first start, has no workers with tasks.)
   const bool emptied = !meta_ && !reported().jobs.empty();
   if (service_is_behind || emptied)
--- a/tests/measure_recovery.cpp
+++ b/tests/measure_recovery.cpp
@@ -28,7 +28,7 @@
 
 bool all_serve(const World& world) {
   for (const auto& process : world.nodes) {
-    if (!process.node || !process.node->serving() || process.node->incarnation().first()) return false;
+    if (!process.node || !process.node->serving() || process.node->incarnation().is_first()) return false;
   }
   return true;
 }
--- a/tests/recovery_merge_test.cpp
+++ b/tests/recovery_merge_test.cpp
@@ -205,10 +205,10 @@
   // Asked before the revision 15 was heard of: the answer may well be older.
   detector.on_revision(10, 12);
   EXPECT_EQ(losses, 0);
-  EXPECT_FALSE(detector.lost());
+  EXPECT_FALSE(detector.is_state_lost());
   detector.on_revision(15, 14);
   EXPECT_EQ(losses, 1);
-  EXPECT_TRUE(detector.lost());
+  EXPECT_TRUE(detector.is_state_lost());
   detector.on_other_incarnation();
   EXPECT_EQ(losses, 1) << "told once";
 }
@@ -221,7 +221,7 @@
   second.earlier_prefixes = {""};
   const KeySpace space(second);
   EXPECT_EQ(space.stored_key("w/j/0/job-1"), "r/2-77/w/j/0/job-1");
-  EXPECT_EQ(space.own_key("r/2-77/w/j/0/job-1"), "w/j/0/job-1");
+  EXPECT_EQ(space.logical_key("r/2-77/w/j/0/job-1"), "w/j/0/job-1");
   EXPECT_EQ(space.stored_key("meta"), "meta") << "shared by all incarnations";
   EXPECT_EQ(space.stored_key("/e/0/job-1"), "e/0/job-1") << "absolute";
   EXPECT_EQ(space.ending_keys(0, "job-1"), (std::vector<std::string>{"e/0/job-1", "/e/0/job-1"}));
@@ -233,7 +233,7 @@
   EXPECT_GT(stored["guards"][2]["stamp"], 1'000'000) << "of an earlier incarnation: no such revision";
   EXPECT_EQ(stored["then"][1]["delete"], "r/2-77/b");
   Json answer = parse_json(R"({"epoch":9,"failed":["r/2-77/a"],"items":[{"k":"r/2-77/b","stamp":4}]})");
-  space.translate_answer(answer);
+  space.translate_reply(answer);
   EXPECT_EQ(answer["epoch"], 1009);
   EXPECT_EQ(answer["failed"][0], "a");
   EXPECT_EQ(answer["items"][0]["stamp"], 1004);
@@ -243,11 +243,11 @@
   MetaRecord meta;
   meta.shards = 3;
   EXPECT_EQ(meta.to_json(), (Json{{"parts", 3}, {"form", 2}}));
-  meta.begun = 2;
+  meta.rebuild_number = 2;
   EXPECT_EQ(meta.to_json()["form"], 3);
-  EXPECT_TRUE(MetaRecord::from_json(meta.to_json())->rebuilding());
+  EXPECT_TRUE(MetaRecord::from_json(meta.to_json())->is_rebuilding());
   meta.incarnation = {2, "r/2-1/", 99, {""}};
-  EXPECT_FALSE(MetaRecord::from_json(meta.to_json())->rebuilding());
+  EXPECT_FALSE(MetaRecord::from_json(meta.to_json())->is_rebuilding());
   EXPECT_EQ(MetaRecord::from_json(meta.to_json())->incarnation, meta.incarnation);
   EXPECT_FALSE(MetaRecord::from_json(Json{{"parts", 3}, {"form", 4}}));
 }
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -109,7 +109,7 @@
 
   expect_kept(world);
   expect_incarnation(world, 1);
-  EXPECT_TRUE(world.nodes.front().node->incarnation().first());
+  EXPECT_TRUE(world.nodes.front().node->incarnation().is_first());
 }
 
 TEST_P(LostState, TheStoreIsEmptiedWhileAllControllersLive) {
@@ -297,7 +297,7 @@
     MetaRecord meta;
     meta.shards = 3;
     meta.incarnation = {2, "r/2-1/", 1000, {""}};
-    meta.begun = begun;
+    meta.rebuild_number = begun;
     const Json put = {{"put", "meta"}, {"data", meta.to_json()}};
     const Json transaction = {{"guards", Json::array()}, {"then", Json::array({put})}};
     world.state.handle("POST", "/commit", dump_json(transaction), [](int, const Json&) {});
