--- a/src/coordination/state/incarnation.cpp
+++ b/src/coordination/state/incarnation.cpp
@@ -7,15 +7,16 @@
 namespace mothslip {
 
 namespace {
-// Records that all incarnations share: they say nothing about jobs or machines.
+// Returns true for the records that all incarnations share because they contain nothing about jobs or
+// machines.
 bool is_shared(const std::string& key) {
   return key == keys::kMeta || key == keys::kGangs || key == keys::kTypes ||
          key.rfind(keys::kSplitTypes, 0) == 0;
 }
 }  // namespace
 
-// A first incarnation is written as versions before this one write it. Any other has a form of its own, so
-// that those versions leave the records alone.
+// The first incarnation is written in the format of earlier versions. Later incarnations use a separate
+// format that earlier versions do not know, so those versions leave the records unchanged.
 Json MetaRecord::to_json() const {
   if (incarnation.is_first() && !is_rebuilding()) return {{"parts", shards}, {"form", kRecordFormatVersion}};
   return {{"parts", shards},
@@ -68,7 +69,7 @@
   return revision == 0 ? 0 : revision + incarnation_.token_offset;
 }
 
-// A revision from before this incarnation is none that the service can have: a condition on it fails.
+// A revision from before this incarnation maps to one that the service never reaches, so a guard on it fails.
 std::uint64_t KeySpace::to_stored_revision(std::uint64_t revision) const {
   if (revision == 0) return 0;
   if (revision <= incarnation_.token_offset) return std::numeric_limits<std::int64_t>::max();
--- a/src/coordination/state/incarnation.hpp
+++ b/src/coordination/state/incarnation.hpp
@@ -1,11 +1,13 @@
 // Incarnations of the records in the state service.
 //
-// When the service has lost recent records, the rebuilt ones begin a new incarnation: their keys have a
-// prefix that no earlier key had, and every revision counts `token_offset` more than the service says. So
-//  * transactions from before the loss, however late, touch keys that nobody reads any more;
-//  * fencing tokens, attempt numbers and rental names come from revisions: all are larger than any before,
-//    although the service gives its revisions out anew.
-// Everything above StateClient works with own keys and offset revisions; KeySpace translates.
+// When the service has lost recent records, the rebuilt records form a new incarnation. Their keys have a
+// prefix that no earlier key had, and `token_offset` is added to every revision of the service. This has two
+// effects:
+//  * A delayed transaction from before the loss changes only keys that no controller reads any more.
+//  * Fencing tokens, attempt numbers and rental names are derived from revisions. All of them are larger than
+//    any earlier one, although the service assigns the same revisions again.
+// The callers of StateClient use logical keys and revisions: keys without the prefix, revisions with the
+// offset. KeySpace translates between these and the stored keys and revisions of the service.
 #pragma once
 
 #include <cstdint>
@@ -19,25 +21,25 @@
 
 struct Incarnation {
   int number = 1;
-  std::string prefix;                         // of its keys; empty in the first incarnation
-  std::uint64_t token_offset = 0;             // added to the revisions of the state service
-  std::vector<std::string> earlier_prefixes;  // of the incarnations before: job endings stay where they are
+  std::string prefix;                         // of all keys of this incarnation; empty in the first
+  std::uint64_t token_offset = 0;             // added to the revisions of the service
+  std::vector<std::string> earlier_prefixes;  // of earlier incarnations, where their job endings stay
 
   [[nodiscard]] bool is_first() const { return number == 1; }
   friend bool operator==(const Incarnation&, const Incarnation&) = default;
 };
 
-// The record `meta`, which every incarnation shares.
+// The record `meta`, which all incarnations share.
 struct MetaRecord {
   int shards = 0;
   Incarnation incarnation;
-  // The highest incarnation number that anybody has begun to rebuild; above `incarnation.number` while a
-  // rebuilding is under way.
+  // The highest incarnation number for which a rebuild has been started. It is above `incarnation.number`
+  // while a rebuild is in progress. The stored field is named "begun".
   int rebuild_number = 1;
 
   [[nodiscard]] bool is_rebuilding() const { return rebuild_number > incarnation.number; }
   [[nodiscard]] Json to_json() const;
-  // Nothing where the record is of a form that this version does not know.
+  // Returns nullopt if this version does not know the format of the record.
   static std::optional<MetaRecord> from_json(const Json& value);
 };
 
@@ -46,17 +48,18 @@
   explicit KeySpace(Incarnation incarnation = {}) : incarnation_(std::move(incarnation)) {}
 
   [[nodiscard]] const Incarnation& incarnation() const { return incarnation_; }
-  // The key, or prefix of keys, under which the state service holds it. An absolute key ("/e/0/job-1") names
-  // what the service holds without the prefix of an incarnation.
+  // Returns the stored key for a logical key, or the stored prefix for a prefix of keys. An absolute key
+  // ("/e/0/job-1") is the stored key after its leading slash: no incarnation prefix is added.
   [[nodiscard]] std::string stored_key(const std::string& key) const;
-  // Where the ending of a job may be: in this incarnation, then in those before, as absolute keys.
+  // Returns the keys under which the ending of a job may be recorded: the key of this incarnation, followed
+  // by those of earlier incarnations as absolute keys.
   [[nodiscard]] std::vector<std::string> ending_keys(int shard, const std::string& ref) const;
   [[nodiscard]] std::string logical_key(const std::string& stored) const;
   [[nodiscard]] std::uint64_t to_logical_revision(std::uint64_t revision) const;
   [[nodiscard]] std::uint64_t to_stored_revision(std::uint64_t revision) const;
-  // The body of a transaction as the state service has to see it.
+  // Returns the body of a transaction with stored keys and revisions.
   [[nodiscard]] std::string stored_body(std::string body) const;
-  // Keys and revisions of an answer, in place.
+  // Translates the keys and revisions of a reply in place.
   void translate_reply(Json& body) const;
 
  private:
--- a/src/coordination/state/list_scan.hpp
+++ b/src/coordination/state/list_scan.hpp
@@ -12,13 +12,13 @@
 
 namespace mothslip {
 
-// Keeps itself alive until the last page has come or a page could not be read.
+// Keeps itself alive until it has received the last page or a page could not be read.
 class ListScan : public std::enable_shared_from_this<ListScan> {
  public:
-  // Asks for the page after the key `from`; empty: for the first page.
+  // Requests the page that follows the key `from`; the first page if `from` is empty.
   using PageReader = std::function<void(const std::string& from, StateHandler)>;
   using PageHandler = std::function<void(std::vector<StateItem>)>;
-  // The outcome of the last call, and the revision of the first page (0 unless kOk).
+  // Receives the outcome of the last call and the revision of the first page (0 unless the outcome is kOk).
   using ScanEndHandler = std::function<void(Outcome, std::uint64_t revision)>;
 
   static void start(PageReader read, PageHandler page, ScanEndHandler end);
--- a/src/coordination/state/request_budget.cpp
+++ b/src/coordination/state/request_budget.cpp
@@ -8,14 +8,15 @@
 constexpr double kInitialShareFraction = 1.0 / 3;
 constexpr double kOvercommitFactor = 1.6;
 constexpr double kRaiseIntervalSeconds = 1.0;
-constexpr int kMinWritesPerTransaction = 4;  // changes
+constexpr int kMinWritesPerTransaction = 4;
 constexpr double kMinCallBurst = 2.0;
 constexpr double kMinWriteBurst = 3.0;
 
-// Tokens that a priority class leaves for the classes above it.
+// Returns the number of tokens that a priority class must leave for the classes above it.
 double call_reserve(RequestPriority priority) { return static_cast<double>(priority) * 0.5; }
 
-// (Users wait for what is accepted and cancelled; launches and completions go many to a write.)
+// Users wait for acceptances and cancellations, so these have the smaller reserve. Launches and completions
+// are batched, many per write.
 double write_reserve(RequestPriority priority) {
   return priority > RequestPriority::kAccept ? 1.5 : call_reserve(priority) * 0.5;
 }
@@ -37,14 +38,14 @@
 }
 
 void RequestBudget::apply_share(double now) {
-  const double calls = call_rate_.current_rps() * share_;
-  calls_.set_rate(calls, std::max(kMinCallBurst, calls), now);
-  // Nodes are seldom busy at once: each may change more than its share, and gives way when the service says
-  // 429. Leases are not touched by that, they only count as calls.
-  const double writes = write_rate_.current_rps() * share_;
-  const double most = kOvercommitFactor * writes;
-  writes_.set_rate(most, std::max(kMinWriteBurst, most), now);
-  max_writes_per_txn_ = std::clamp(static_cast<int>(writes), kMinWritesPerTransaction, max_txn_ops_);
+  const double call_rps = call_rate_.current_rps() * share_;
+  calls_.set_rate(call_rps, std::max(kMinCallBurst, call_rps), now);
+  // Nodes are rarely busy at the same time, so each may write more than its share and reduces its rate when
+  // the service answers 429. Lease renewals are unaffected because they count only as calls.
+  const double write_rps = write_rate_.current_rps() * share_;
+  const double overcommitted_rps = kOvercommitFactor * write_rps;
+  writes_.set_rate(overcommitted_rps, std::max(kMinWriteBurst, overcommitted_rps), now);
+  max_writes_per_txn_ = std::clamp(static_cast<int>(write_rps), kMinWritesPerTransaction, max_txn_ops_);
 }
 
 void RequestBudget::shrink_transactions(double now) {
@@ -52,8 +53,8 @@
   apply_share(now);
 }
 
-// The service's limits fall without notice: being turned down is the only sign of it. What was saved up for a
-// burst is gone, and the rate is cut, though not below what the service has announced.
+// The service lowers its limits without notice, and a refusal is the only sign of that. The refusal discards
+// the tokens saved for a burst and cuts the rate, though not below the limit that the service has announced.
 void RequestBudget::on_refusal(bool write, double now) {
   (write ? writes_ : calls_).drain(now);
   if ((write ? write_rate_ : call_rate_).on_refusal(now)) apply_share(now);
@@ -67,8 +68,8 @@
   if (calls_raised || writes_raised) apply_share(now);
 }
 
-// Leases, ownership and loading do not wait for tokens: they are few, and all else waits for them. What they
-// take is a debt that the other priority classes pay.
+// Requests for leases, ownership and loading do not wait for tokens: they are few, and all other requests
+// depend on them. The tokens they take may leave a negative balance that delays the other priority classes.
 bool RequestBudget::take(RequestPriority priority, int writes, double now) {
   const bool is_exempt = priority == RequestPriority::kLease;
   const bool has_tokens =
--- a/src/coordination/state/request_queue.cpp
+++ b/src/coordination/state/request_queue.cpp
@@ -6,10 +6,10 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMaxQueuedRequestsPerPriority = 128;  // requests of one priority class
+constexpr std::size_t kMaxQueuedRequestsPerPriority = 128;
 constexpr double kMaxQueueWaitSeconds = 2.0;
 constexpr double kLeaseRetryDelaySeconds = 0.1;
-// Bounds of the time until the next look at the queues.
+// Bounds of the delay until the next check of the queues.
 constexpr double kMinRecheckDelaySeconds = 0.002;
 constexpr double kMaxRecheckDelaySeconds = 0.5;
 }  // namespace
@@ -35,7 +35,7 @@
   queue_of(priority).push_front(std::move(request));
   if (priority == RequestPriority::kLease) {
     env_.after(kLeaseRetryDelaySeconds,
-               [this] { send_ready(); });  // it needs no tokens, but is not sent at once
+               [this] { send_ready(); });  // leases need no tokens; retry after a delay
   } else {
     send_ready();
   }
@@ -51,7 +51,7 @@
   return budget_.wait_exceeds(static_cast<double>(calls_ahead + 1), writes, max_wait_s, env_.now());
 }
 
-// Sends what has its tokens, and looks again when the next request may have them.
+// Sends the requests that have their tokens, and sets a timer for when the next request may have them.
 void RequestQueue::send_ready() {
   const double now = env_.now();
   budget_.raise_rates(now);
@@ -67,7 +67,8 @@
   });
 }
 
-// Seconds until the first request that is left may be sent, or is to be refused; nothing: none is left.
+// Returns the time until the first remaining request can be sent or has to be refused; nullopt if no request
+// remains.
 std::optional<double> RequestQueue::send_ready(RequestPriority priority, double now) {
   auto& queue = queue_of(priority);
   while (!queue.empty()) {
--- a/src/coordination/state/request_queue.hpp
+++ b/src/coordination/state/request_queue.hpp
@@ -1,7 +1,7 @@
-// Requests to the state service that wait for their tokens: one queue a priority class, the most important
-// first.
+// Holds requests to the state service until the request budget has tokens for them, in one queue per priority
+// class. Higher classes are served first.
 //
-// A request is refused at once when the queue of its class is full, and later when it has waited too long.
+// A request is refused immediately if the queue of its class is full, and later if it has waited too long.
 #pragma once
 
 #include <array>
@@ -19,17 +19,17 @@
 
 struct QueuedRequest {
   HttpCall call;
-  int writes = 0;       // changes that it makes
-  double deadline = 0;  // steady clock, seconds: it is refused when it has not been sent by then
+  int writes = 0;       // number of changes that the request makes
+  double deadline = 0;  // steady clock, seconds; the request is refused if it has not been sent by then
   StateHandler handler;
 };
 
 class RequestQueue {
  public:
   struct Listener {
-    // The request has its tokens and is to be sent.
+    // Called when the request has its tokens; the listener sends it.
     std::function<void(RequestPriority, QueuedRequest)> ready;
-    // The request was not sent and will not be.
+    // Called when the request has been dropped without being sent.
     std::function<void(StateHandler)> refused;
   };
   // `budget` must outlive the queue.
@@ -39,9 +39,9 @@
   RequestQueue& operator=(const RequestQueue&) = delete;
 
   void submit(RequestPriority priority, HttpCall call, int writes, StateHandler handler);
-  // A request that was sent and not executed: it waits for the next tokens like the rest of its class.
+  // Puts a request that was sent but not executed at the front of its queue, where it waits for new tokens.
   void requeue(RequestPriority priority, QueuedRequest request);
-  // True when a call in this priority class would have to wait longer than `patience_s`.
+  // Returns true if a call in this priority class would have to wait longer than `max_wait_s`.
   [[nodiscard]] bool is_busy(RequestPriority priority, double max_wait_s);
 
  private:
@@ -55,7 +55,7 @@
   RequestBudget& budget_;
   Listener listener_;
   std::array<std::deque<QueuedRequest>, static_cast<std::size_t>(RequestPriority::kCount)> queues_;
-  TimerId send_timer_ = 0;  // 0: none is set
+  TimerId send_timer_ = 0;  // 0 if no timer is set
 };
 
 }  // namespace mothslip
--- a/src/coordination/state/state_client.cpp
+++ b/src/coordination/state/state_client.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 constexpr double kCallTimeoutSeconds = 1.5;
-constexpr double kWatchTimeoutMarginSeconds = 2;  // beyond the time for which the service may hold a watch
-constexpr const char* kMaxItemsPerPage = "500";   // records that one page of a list may have
+constexpr double kWatchTimeoutMarginSeconds =
+    2;  // beyond the time for which the service may hold a watch open
+constexpr const char* kMaxItemsPerPage = "500";  // records per page of a list
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 }  // namespace
@@ -53,7 +54,7 @@
     if (reply.status == kTooManyRequests) {
       counters_.too_many_requests++;
       budget_.on_refusal(shared_request->writes > 0, env_.now());
-      // Not executed: it may be sent again.
+      // A call that was answered with 429 was not executed, so it can safely be sent again.
       if (env_.now() < shared_request->deadline) return queue_.requeue(priority, std::move(*shared_request));
     }
     if (reply.unanswered()) counters_.unanswered++;
--- a/src/coordination/state/state_client.hpp
+++ b/src/coordination/state/state_client.hpp
@@ -1,8 +1,8 @@
-// The calls of the state service, within this node's share of its limits.
+// Client of the state service that keeps within this node's share of the service's limits.
 //
-// Calls wait in one queue a priority class until the limits allow them (request_queue.hpp). A handler is
-// called exactly once, never from within the call that it was given to. Failures come as an Outcome; nothing
-// throws.
+// Calls wait in one queue per priority class until the limits allow them (request_queue.hpp). Each handler is
+// called exactly once, and never from within the function that it was passed to. Failures are reported as an
+// Outcome; no function throws.
 #pragma once
 
 #include <cstdint>
@@ -30,43 +30,45 @@
   StateClient(const StateClient&) = delete;
   StateClient& operator=(const StateClient&) = delete;
 
-  // The part of the service's limits that this node may use, 0..1.
+  // Sets the fraction of the service's limits that this node may use, 0..1.
   void set_share(double share);
 
   void commit(RequestPriority priority, const Transaction& txn, StateHandler handler);
-  // Likewise for a transaction that is dumped already (Transaction::body) and makes so many changes.
+  // Commits a transaction that has already been serialized (Transaction::body) and makes `writes` changes.
   void commit_body(RequestPriority priority, std::string body, int writes, StateHandler handler);
   void get(RequestPriority priority, const std::string& key, StateHandler handler);
-  // All items under a prefix, page by page; the revision is the first page's. No items unless kOk.
+  // Reads all items under a prefix, page by page. `revision` is that of the first page. The handler receives
+  // no items unless the outcome is kOk.
   using ListHandler = std::function<void(Outcome, std::vector<StateItem>, std::uint64_t revision)>;
   void list(RequestPriority priority, const std::string& prefix, ListHandler handler);
-  // Likewise, each page as it comes: for what is too much to be held at once.
+  // Like `list`, but passes on each page as it arrives, for results that are too large to be held in memory.
   using PageHandler = ListScan::PageHandler;
   using ScanEndHandler = ListScan::ScanEndHandler;
   void scan(RequestPriority priority, const std::string& prefix, PageHandler page, ScanEndHandler end);
-  // Changes under the prefix after the revision `from`; without any, the service answers after `wait_s`.
-  // kGone: the service does not remember changes as old as that.
+  // Reads the changes under the prefix after the revision `from`. If there are none, the service answers
+  // after `wait_s`. The outcome is kGone if the service no longer keeps changes that old.
   void watch(const std::string& prefix, std::uint64_t from, double wait_s, StateHandler handler);
   void lease_create(double ttl_s, StateHandler handler);
-  // kMissing: the lease has ended.
+  // The outcome is kMissing if the lease has ended.
   void lease_renew(std::uint64_t lease_id, double timeout_s, StateHandler handler);
 
-  // Seconds since it last said anything but 503, to any call; never: since the start. What happened there
-  // before that start is not known, so a new process has been without it only since then.
+  // Returns the time since the service last answered any call with a status other than 503. Before the first
+  // such answer the time is counted from the start of this process, which does not know of earlier outages.
   [[nodiscard]] double silent_s() const { return env_.now() - last_answer_at_; }
   [[nodiscard]] const KeySpace& key_space() const { return key_space_; }
   [[nodiscard]] int max_writes_per_txn() const { return budget_.max_writes_per_txn(); }
-  // Changes a second that the service is taken to serve, for all nodes together: the present limit, or less
-  // once it has turned calls down, but no less than the limit that it has announced.
+  // Returns the estimated write limit of the service, in writes per second for all nodes together. It is the
+  // present limit, or less after refusals, but never below the announced next limit.
   [[nodiscard]] double write_limit_rps() const { return budget_.write_limit_rps(); }
-  // The service took a transaction for too large.
+  // Halves the maximum transaction size, after the service has refused a transaction as too large.
   void shrink_transactions();
-  // How much of the changes that may be made at once is left, 0..1.
+  // Returns how full this node's write token bucket is, as a fraction of its burst, 0..1.
   [[nodiscard]] double write_token_fraction() { return budget_.write_token_fraction(env_.now()); }
-  // True when a call in this priority class would have to wait longer than `patience_s`.
+  // Returns true if a call in this priority class would have to wait longer than `max_wait_s`.
   [[nodiscard]] bool is_busy(RequestPriority priority, double max_wait_s);
 
-  // Since the start. refused_here: never sent; too_many: answered with 429.
+  // Counts since the start. `refused_locally` calls were never sent; `too_many_requests` calls were answered
+  // with 429.
   struct Counters {
     std::uint64_t calls = 0, writes = 0, refused_locally = 0, too_many_requests = 0, unanswered = 0;
   };
--- a/src/coordination/state/state_messages.cpp
+++ b/src/coordination/state/state_messages.cpp
@@ -20,7 +20,7 @@
     case 503:
       return Outcome::kRefused;
     default:
-      return Outcome::kUnknown;  // a proxy's 502 or 504 says nothing about execution
+      return Outcome::kUnknown;  // a proxy's 502 or 504 does not show whether the call was executed
   }
 }
 
--- a/src/coordination/state/state_messages.hpp
+++ b/src/coordination/state/state_messages.hpp
@@ -1,8 +1,8 @@
-// Requests to the state service and its answers, as typed values.
+// Requests to the state service and its replies, as typed values.
 //
-// The service names the fields of its JSON itself ("k", "stamp", "epoch", "hold", ...); they are written and
-// read here and in KeySpace only. Keys and revisions of an answer are those of this node's incarnation:
-// StateClient has translated them before anybody sees the answer.
+// The state service defines the names of the JSON fields ("k", "stamp", "epoch", "hold", ...). Only this file
+// and KeySpace write and read them. StateClient translates the keys and revisions of each reply into those of
+// this node's incarnation before it passes the reply on.
 #pragma once
 
 #include <cstdint>
@@ -14,60 +14,61 @@
 
 namespace mothslip {
 
-// What became of a call.
+// The result of a call.
 enum class Outcome {
   kOk,
   kMissing,   // 404
-  kConflict,  // 409: a guard failed, nothing was changed
+  kConflict,  // 409: a guard failed, and nothing was changed
   kGone,      // 410
-  kInvalid,   // 400, or 400 "no such lease": nothing was changed
-  kRefused,   // 429, 503, or refused here: not executed
-  kUnknown,   // no response: may have been executed, or may be executed later
+  kInvalid,   // 400, also for an unknown lease: nothing was changed
+  kRefused,   // 429, 503, or refused by this node's request queue: the call was not executed
+  kUnknown,   // no response: the call may have been executed, or may be executed later
 };
 
-// The outcome that an HTTP status of the service stands for; 0 is a call that was not answered.
+// Returns the outcome that an HTTP status of the service stands for. Status 0 is a call without an answer.
 [[nodiscard]] Outcome outcome_of_status(int status);
 
 // One change under a watched prefix.
 struct WatchEvent {
   bool put = false;            // false: the key was deleted
-  std::string key;             // empty: the service named none
-  Json data;                   // null when the key was deleted, or without data
-  bool has_data = false;       // the put carried data, be it null
-  std::uint64_t revision = 0;  // of the change
+  std::string key;             // empty if the service named no key
+  Json data;                   // null if the key was deleted or the put carried no data
+  bool has_data = false;       // true if the put carried data, even a null value
+  std::uint64_t revision = 0;  // revision of the change
 };
 
-// One record that a list or scan found.
+// One record that a list or a scan returned.
 struct StateItem {
   std::string key;
   Json data;
-  std::uint64_t revision = 0;  // of the record's last change
+  std::uint64_t revision = 0;  // revision of the record's last change
 };
 
 struct StateReply {
   Outcome outcome = Outcome::kUnknown;
-  Json body;  // an object whenever ok(); otherwise whatever came, also null or discarded
+  Json body;  // an object if ok(); otherwise the parsed body, which may be null or discarded
 
   [[nodiscard]] bool ok() const { return outcome == Outcome::kOk; }
-  // The service's revision when it answered, or that of a commit; 0: not told.
+  // Returns the revision of the service when it answered, or the revision of a commit; 0 if not given.
   [[nodiscard]] std::uint64_t revision() const { return number("epoch"); }
 
-  // Of the answer to a read of one key: the record is there, and this is it (null when it is not).
+  // For the reply to a read of one key: whether the record exists, and the record itself (null if it does not
+  // exist).
   [[nodiscard]] bool has_data() const { return ok() && body.contains("data"); }
   [[nodiscard]] const Json& data() const;
-  // Revision of that record's last change; 0: not told.
+  // Returns the revision of that record's last change; 0 if not given.
   [[nodiscard]] std::uint64_t item_revision() const { return number("stamp"); }
-  // The lease that was created, or that holds the record; 0: none.
+  // Returns the lease that was created, or the lease to which the record is attached; 0 if there is none.
   [[nodiscard]] std::uint64_t lease_id() const { return number("hold"); }
 
-  // Of the answer to a watch, oldest change first; empty when the answer has no events.
+  // For the reply to a watch: returns the changes, oldest first; empty if the reply has no events.
   [[nodiscard]] std::vector<WatchEvent> events() const;
-  // Of the answer to a list, one page; empty when the answer has no items.
+  // For the reply to a list: moves out the items of this page; empty if the reply has no items.
   [[nodiscard]] std::vector<StateItem> take_items();
-  // More pages follow that one.
+  // For the reply to a list: returns true if more pages follow.
   [[nodiscard]] bool has_more_items() const { return body.value("more", false); }
 
-  // Of the answer to a commit that failed with kConflict: the keys whose guard failed.
+  // For the reply to a commit that failed with kConflict: returns the keys whose guards failed.
   [[nodiscard]] std::vector<std::string> failed_keys() const;
 
  private:
@@ -76,23 +77,23 @@
   }
 };
 
-// Changes that are made all or none, on the condition that the guarded keys have the given revisions.
-// Shards look for something to commit far more often than they find it: a transaction is cheap until it is
-// sent.
+// Changes that the service makes atomically, provided that the guarded keys have the given revisions.
+// Shards check for work to commit far more often than they find any, so an unsent transaction is cheap.
 struct Transaction {
-  std::vector<std::pair<std::string, std::uint64_t>> guards;  // key and revision; 0: the key must not exist
-  Json changes = Json::array();                               // the changes, as the service takes them
+  // Pairs of key and revision; revision 0 means that the key must not exist.
+  std::vector<std::pair<std::string, std::uint64_t>> guards;
+  Json changes = Json::array();  // the changes, in the JSON form of the service
 
   void guard(const std::string& key, std::uint64_t revision) { guards.emplace_back(key, revision); }
   void put(const std::string& key, Json data) {
     changes.push_back({{"put", key}, {"data", std::move(data)}});
   }
-  // The record goes when the lease ends.
+  // The service deletes the record when the lease ends.
   void put_with_lease(const std::string& key, Json data, std::uint64_t lease_id) {
     changes.push_back({{"put", key}, {"data", std::move(data)}, {"hold", lease_id}});
   }
   void remove(const std::string& key) { changes.push_back({{"delete", key}}); }
-  // The body of the commit.
+  // Returns the body of the commit request.
   [[nodiscard]] std::string body() const;
 };
 
