--- a/src/coordination/ownership/home_return.cpp
+++ b/src/coordination/ownership/home_return.cpp
@@ -9,7 +9,7 @@
 namespace mothslip {
 
 namespace {
-constexpr double kMinHomeUptimeSeconds = 15.0;  // a node that has been back this long gets its shards back
+constexpr double kMinHomeUptimeSeconds = 15.0;  // a home node that has been back this long gets its shards
 constexpr double kCheckIntervalSeconds = 3.0;
 }  // namespace
 
@@ -44,7 +44,8 @@
 }
 
 void HomeReturn::release(int shard) {
-  spdlog::info("shard {} is handed back to its home {}", shard, claim_order(settings_, shard).front());
+  spdlog::info("shard {}: deleting its owner key so that its home node {} can claim it", shard,
+               claim_order(settings_, shard).front());
   ShardOwners::Shard& entry = owners_.at(shard);
   releasing_ = true;
   entry.release_sent_at = env_.now();
@@ -61,8 +62,11 @@
 
 void HomeReturn::on_released(int shard, std::uint64_t fencing_token, const StateReply& reply) {
   if (owners_.at(shard).held_token != fencing_token || reply.outcome == Outcome::kRefused) return;
-  // The key may be gone, or go at any later time, while this node's lease goes on: nothing would tell.
-  if (!reply.ok()) return on_release_unknown_(shard, "sending it home: nobody knows");
+  // The key may be deleted already, or at any later time, while this node's lease remains valid. Nothing
+  // would notify this node of that.
+  if (!reply.ok())
+    return on_release_unknown_(
+        shard, "the result of deleting its owner key, to return it to its home node, is unknown");
   owners_.release(shard, reply.revision());
   claims_.try_claim(shard);
 }
--- a/src/coordination/ownership/home_return.hpp
+++ b/src/coordination/ownership/home_return.hpp
@@ -1,5 +1,5 @@
-// Returns shards to their home: once a node that was away is steady, the holder deletes the shard's key and
-// the home claims it.
+// Returns shards to their home nodes. Once a home node has been back for long enough, the node that holds its
+// shard deletes the owner key of the shard, and the home node claims it.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
 
 class HomeReturn {
  public:
-  // The deletion of a held shard's key may or may not have been carried out.
+  // Called when it is unknown whether the deletion of a held shard's owner key was carried out.
   using ReleaseUnknownHandler = std::function<void(int shard, const std::string& why)>;
-  // All must outlive this.
+  // The references must outlive this object.
   HomeReturn(Env& env, StateClient& state, const Settings& settings, const NodeLease& lease,
              const LiveNodes& live_nodes, ShardOwners& owners, ShardClaims& claims,
              ReleaseUnknownHandler on_release_unknown);
 
-  // From now on looks every few seconds for a shard to return; one at a time.
+  // Starts to check every few seconds for a shard to return. Returns one shard at a time.
   void start();
 
  private:
--- a/src/coordination/ownership/incarnation_check.hpp
+++ b/src/coordination/ownership/incarnation_check.hpp
@@ -1,7 +1,7 @@
-// Whether the record `meta` is that of the incarnation in which this node works.
+// Checks whether the record `meta` belongs to the incarnation in which this node works.
 //
-// Another one tells that lost records are being rebuilt, or have been: what this node knows is needed then
-// and must not be given up (src/recovery).
+// A different incarnation means that lost records are being rebuilt, or have been. The rebuild needs the
+// state that this node holds in memory, so the node must not drop it then (src/recovery).
 #pragma once
 
 #include <functional>
@@ -13,16 +13,17 @@
 
 class IncarnationCheck {
  public:
-  // `monitor`: null when nobody watches for lost state.
+  // `monitor` is null if this node does not monitor for lost state.
   IncarnationCheck(Env& env, StateClient& state, StateMonitor* monitor)
       : env_(env), state_(state), monitor_(monitor) {}
 
-  // The record, unless it is of another form or incarnation, or a rebuilding is under way.
+  // Returns the record, or nullopt if its format is unknown, it belongs to another incarnation, or a rebuild
+  // is in progress.
   [[nodiscard]] std::optional<MetaRecord> read_current(const Json& meta) const;
 
-  // Reads `meta` from the state service and calls `confirmed` when it is that of this incarnation. Otherwise
-  // the monitor is told; without an answer `retry` is called a little later. Nothing is asked without a
-  // monitor: `confirmed` is then called from within.
+  // Reads `meta` from the state service and calls `confirmed` if it belongs to this incarnation; otherwise
+  // notifies the monitor. If the service does not answer, calls `retry` after a short delay. Without a
+  // monitor nothing is read, and `confirmed` is called before this function returns.
   void confirm(std::function<void()> confirmed, std::function<void()> retry);
 
  private:
--- a/src/coordination/ownership/live_nodes.hpp
+++ b/src/coordination/ownership/live_nodes.hpp
@@ -1,4 +1,4 @@
-// The nodes that live: those whose announcement the state service holds (owner_records.hpp).
+// The live nodes: those whose announcement is present in the state service (owner_records.hpp).
 #pragma once
 
 #include <map>
@@ -10,17 +10,17 @@
 
 class LiveNodes {
  public:
-  // Forgets all: they are about to be listed anew.
+  // Removes all nodes. The caller then adds those of a new listing.
   void clear() { nodes_.clear(); }
-  // An announcement was written at `now` (steady clock, seconds): there is a new process of the node.
+  // Records that a new process of the node wrote its announcement at `now` (steady clock, seconds).
   void on_announced(const std::string& node, const NodeAnnouncement& announcement, double now) {
     nodes_[node] = {now, announcement.supports_gangs};
   }
   void on_gone(const std::string& node) { nodes_.erase(node); }
 
-  // The node has been there for at least so many seconds.
+  // Returns true if the node has been live for at least `min_uptime_s`.
   [[nodiscard]] bool is_alive_for(const std::string& node, double min_uptime_s, double now) const;
-  // A node that lives has said nothing of gangs: it is of an earlier version.
+  // Returns true if a live node does not announce support for gangs because it runs an earlier version.
   [[nodiscard]] bool has_live_node_without_gangs() const;
 
  private:
--- a/src/coordination/ownership/node_lease.cpp
+++ b/src/coordination/ownership/node_lease.cpp
@@ -10,11 +10,12 @@
 namespace {
 constexpr double kRenewIntervalSeconds = 1.0;
 constexpr double kRenewTimeoutSeconds = kRenewIntervalSeconds * 1.5;
-constexpr double kMinRenewPauseSeconds = 0.05;  // between two renewals
+constexpr double kMinRenewPauseSeconds = 0.05;  // between an answer and the next renewal
 constexpr double kRetryDelaySeconds = 0.3;
-constexpr double kMaxClockDriftFraction = 0.001;  // of the clocks, a second; twice what the protocol allows
+constexpr double kMaxClockDriftFraction = 0.001;  // twice the drift that the protocol allows
 constexpr double kExpiryMarginSeconds = 0.05;
-// Of a worker's lease against cancel_s: messages and steps of its clock.
+// Subtracted from cancel_s when worker leases are bounded, for message delays and steps of the worker's
+// clock.
 constexpr double kWorkerLeaseMarginSeconds = 1.0;
 }  // namespace
 
@@ -42,8 +43,9 @@
   });
 }
 
-// Where lost state is watched for, a lease counts only together with a look at `meta`: a controller that has
-// not noticed the loss stops deciding when its lease is over, however long the service goes on renewing it.
+// If this node monitors for lost state, it renews its lease only after it has confirmed `meta`. A controller
+// that has not noticed a loss thus stops making decisions when its lease expires, even if the service would
+// continue to renew the lease.
 void NodeLease::renew() {
   const double sent_at = env_.now();
   incarnation_check_.confirm([this, sent_at] { send_renewal(sent_at); }, [this] { renew(); });
@@ -81,17 +83,18 @@
   return not_replaced_until + cancellation_margin_s;
 }
 
-// The service does not know the lease any more. If that is before its time, the service contradicts itself.
-// Otherwise it may just have expired; but if state was lost as well, what this node knows must not be dropped
-// before that is noticed.
+// Handles the answer that the service does not have the lease. Before the earliest expiry time, that
+// contradicts the service's earlier answers. Later the lease may simply have expired. If records were lost as
+// well, the loss must be detected before this node drops its state, so the revision is read first.
 void NodeLease::on_missing() {
-  if (monitor_ == nullptr) return expire("lease ended");
-  if (env_.now() < earliest_expiry_at_) return monitor_->on_contradiction("a lease ended before its time");
+  if (monitor_ == nullptr) return expire("the lease of this node expired");
+  if (env_.now() < earliest_expiry_at_)
+    return monitor_->on_contradiction("the lease of this node ended before its expiry time");
   state_.get(RequestPriority::kLease, keys::kRevisionProbe, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
       env_.after(kRetryDelaySeconds, [this] { on_missing(); });
     } else if (!monitor_->is_state_lost()) {
-      expire("lease ended");
+      expire("the lease of this node expired");
     }
   });
 }
--- a/src/coordination/ownership/node_lease.hpp
+++ b/src/coordination/ownership/node_lease.hpp
@@ -1,7 +1,7 @@
-// The lease of this process in the state service: opened, renewed, and opened anew after its expiry.
+// The lease of this process in the state service. It is opened, renewed, and opened again after it expires.
 //
-// How long it is good is reckoned by this node's own clock, which may drift against that of the service. All
-// moments are of the steady clock, in seconds.
+// This node computes the validity of the lease by its own clock, with an allowance for drift against the
+// clock of the service. All times are of the steady clock, in seconds.
 #pragma once
 
 #include <cstdint>
@@ -18,28 +18,30 @@
   static constexpr double kLeaseSeconds = 4.0;
   struct Listener {
     std::function<void()> opened;
-    // It has expired: what it held is lost. The next one is opened once this has returned.
+    // Called when the lease has expired and the keys attached to it are lost. The next lease is opened after
+    // this function has returned.
     std::function<void(const char* why)> expired;
   };
-  // `monitor`: null when nobody watches for lost state. All must outlive the lease.
+  // `monitor` is null if this node does not monitor for lost state. All arguments must outlive the lease.
   NodeLease(Env& env, StateClient& state, const Settings& settings, IncarnationCheck& incarnation_check,
             StateMonitor* monitor, Listener listener);
 
-  // Asks for a lease until there is one, and renews it from then on.
+  // Requests a lease, retrying until one is granted, and renews it from then on.
   void open();
-  // Of the state service; 0: there is no lease.
+  // Returns the id that the state service assigned; 0 if there is no lease.
   [[nodiscard]] std::uint64_t id() const { return id_; }
   [[nodiscard]] bool is_open() const { return id_ != 0; }
-  // Nobody else can own what this lease holds before this moment.
+  // Before this time no other process can own a key that is attached to this lease.
   [[nodiscard]] double valid_until() const { return valid_until_; }
   [[nodiscard]] bool is_valid() const { return env_.now() < valid_until_; }
-  // When the lease may have ended in the state service at the earliest.
+  // Returns the earliest time at which the lease may have ended in the state service.
   [[nodiscard]] double earliest_expiry_at() const { return earliest_expiry_at_; }
-  // Nobody had replaced this node at that moment.
+  // Records that no other node had replaced this one at `confirmed_at`.
   void confirm_not_replaced(double confirmed_at);
-  // The moment from which on workers must not be given new leases. Somebody may have replaced this node
-  // unnoticed and have confirmed cancellations since; the tasks must be gone within cancel_s of that, so a
-  // worker's lease must end by then. `release_sent`: since when this node has been giving the shard up.
+  // Returns the time from which workers must not be given new leases. Another node may have replaced this one
+  // unnoticed and have confirmed cancellations since. Their tasks must have ended within cancel_s after that,
+  // so a worker's lease must end by then. `release_sent_at` is the time at which this node sent the deletion
+  // of the shard's owner key, if that is in progress.
   [[nodiscard]] double worker_renewal_deadline(std::optional<double> release_sent_at) const;
 
  private:
--- a/src/coordination/ownership/owner_records.hpp
+++ b/src/coordination/ownership/owner_records.hpp
@@ -1,7 +1,7 @@
-// What the state service holds about owners, under keys::kShardOwners, and the reading of watch keys there.
+// The records about owners in the state service, under keys::kShardOwners, and the parser for their keys.
 //
-//   parts/P      OwnerRecord of shard P, under the owner's lease; its revision is the shard's fencing token
-//   parts/@NODE  NodeAnnouncement: the node lives; under its lease too
+//   parts/P      OwnerRecord of shard P, attached to the owner's lease; its revision is the fencing token
+//   parts/@NODE  NodeAnnouncement of a live node, attached to its lease
 #pragma once
 
 #include <optional>
@@ -13,28 +13,28 @@
 
 struct OwnerRecord {
   std::string node;
-  std::string boot_id;  // tells the process that took the shard from other processes of the same node
+  std::string boot_id;  // distinguishes the process that claimed the shard from others of the same node
 
   [[nodiscard]] Json to_json() const;
-  // Missing fields are read as empty: the owner of a rebuilt incarnation (kRebuiltOwner) has no boot.
+  // Reads missing fields as empty: the owner of a rebuilt incarnation (kRebuiltOwner) has no boot id.
   static OwnerRecord from_json(const Json& value);
 };
 
 struct NodeAnnouncement {
   std::string boot_id;          // as in OwnerRecord
-  bool supports_gangs = false;  // it can run gangs; earlier versions say nothing of them
+  bool supports_gangs = false;  // earlier versions do not write this field
 
   [[nodiscard]] Json to_json() const;
-  // Nothing where the value is no object.
+  // Returns nullopt if the value is not an object.
   static std::optional<NodeAnnouncement> from_json(const Json& value);
 };
 
-// What a key under keys::kShardOwners is about.
+// The node or the shard that a key under keys::kShardOwners names.
 struct OwnerKey {
-  std::string node;  // of an announcement; empty: the key is that of a shard
+  std::string node;  // the node of an announcement; empty if the key names a shard
   int shard = 0;
 };
-// Nothing where the key names neither, or a shard that is not one of `shard_count`.
+// Returns nullopt if the key names neither, or if the shard number is not below `shard_count`.
 std::optional<OwnerKey> parse_owner_key(const std::string& key, int shard_count);
 
 namespace keys {
--- a/src/coordination/ownership/owner_watch.cpp
+++ b/src/coordination/ownership/owner_watch.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 constexpr double kRetryDelaySeconds = 0.3;
-constexpr double kMaxWatchSeconds = 8.0;  // a watch whose answer is lost tells nothing until it is over
+// If the answer to a watch is lost, no change is received until the watch ends, so it must be short.
+constexpr double kMaxWatchSeconds = 8.0;
 constexpr double kQuickFailureSeconds = 1.0;
 }  // namespace
 
@@ -71,7 +72,7 @@
   } else if (reply.outcome == Outcome::kGone) {
     read_all();
   } else {
-    // A watch that failed may have missed changes only up to what the next one reports.
+    // No reread is needed: the next watch starts at the same revision and reports the missed changes.
     const bool failed_quickly = env_.now() - sent_at < kQuickFailureSeconds;
     env_.after(failed_quickly ? kRetryDelaySeconds : 0.0, [this] {
       if (!watching_) watch();
@@ -91,7 +92,7 @@
   }
 }
 
-// `announced`: null when the announcement is gone.
+// `announced` is null if the announcement was deleted.
 void OwnerWatch::on_announcement(const std::string& node, const Json& announced) {
   if (const auto announcement = NodeAnnouncement::from_json(announced)) {
     live_nodes_.on_announced(node, *announcement, env_.now());
--- a/src/coordination/ownership/owner_watch.hpp
+++ b/src/coordination/ownership/owner_watch.hpp
@@ -1,4 +1,5 @@
-// Follows the records of owners and of live nodes in the state service: read once, then watched.
+// Keeps track of the records of owners and live nodes in the state service: reads them once, then watches for
+// changes.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +14,11 @@
 
 class OwnerWatch {
  public:
-  // All must outlive the watch.
+  // All arguments must outlive the watch.
   OwnerWatch(Env& env, StateClient& state, const ShardOwners& owners, ShardClaims& claims,
              LiveNodes& live_nodes);
 
-  // Reads all records, until that succeeds, and watches from then on.
+  // Reads all records, retrying until that succeeds, and watches for changes from then on.
   void read_all();
 
  private:
@@ -32,7 +33,7 @@
   const ShardOwners& owners_;
   ShardClaims& claims_;
   LiveNodes& live_nodes_;
-  std::uint64_t watched_revision_ = 0;  // the revision up to which changes are known
+  std::uint64_t watched_revision_ = 0;  // all changes up to this revision have been received
   bool reading_ = false;
   bool watching_ = false;
 };
--- a/src/coordination/ownership/ownership.cpp
+++ b/src/coordination/ownership/ownership.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 constexpr double kRetryDelaySeconds = 0.3;
-constexpr double kUnknownFormatRecheckSeconds = 10;  // until records of another form are looked at again
+constexpr double kUnknownFormatRecheckSeconds = 10;
 constexpr double kAnnounceRetryDelaySeconds = 1.0;
 }  // namespace
 
@@ -39,7 +39,7 @@
 }
 
 bool Ownership::owns_exclusively(int shard) const {
-  // (A deletion that is under way may be carried out already, and the next owner may have ended jobs since.)
+  // A deletion in progress may have been carried out already, and the next owner may have ended jobs since.
   return is_lease_valid() && owns(shard) && !owners_.at(shard).release_sent_at;
 }
 
@@ -63,7 +63,9 @@
   const auto meta = incarnation_check_.read_current(reply.data());
   if (!meta) {
     if (monitor_ != nullptr) return monitor_->on_other_incarnation();
-    spdlog::error("the state service holds records of another form: they are left alone, nothing is done");
+    spdlog::error(
+        "meta record has an unknown format or incarnation, or is being rebuilt; claiming no shards until it "
+        "matches");
     env_.after(kUnknownFormatRecheckSeconds, [this] { read_meta(); });
     return;
   }
@@ -73,13 +75,13 @@
 }
 
 void Ownership::write_meta() {
-  // One shard a node: each does its share, and more would only cost changes.
+  // One shard per node shares the work among all nodes; more shards would only cost additional writes.
   MetaRecord meta;
   meta.shards = static_cast<int>(settings_.members.size()) + 1;
   Transaction txn;
   txn.guard(keys::kMeta, 0);
   txn.put(keys::kMeta, meta.to_json());
-  // Whatever the answer, what counts is what the key says afterwards.
+  // The result of the commit does not matter, because the key is read again in every case.
   state_.commit(RequestPriority::kLease, txn, [this](const StateReply&) { read_meta(); });
 }
 
@@ -88,7 +90,7 @@
   claims_.try_claim_all();
 }
 
-// Tells the other nodes that this one lives, and what it can do, as long as its lease holds.
+// Announces to the other nodes that this node is live, and its capabilities, for as long as its lease lasts.
 void Ownership::announce() {
   const std::uint64_t lease_id = lease_.id();
   Transaction txn;
@@ -100,8 +102,8 @@
   });
 }
 
-// What contradicts this node may be that records were lost, or are being rebuilt. What it knows is needed
-// then.
+// The unexpected state may mean that records were lost or are being rebuilt. The rebuild then needs the state
+// that this node holds in memory, so the incarnation is checked before the shard is given up.
 void Ownership::restart_shard(int shard, const std::string& why) {
   if (!owns(shard)) return;
   const std::uint64_t fencing_token = owners_.at(shard).held_token;
@@ -111,10 +113,10 @@
 
 void Ownership::give_up(int shard, std::uint64_t fencing_token, const std::string& why) {
   if (owners_.at(shard).held_token != fencing_token) return;
-  spdlog::warn("shard {} given up: {}", shard, why);
-  owners_.lose(shard, "given up");
-  // The same node takes it again at once under a new fencing token; whatever is still on its way dies with
-  // the old one.
+  spdlog::warn("shard {}: giving up ownership and claiming it again: {}", shard, why);
+  owners_.lose(shard, "given up by this node");
+  // This node claims the shard again immediately, under a new fencing token. Writes that are still in flight
+  // fail because they carry the old token.
   owners_.at(shard).owner = {settings_.node, fencing_token};
   claims_.try_claim(shard);
 }
--- a/src/coordination/ownership/ownership.hpp
+++ b/src/coordination/ownership/ownership.hpp
@@ -1,12 +1,13 @@
-// Who owns which shard: one lease per process, one key per shard held by it.
+// Determines which node owns which shard. Each process has one lease, and each shard that it owns has one key
+// attached to that lease.
 //
-// The put that creates `parts/P` gives the shard's fencing token (its revision). Renewing the lease does not
-// change that revision, so every owner's write guards `parts/P` with it: a late or deposed owner fails by
-// itself.
+// The put that creates `parts/P` has the shard's fencing token as its revision. Renewing the lease does not
+// change that revision, so every write of an owner guards `parts/P` with it. The writes of a late or deposed
+// owner therefore fail.
 //
-// Ownership connects the collaborators that do the work: the lease (NodeLease), what is known of owners and
-// nodes (ShardOwners, LiveNodes, kept up to date by OwnerWatch), the claims of free shards (ShardClaims) and
-// the return of shards to their home (HomeReturn). All times are of the steady clock, in seconds.
+// Ownership connects the classes that do the work: the lease (NodeLease), the known owners and live nodes
+// (ShardOwners and LiveNodes, kept up to date by OwnerWatch), the claims of free shards (ShardClaims) and the
+// return of shards to their home nodes (HomeReturn). All times are of the steady clock, in seconds.
 #pragma once
 
 #include <cstdint>
@@ -23,17 +24,20 @@
 
 namespace mothslip {
 
-// What a node can do that earlier versions can't. Tests have nodes behave like an earlier version.
+// Features that nodes of earlier versions lack. Tests disable them to make a node behave like an earlier
+// version.
 struct Capabilities {
   bool supports_gangs = true;
 };
 
 class Ownership {
  public:
-  static constexpr double kLeaseSeconds = NodeLease::kLeaseSeconds;  // a node's lease in the state service
+  static constexpr double kLeaseSeconds =
+      NodeLease::kLeaseSeconds;  // term of a node's lease in the state service
   using Listener = ShardOwners::Listener;
 
-  // `monitor`: null when nobody watches for lost state. All must outlive the ownership.
+  // `monitor` is null if this node does not monitor for lost state. The references and the monitor must
+  // outlive this object.
   Ownership(Env& env, StateClient& state, const Settings& settings, Capabilities capabilities,
             Listener listener, StateMonitor* monitor = nullptr);
   ~Ownership() = default;
@@ -41,35 +45,37 @@
   Ownership& operator=(const Ownership&) = delete;
 
   void start();
-  // 0 until `meta` has been read.
+  // Returns the number of shards; 0 until `meta` has been read.
   [[nodiscard]] int shard_count() const { return owners_.count(); }
   [[nodiscard]] const ShardOwner& owner(int shard) const { return owners_.at(shard).owner; }
   [[nodiscard]] bool owns(int shard) const { return owners_.at(shard).held(); }
   [[nodiscard]] int held_count() const { return owners_.held_count(); }
-  // Of the record `meta` as last read. What is written on the condition that it has not changed cannot come
-  // after a rebuilding of lost records has begun.
+  // Returns the revision of the record `meta` as last read. A transaction that guards `meta` with it cannot
+  // be executed after a rebuild of lost records has started.
   [[nodiscard]] std::uint64_t meta_revision() const { return meta_revision_; }
-  // By this node's own clock, drift allowed: nobody else can own what it owns before this time.
+  // Before this time, by this node's clock with an allowance for drift, no other node can own its shards.
   [[nodiscard]] double lease_valid_until() const { return lease_.valid_until(); }
   [[nodiscard]] bool is_lease_valid() const { return lease_.is_valid(); }
-  // Nobody else can own this shard now: the lease is good, and the shard is not being given away.
+  // Returns true if no other node can own this shard now: this node owns it, its lease is valid, and it is
+  // not releasing the shard.
   [[nodiscard]] bool owns_exclusively(int shard) const;
-  // When this node's lease in the state service may have ended at the earliest, by its clock.
+  // Returns the earliest time, by this node's clock, at which its lease may have ended in the state service.
   [[nodiscard]] double earliest_lease_expiry_at() const { return lease_.earliest_expiry_at(); }
-  // A node that is known to live has said nothing of gangs: it is of an earlier version.
+  // Returns true if a live node does not announce support for gangs because it runs an earlier version.
   [[nodiscard]] bool has_live_node_without_gangs() const { return live_nodes_.has_live_node_without_gangs(); }
-  // At that moment no other node had heard anything from the state service since the end of this node's
-  // lease: nobody can have replaced it, or told a user anything, by then.
+  // Records that at `confirmed_at` no other node had received an answer from the state service since the end
+  // of this node's lease. No node can have replaced this one, or have answered a user in its place, by then.
   void confirm_not_replaced(double confirmed_at) { lease_.confirm_not_replaced(confirmed_at); }
-  // May this shard's workers be given new leases (NodeLease::renew_deadline)?
+  // Returns true if this shard's workers may be given new leases (NodeLease::worker_renewal_deadline).
   [[nodiscard]] bool may_renew_worker_leases(int shard) const {
     return env_.now() < worker_renewal_deadline(shard);
   }
-  // The moment from which on they may not.
+  // Returns the time from which this shard's workers may not be given new leases.
   [[nodiscard]] double worker_renewal_deadline(int shard) const;
-  // Anything unexpected about a shard's records: give it up and load it anew under a new fencing token.
+  // Gives up a shard whose records are in an unexpected state, and claims it again, so that it is loaded
+  // again under a new fencing token.
   void restart_shard(int shard, const std::string& why);
-  // Another node was heard of holding the shard with this fencing token.
+  // Records a report that another node holds the shard with this fencing token.
   void on_owner_reported(int shard, const std::string& node, std::uint64_t fencing_token);
 
  private:
@@ -85,7 +91,7 @@
   const Settings& settings_;
   Capabilities capabilities_;
   StateMonitor* monitor_;
-  std::string boot_id_;  // tells this process from an earlier one of the same node
+  std::string boot_id_;  // distinguishes this process from earlier ones of the same node
   IncarnationCheck incarnation_check_;
   NodeLease lease_;
   LiveNodes live_nodes_;
--- a/src/coordination/ownership/shard_claims.cpp
+++ b/src/coordination/ownership/shard_claims.cpp
@@ -9,7 +9,7 @@
 namespace mothslip {
 
 namespace {
-constexpr double kClaimStaggerSeconds = 0.15;  // between the claims of two nodes that follow in the order
+constexpr double kClaimStaggerSeconds = 0.15;  // between the claims of successive nodes in the claim order
 constexpr double kRetryDelaySeconds = 0.3;
 }  // namespace
 
@@ -57,21 +57,22 @@
       if (may_claim(shard) && owners_.at(shard).owner.node.empty()) claim(shard, 0);
     });
   } else if (owner.node == settings_.node) {
-    // Held by an earlier process of this very node, which has ended: no need to wait for its lease. Or by a
-    // late copy of a claim of this process, for a shard that it gave away since: the others take it for its
-    // own.
+    // Either an earlier process of this node holds the shard; that process has ended, so there is no need to
+    // wait for its lease to expire. Or a late duplicate of a claim by this process took effect after the
+    // process had released the shard; the other nodes then regard this node as the owner.
     claim(shard, owner.fencing_token);
   }
 }
 
-// A free shard is taken at once by its home; the others hold back a little, so that claims do not collide.
+// The home node claims a free shard immediately. The other nodes wait a little, so that claims do not
+// collide.
 double ShardClaims::claim_delay_s(int shard) const {
   const std::vector<std::string> order = claim_order(settings_, shard);
   const auto turn = std::find(order.begin(), order.end(), settings_.node) - order.begin();
   return kClaimStaggerSeconds * static_cast<double>(turn);
 }
 
-// `revision`: that of the shard's key as it is now; 0: there is none.
+// `revision` is the current revision of the shard's key; 0 if the key does not exist.
 void ShardClaims::claim(int shard, std::uint64_t revision) {
   owners_.at(shard).claiming = true;
   const std::uint64_t lease_id = lease_.id();
@@ -83,7 +84,7 @@
     if (reply.ok() && lease_id == lease_.id()) {
       owners_.gain(shard, settings_.node, reply.revision(), "");
     } else {
-      read_key(shard, lease_id);  // lost the race, or nobody knows
+      read_key(shard, lease_id);  // another node claimed it first, or the result is unknown
     }
   });
 }
@@ -103,14 +104,16 @@
     const std::uint64_t revision = reply.item_revision();
     const bool same_lease = lease_.is_open() && lease_id == lease_.id() && reply.lease_id() == lease_.id();
     if (found.boot_id == boot_id_ && same_lease) {
-      if (owners_.at(shard).held_token != revision) owners_.gain(shard, found.node, revision, " (found)");
+      if (owners_.at(shard).held_token != revision)
+        owners_.gain(shard, found.node, revision, " (its earlier claim had succeeded)");
       return;
     }
     on_owner_read(shard, found.node, revision);
   } else if (reply.outcome == Outcome::kMissing) {
     on_owner_read(shard, "", reply.revision());
   }
-  // What was seen may be no news, and the shard still be to be had: a start once stalled here.
+  // The record that was read may contain nothing new while the shard is still available. Without this retry a
+  // node once stalled at start-up.
   env_.after(kRetryDelaySeconds, [this, shard] { try_claim(shard); });
 }
 
--- a/src/coordination/ownership/shard_claims.hpp
+++ b/src/coordination/ownership/shard_claims.hpp
@@ -1,4 +1,4 @@
-// Takes shards that have no owner, and those that an earlier process of this node still holds.
+// Claims shards that have no owner, and shards that an earlier process of this node still holds.
 #pragma once
 
 #include <cstdint>
@@ -11,21 +11,25 @@
 
 namespace mothslip {
 
-// The nodes in the order in which they take a shard: its home first. The same on every node.
+// Returns the nodes in the order in which they claim a shard, its home node first. The order is the same on
+// every node.
 [[nodiscard]] std::vector<std::string> claim_order(const Settings& settings, int shard);
 
 class ShardClaims {
  public:
-  // `boot` tells this process from others of the same node. All must outlive the claims.
+  // `boot_id` distinguishes this process from others of the same node. The references must outlive this
+  // object.
   ShardClaims(Env& env, StateClient& state, const Settings& settings, std::string boot_id,
               const NodeLease& lease, ShardOwners& owners);
 
-  // The owners of all shards have been read. Before, nothing is claimed: a shard without a known owner may
-  // well have one.
+  // Called once the owners of all shards have been read. No shard is claimed before that, because a shard
+  // without a known owner may have one.
   void on_owners_read();
-  // The state service said that at `revision` the shard's key belonged to `node` (empty: was not there).
+  // Called when the state service reports that at `revision` the shard's key belonged to `node`, or did not
+  // exist (empty `node`).
   void on_owner_read(int shard, const std::string& node, std::uint64_t revision);
-  // Claims the shard if it is to be had, at once or after this node's turn.
+  // Claims the shard if it is available: immediately if an earlier process of this node holds it, otherwise
+  // after this node's claim delay.
   void try_claim(int shard);
   void try_claim_all();
 
--- a/src/coordination/ownership/shard_owners.cpp
+++ b/src/coordination/ownership/shard_owners.cpp
@@ -17,8 +17,8 @@
       std::count_if(shards_.begin(), shards_.end(), [](const Shard& shard) { return shard.held(); }));
 }
 
-// What is older than what is known already (a claim's own answer overtakes the watch) must not take a fresh
-// shard away from this node.
+// Older information is ignored, so that this node does not lose a shard that it has just claimed: the answer
+// to a claim can arrive before the watch reports earlier changes.
 bool ShardOwners::update_from_state(int shard, const std::string& node, std::uint64_t revision) {
   Shard& entry = at(shard);
   if (revision < entry.owner.fencing_token) return false;
@@ -28,9 +28,9 @@
   }
   if (entry.held()) {
     if (node.empty()) {
-      lose(shard, "key gone");
+      lose(shard, "its owner key was deleted");
     } else if (revision > entry.held_token) {
-      lose(shard, "another owner");
+      lose(shard, "another process has claimed it");
     }
   }
   const bool changed = entry.owner.node != node || entry.owner.fencing_token != revision;
@@ -43,7 +43,7 @@
   if (shard < 0 || shard >= count()) return;
   Shard& entry = at(shard);
   if (fencing_token <= entry.owner.fencing_token) return;
-  if (entry.held()) lose(shard, "a newer owner was heard of");
+  if (entry.held()) lose(shard, "a newer owner was reported");
   entry.owner = {node, fencing_token};
   listener_.owners_changed();
 }
@@ -52,7 +52,7 @@
   Shard& entry = at(shard);
   entry.held_token = fencing_token;
   entry.owner = {node, fencing_token};
-  spdlog::info("shard {} gained, fencing token {}{}", shard, fencing_token, how);
+  spdlog::info("shard {}: ownership gained, fencing token {}{}", shard, fencing_token, how);
   listener_.gained(shard, fencing_token);
   listener_.owners_changed();
 }
@@ -61,7 +61,7 @@
   Shard& entry = at(shard);
   if (!entry.held()) return;
   if (monitor_ != nullptr && monitor_->is_state_lost()) return;
-  spdlog::info("shard {} lost, fencing token {}: {}", shard, entry.held_token, why);
+  spdlog::info("shard {}: ownership lost, fencing token {}: {}", shard, entry.held_token, why);
   entry.held_token = 0;
   listener_.lost(shard);
 }
@@ -72,7 +72,7 @@
 
 void ShardOwners::release(int shard, std::uint64_t revision) {
   at(shard).owner = {"", revision};
-  lose(shard, "sent home");
+  lose(shard, "released to its home node");
   listener_.owners_changed();
 }
 
--- a/src/coordination/ownership/shard_owners.hpp
+++ b/src/coordination/ownership/shard_owners.hpp
@@ -1,7 +1,7 @@
-// Who owns which shard, as far as this node knows, and which shards it owns itself.
+// The table of shard owners that are known to this node, and of the shards that it owns itself.
 //
-// Facts about a shard's owner are dated by the revision at which they held: the fencing token of the owner,
-// or the revision at which there was none. What is older than what is known already changes nothing.
+// Each entry carries the revision at which it was true: the fencing token of the owner, or the revision at
+// which the shard had no owner. Information that is older than the entry is ignored.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 namespace mothslip {
 
 struct ShardOwner {
-  std::string node;  // empty: nobody known
+  std::string node;  // empty if no owner is known
   std::uint64_t fencing_token = 0;
 };
 
@@ -28,14 +28,15 @@
   };
   struct Shard {
     ShardOwner owner;
-    std::uint64_t held_token = 0;           // this node's fencing token; 0: the shard is not its own
-    bool claiming = false;                  // a claim is under way
-    std::optional<double> release_sent_at;  // since when a deletion of this node's key has been under way
+    std::uint64_t held_token = 0;  // this node's fencing token; 0 if it does not own the shard
+    bool claiming = false;         // a claim by this node is in progress
+    // When this node sent the deletion of its owner key, if the deletion is in progress.
+    std::optional<double> release_sent_at;
 
     [[nodiscard]] bool held() const { return held_token != 0; }
   };
 
-  // `monitor`: null when nobody watches for lost state; it must outlive the table.
+  // `monitor` is null if this node does not monitor for lost state; otherwise it must outlive the table.
   ShardOwners(StateMonitor* monitor, Listener listener);
 
   void resize(int count) { shards_.resize(static_cast<std::size_t>(count)); }
@@ -44,17 +45,18 @@
   [[nodiscard]] const Shard& at(int shard) const { return shards_[static_cast<std::size_t>(shard)]; }
   [[nodiscard]] Shard& at(int shard) { return shards_[static_cast<std::size_t>(shard)]; }
 
-  // The state service said that at `revision` the shard's key belonged to `node` (empty: was not there). True
-  // when that is news; the shard may be free to be claimed then.
+  // Records that, according to the state service, the shard's key at `revision` belonged to `node` or did not
+  // exist (empty `node`). Returns true if that changes the entry; the shard may be available then.
   [[nodiscard]] bool update_from_state(int shard, const std::string& node, std::uint64_t revision);
-  // Another node was heard of holding the shard with this fencing token.
+  // Records a report that another node holds the shard with this fencing token.
   void update_from_report(int shard, const std::string& node, std::uint64_t fencing_token);
-  // This node owns the shard from now on; `how` goes to the log.
+  // Records that this node owns the shard from now on. `how` is appended to the log line.
   void gain(int shard, const std::string& node, std::uint64_t fencing_token, const char* how);
-  // Drops the shard, if it is held. (Not once state is known to be lost: what it knows is needed to rebuild.)
+  // Drops the shard if this node holds it. Does nothing once a loss of state has been detected, because the
+  // rebuild needs the shard's state.
   void lose(int shard, const char* why);
   void lose_all(const char* why);
-  // This node has deleted its key, at that revision: the shard has no owner.
+  // Records that this node deleted its owner key at `revision`, so that the shard has no owner.
   void release(int shard, std::uint64_t revision);
 
  private:
