--- a/src/coordination/ownership/home_return.cpp
+++ b/src/coordination/ownership/home_return.cpp
@@ -31,14 +31,14 @@
 
 void HomeReturn::check() {
   start();
-  if (releasing_ || !lease_.is_valid()) return;
+  if (is_releasing_ || !lease_.is_valid()) return;
   for (int shard = 0; shard < owners_.count(); shard++) {
     if (should_return(shard)) return release(shard);
   }
 }
 
 bool HomeReturn::should_return(int shard) const {
-  if (!owners_.at(shard).held()) return false;
+  if (!owners_.at(shard).is_held()) return false;
   const std::string home = claim_order(settings_, shard).front();
   return home != settings_.node && live_nodes_.is_alive_for(home, kMinHomeUptimeSeconds, env_.now());
 }
@@ -47,14 +47,14 @@
   spdlog::info("shard {}: deleting its owner key so that its home node {} can claim it", shard,
                claim_order(settings_, shard).front());
   ShardOwners::Shard& entry = owners_.at(shard);
-  releasing_ = true;
+  is_releasing_ = true;
   entry.release_sent_at = env_.now();
   Transaction txn;
   txn.guard(keys::shard_owner(shard), entry.held_token);
   txn.remove(keys::shard_owner(shard));
   state_.commit(RequestPriority::kLease, txn,
                 [this, shard, fencing_token = entry.held_token](const StateReply& reply) {
-                  releasing_ = false;
+                  is_releasing_ = false;
                   owners_.at(shard).release_sent_at.reset();
                   on_released(shard, fencing_token, reply);
                 });
--- a/src/coordination/ownership/home_return.hpp
+++ b/src/coordination/ownership/home_return.hpp
@@ -40,7 +40,7 @@
   ShardOwners& owners_;
   ShardClaims& claims_;
   ReleaseUnknownHandler on_release_unknown_;
-  bool releasing_ = false;
+  bool is_releasing_ = false;
 };
 
 }  // namespace mothslip
--- a/src/coordination/ownership/owner_watch.cpp
+++ b/src/coordination/ownership/owner_watch.cpp
@@ -20,18 +20,18 @@
     : env_(env), state_(state), owners_(owners), claims_(claims), live_nodes_(live_nodes) {}
 
 void OwnerWatch::read_all() {
-  if (reading_) return;
-  reading_ = true;
+  if (is_reading_) return;
+  is_reading_ = true;
   state_.list(RequestPriority::kLease, keys::kShardOwners,
               [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t revision) {
-                reading_ = false;
+                is_reading_ = false;
                 if (outcome != Outcome::kOk) {
                   env_.after(kRetryDelaySeconds, [this] { read_all(); });
                   return;
                 }
                 on_records(items, revision);
                 watched_revision_ = revision;
-                if (!watching_) watch();
+                if (!is_watching_) watch();
                 claims_.on_owners_read();
               });
 }
@@ -55,11 +55,11 @@
 }
 
 void OwnerWatch::watch() {
-  watching_ = true;
+  is_watching_ = true;
   const double sent_at = env_.now();
   state_.watch(keys::kShardOwners, watched_revision_, kMaxWatchSeconds,
                [this, sent_at](const StateReply& reply) {
-                 watching_ = false;
+                 is_watching_ = false;
                  on_watch_reply(sent_at, reply);
                });
 }
@@ -75,7 +75,7 @@
     // No reread is needed: the next watch starts at the same revision and reports the missed changes.
     const bool failed_quickly = env_.now() - sent_at < kQuickFailureSeconds;
     env_.after(failed_quickly ? kRetryDelaySeconds : 0.0, [this] {
-      if (!watching_) watch();
+      if (!is_watching_) watch();
     });
   }
 }
@@ -85,9 +85,9 @@
   if (!key) return;
   if (!key->node.empty()) {
     const Json without_fields = Json::object();
-    on_announcement(key->node, event.put && !event.has_data ? without_fields : event.data);
+    on_announcement(key->node, event.is_put && !event.has_data ? without_fields : event.data);
   } else {
-    const std::string node = event.put ? OwnerRecord::from_json(event.data).node : "";
+    const std::string node = event.is_put ? OwnerRecord::from_json(event.data).node : "";
     claims_.on_owner_read(key->shard, node, event.revision);
   }
 }
--- a/src/coordination/ownership/owner_watch.hpp
+++ b/src/coordination/ownership/owner_watch.hpp
@@ -34,8 +34,8 @@
   ShardClaims& claims_;
   LiveNodes& live_nodes_;
   std::uint64_t watched_revision_ = 0;  // all changes up to this revision have been received
-  bool reading_ = false;
-  bool watching_ = false;
+  bool is_reading_ = false;
+  bool is_watching_ = false;
 };
 
 }  // namespace mothslip
--- a/src/coordination/ownership/ownership.hpp
+++ b/src/coordination/ownership/ownership.hpp
@@ -48,7 +48,7 @@
   // Returns the number of shards; 0 until `meta` has been read.
   [[nodiscard]] int shard_count() const { return owners_.count(); }
   [[nodiscard]] const ShardOwner& owner(int shard) const { return owners_.at(shard).owner; }
-  [[nodiscard]] bool owns(int shard) const { return owners_.at(shard).held(); }
+  [[nodiscard]] bool owns(int shard) const { return owners_.at(shard).is_held(); }
   [[nodiscard]] int held_count() const { return owners_.held_count(); }
   // Returns the revision of the record `meta` as last read. A transaction that guards `meta` with it cannot
   // be executed after a rebuild of lost records has started.
--- a/src/coordination/ownership/shard_claims.cpp
+++ b/src/coordination/ownership/shard_claims.cpp
@@ -46,7 +46,7 @@
 
 bool ShardClaims::may_claim(int shard) const {
   const ShardOwners::Shard& entry = owners_.at(shard);
-  return lease_.is_open() && !entry.held() && !entry.claiming;
+  return lease_.is_open() && !entry.is_held() && !entry.is_claiming;
 }
 
 void ShardClaims::try_claim(int shard) {
@@ -74,13 +74,13 @@
 
 // `revision` is the current revision of the shard's key; 0 if the key does not exist.
 void ShardClaims::claim(int shard, std::uint64_t revision) {
-  owners_.at(shard).claiming = true;
+  owners_.at(shard).is_claiming = true;
   const std::uint64_t lease_id = lease_.id();
   Transaction txn;
   txn.guard(keys::shard_owner(shard), revision);
   txn.put_with_lease(keys::shard_owner(shard), OwnerRecord{settings_.node, boot_id_}.to_json(), lease_id);
   state_.commit(RequestPriority::kLease, txn, [this, shard, lease_id](const StateReply& reply) {
-    owners_.at(shard).claiming = false;
+    owners_.at(shard).is_claiming = false;
     if (reply.ok() && lease_id == lease_.id()) {
       owners_.gain(shard, settings_.node, reply.revision(), "");
     } else {
@@ -90,10 +90,10 @@
 }
 
 void ShardClaims::read_key(int shard, std::uint64_t lease_id) {
-  owners_.at(shard).claiming = true;
+  owners_.at(shard).is_claiming = true;
   state_.get(RequestPriority::kLease, keys::shard_owner(shard),
              [this, shard, lease_id](const StateReply& reply) {
-               owners_.at(shard).claiming = false;
+               owners_.at(shard).is_claiming = false;
                on_key_read(shard, lease_id, reply);
              });
 }
--- a/src/coordination/ownership/shard_owners.cpp
+++ b/src/coordination/ownership/shard_owners.cpp
@@ -14,7 +14,7 @@
 
 int ShardOwners::held_count() const {
   return static_cast<int>(
-      std::count_if(shards_.begin(), shards_.end(), [](const Shard& shard) { return shard.held(); }));
+      std::count_if(shards_.begin(), shards_.end(), [](const Shard& shard) { return shard.is_held(); }));
 }
 
 // Older information is ignored, so that this node does not lose a shard that it has just claimed: the answer
@@ -26,7 +26,7 @@
     monitor_->on_other_incarnation();
     return false;
   }
-  if (entry.held()) {
+  if (entry.is_held()) {
     if (node.empty()) {
       lose(shard, "its owner key was deleted");
     } else if (revision > entry.held_token) {
@@ -43,23 +43,24 @@
   if (shard < 0 || shard >= count()) return;
   Shard& entry = at(shard);
   if (fencing_token <= entry.owner.fencing_token) return;
-  if (entry.held()) lose(shard, "a newer owner was reported");
+  if (entry.is_held()) lose(shard, "a newer owner was reported");
   entry.owner = {node, fencing_token};
   listener_.owners_changed();
 }
 
-void ShardOwners::gain(int shard, const std::string& node, std::uint64_t fencing_token, const char* how) {
+void ShardOwners::gain(int shard, const std::string& node, std::uint64_t fencing_token,
+                       const char* log_suffix) {
   Shard& entry = at(shard);
   entry.held_token = fencing_token;
   entry.owner = {node, fencing_token};
-  spdlog::info("shard {}: ownership gained, fencing token {}{}", shard, fencing_token, how);
+  spdlog::info("shard {}: ownership gained, fencing token {}{}", shard, fencing_token, log_suffix);
   listener_.gained(shard, fencing_token);
   listener_.owners_changed();
 }
 
 void ShardOwners::lose(int shard, const char* why) {
   Shard& entry = at(shard);
-  if (!entry.held()) return;
+  if (!entry.is_held()) return;
   if (monitor_ != nullptr && monitor_->is_state_lost()) return;
   spdlog::info("shard {}: ownership lost, fencing token {}: {}", shard, entry.held_token, why);
   entry.held_token = 0;
--- a/src/coordination/ownership/shard_owners.hpp
+++ b/src/coordination/ownership/shard_owners.hpp
@@ -29,11 +29,11 @@
   struct Shard {
     ShardOwner owner;
     std::uint64_t held_token = 0;  // this node's fencing token; 0 if it does not own the shard
-    bool claiming = false;         // a claim by this node is in progress
+    bool is_claiming = false;      // a claim by this node is in progress
     // When this node sent the deletion of its owner key, if the deletion is in progress.
     std::optional<double> release_sent_at;
 
-    [[nodiscard]] bool held() const { return held_token != 0; }
+    [[nodiscard]] bool is_held() const { return held_token != 0; }
   };
 
   // `monitor` is null if this node does not monitor for lost state; otherwise it must outlive the table.
@@ -51,7 +51,7 @@
   // Records a report that another node holds the shard with this fencing token.
   void update_from_report(int shard, const std::string& node, std::uint64_t fencing_token);
   // Records that this node owns the shard from now on. `how` is appended to the log line.
-  void gain(int shard, const std::string& node, std::uint64_t fencing_token, const char* how);
+  void gain(int shard, const std::string& node, std::uint64_t fencing_token, const char* log_suffix);
   // Drops the shard if this node holds it. Does nothing once a loss of state has been detected, because the
   // rebuild needs the shard's state.
   void lose(int shard, const char* why);
--- a/src/coordination/state/state_client.cpp
+++ b/src/coordination/state/state_client.cpp
@@ -11,8 +11,8 @@
 constexpr double kWatchTimeoutMarginSeconds =
     2;  // beyond the time for which the service may hold a watch open
 constexpr const char* kMaxItemsPerPage = "500";  // records per page of a list
-constexpr int kTooManyRequests = 429;
-constexpr int kUnavailable = 503;
+constexpr int kTooManyRequestsStatus = 429;
+constexpr int kUnavailableStatus = 503;
 }  // namespace
 
 StateClient::StateClient(Env& env, const Settings& settings, Incarnation incarnation, StateMonitor* monitor)
@@ -50,8 +50,8 @@
   const auto shared_request = std::make_shared<QueuedRequest>(std::move(request));
   const std::uint64_t newest_when_sent = monitor_ == nullptr ? 0 : monitor_->newest_revision();
   env_.call(shared_request->call, [this, priority, shared_request, newest_when_sent](const HttpReply& reply) {
-    if (!reply.unanswered() && reply.status != kUnavailable) last_answer_at_ = env_.now();
-    if (reply.status == kTooManyRequests) {
+    if (!reply.unanswered() && reply.status != kUnavailableStatus) last_answer_at_ = env_.now();
+    if (reply.status == kTooManyRequestsStatus) {
       counters_.too_many_requests++;
       budget_.on_refusal(shared_request->writes > 0, env_.now());
       // A call that was answered with 429 was not executed, so it can safely be sent again.
--- a/src/coordination/state/state_messages.cpp
+++ b/src/coordination/state/state_messages.cpp
@@ -39,9 +39,9 @@
   out.reserve(events->size());
   for (const Json& event : *events) {
     WatchEvent change;
-    change.put = event.contains("put");
-    change.key = event.value(change.put ? "put" : "delete", "");
-    change.has_data = change.put && event.contains("data");
+    change.is_put = event.contains("put");
+    change.key = event.value(change.is_put ? "put" : "delete", "");
+    change.has_data = change.is_put && event.contains("data");
     if (change.has_data) change.data = event["data"];
     change.revision = event.value("stamp", std::uint64_t{0});
     out.push_back(std::move(change));
--- a/src/coordination/state/state_messages.hpp
+++ b/src/coordination/state/state_messages.hpp
@@ -30,7 +30,7 @@
 
 // One change under a watched prefix.
 struct WatchEvent {
-  bool put = false;            // false: the key was deleted
+  bool is_put = false;         // false: the key was deleted
   std::string key;             // empty if the service named no key
   Json data;                   // null if the key was deleted or the put carried no data
   bool has_data = false;       // true if the put carried data, even a null value
