--- a/src/coordination/ownership/live_nodes.hpp
+++ b/src/coordination/ownership/live_nodes.hpp
@@ -16,6 +16,7 @@
   void on_announced(const std::string& node, const NodeAnnouncement& announcement, double now) {
     nodes_[node] = {now, announcement.supports_gangs};
   }
+  // Removes a node whose announcement was deleted.
   void on_gone(const std::string& node) { nodes_.erase(node); }
 
   // Returns true if the node has been live for at least `min_uptime_s`.
--- a/src/coordination/ownership/node_lease.hpp
+++ b/src/coordination/ownership/node_lease.hpp
@@ -22,7 +22,8 @@
     // this function has returned.
     std::function<void(const char* why)> expired;
   };
-  // `monitor` is null if this node does not monitor for lost state. All arguments must outlive the lease.
+  // `monitor` is null if this node does not monitor for lost state. The references and the monitor
+  // must outlive the lease.
   NodeLease(Env& env, StateClient& state, const Settings& settings, IncarnationCheck& incarnation_check,
             StateMonitor* monitor, Listener listener);
 
--- a/src/coordination/ownership/owner_watch.hpp
+++ b/src/coordination/ownership/owner_watch.hpp
@@ -14,7 +14,7 @@
 
 class OwnerWatch {
  public:
-  // All arguments must outlive the watch.
+  // The references must outlive the watch.
   OwnerWatch(Env& env, StateClient& state, const ShardOwners& owners, ShardClaims& claims,
              LiveNodes& live_nodes);
 
--- a/src/coordination/ownership/ownership.hpp
+++ b/src/coordination/ownership/ownership.hpp
@@ -32,8 +32,8 @@
 
 class Ownership {
  public:
-  static constexpr double kLeaseSeconds =
-      NodeLease::kLeaseSeconds;  // term of a node's lease in the state service
+  // The term of a node's lease in the state service.
+  static constexpr double kLeaseSeconds = NodeLease::kLeaseSeconds;
   using Listener = ShardOwners::Listener;
 
   // `monitor` is null if this node does not monitor for lost state. The references and the monitor must
@@ -75,7 +75,8 @@
   // Gives up a shard whose records are in an unexpected state, and claims it again, so that it is loaded
   // again under a new fencing token.
   void restart_shard(int shard, const std::string& why);
-  // Records a report that another node holds the shard with this fencing token.
+  // Records a report that another process holds the shard with this fencing token. `node` is empty if only
+  // the token is known. A token that is not newer than the known one is ignored.
   void on_owner_reported(int shard, const std::string& node, std::uint64_t fencing_token);
 
  private:
--- a/src/coordination/ownership/shard_owners.hpp
+++ b/src/coordination/ownership/shard_owners.hpp
@@ -48,9 +48,10 @@
   // Records that, according to the state service, the shard's key at `revision` belonged to `node` or did not
   // exist (empty `node`). Returns true if that changes the entry; the shard may be available then.
   [[nodiscard]] bool update_from_state(int shard, const std::string& node, std::uint64_t revision);
-  // Records a report that another node holds the shard with this fencing token.
+  // Records a report that another process holds the shard with this fencing token. `node` is empty if only
+  // the token is known. A token that is not newer than the known one is ignored.
   void update_from_report(int shard, const std::string& node, std::uint64_t fencing_token);
-  // Records that this node owns the shard from now on. `how` is appended to the log line.
+  // Records that this node owns the shard from now on. `log_suffix` is appended to the log line.
   void gain(int shard, const std::string& node, std::uint64_t fencing_token, const char* log_suffix);
   // Drops the shard if this node holds it. Does nothing once a loss of state has been detected, because the
   // rebuild needs the shard's state.
--- a/src/coordination/state/request_budget.hpp
+++ b/src/coordination/state/request_budget.hpp
@@ -12,7 +12,8 @@
 
 namespace mothslip {
 
-// Priority classes of requests, highest first.
+// Priority classes of requests, highest first. kLease includes ownership and loading; kRest covers all
+// other requests.
 enum class RequestPriority { kLease = 0, kCancel, kAccept, kLaunch, kDone, kRest, kCount };
 
 class RequestBudget {
--- a/src/coordination/state/state_client.hpp
+++ b/src/coordination/state/state_client.hpp
@@ -48,8 +48,9 @@
   // Reads the changes under the prefix after the revision `from`. If there are none, the service answers
   // after `wait_s`. The outcome is kGone if the service no longer keeps changes that old.
   void watch(const std::string& prefix, std::uint64_t from, double wait_s, StateHandler handler);
+  // Requests a lease that the service ends unless it is renewed within `ttl_s`.
   void lease_create(double ttl_s, StateHandler handler);
-  // The outcome is kMissing if the lease has ended.
+  // Renews a lease. The outcome is kMissing if the lease has ended.
   void lease_renew(std::uint64_t lease_id, double timeout_s, StateHandler handler);
 
   // Returns the time since the service last answered any call with a status other than 503. Before the first
--- a/src/coordination/state/state_messages.hpp
+++ b/src/coordination/state/state_messages.hpp
@@ -22,7 +22,7 @@
   kGone,      // 410
   kInvalid,   // 400, also for an unknown lease: nothing was changed
   kRefused,   // 429, 503, or refused by this node's request queue: the call was not executed
-  kUnknown,   // no response: the call may have been executed, or may be executed later
+  kUnknown,   // no conclusive response: the call may have been executed, or may be executed later
 };
 
 // Returns the outcome that an HTTP status of the service stands for. Status 0 is a call without an answer.
