--- a/src/coordination/ownership/home_return.hpp
+++ b/src/coordination/ownership/home_return.hpp
@@ -1,5 +1,5 @@
-// Returns shards to their home: once a node that was away is steady, the holder deletes the shard's key and
-// the home claims it.
+// Returns shards to their home nodes. Once a home node has been back for long enough, the node that holds its
+// shard deletes the owner key of the shard, and the home node claims it.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +16,19 @@
 
 class HomeReturn {
  public:
-  // The deletion of a held shard's key may or may not have been carried out.
-  using UnknownHandler = std::function<void(int shard, const std::string& why)>;
-  // All must outlive this.
+  // Called when it is unknown whether the deletion of a held shard's owner key was carried out.
+  using ReleaseUnknownHandler = std::function<void(int shard, const std::string& why)>;
+  // The references must outlive this object.
   HomeReturn(Env& env, StateClient& state, const Settings& settings, const NodeLease& lease,
              const LiveNodes& live_nodes, ShardOwners& owners, ShardClaims& claims,
-             UnknownHandler release_unknown);
+             ReleaseUnknownHandler on_release_unknown);
 
-  // From now on looks every few seconds for a shard to return; one at a time.
+  // Starts to check every few seconds for a shard to return. Returns one shard at a time.
   void start();
 
  private:
   void check();
-  [[nodiscard]] bool due(int shard) const;
+  [[nodiscard]] bool should_return(int shard) const;
   void release(int shard);
   void on_released(int shard, std::uint64_t fencing_token, const StateReply& reply);
 
@@ -39,8 +39,8 @@
   const LiveNodes& live_nodes_;
   ShardOwners& owners_;
   ShardClaims& claims_;
-  UnknownHandler release_unknown_;
-  bool releasing_ = false;
+  ReleaseUnknownHandler on_release_unknown_;
+  bool is_releasing_ = false;
 };
 
 }  // namespace mothslip
--- a/src/coordination/ownership/owner_watch.hpp
+++ b/src/coordination/ownership/owner_watch.hpp
@@ -1,4 +1,5 @@
-// Follows the records of owners and of live nodes in the state service: read once, then watched.
+// Keeps track of the records of owners and live nodes in the state service: reads them once, then watches for
+// changes.
 #pragma once
 
 #include <cstdint>
@@ -13,17 +14,17 @@
 
 class OwnerWatch {
  public:
-  // All must outlive the watch.
+  // The references must outlive the watch.
   OwnerWatch(Env& env, StateClient& state, const ShardOwners& owners, ShardClaims& claims,
              LiveNodes& live_nodes);
 
-  // Reads all records, until that succeeds, and watches from then on.
+  // Reads all records, retrying until that succeeds, and watches for changes from then on.
   void read_all();
 
  private:
   void on_records(const std::vector<StateItem>& items, std::uint64_t revision);
   void watch();
-  void on_watch_reply(double asked, const StateReply& reply);
+  void on_watch_reply(double sent_at, const StateReply& reply);
   void on_event(const WatchEvent& event);
   void on_announcement(const std::string& node, const Json& announced);
 
@@ -32,9 +33,9 @@
   const ShardOwners& owners_;
   ShardClaims& claims_;
   LiveNodes& live_nodes_;
-  std::uint64_t watched_ = 0;  // the revision up to which changes are known
-  bool reading_ = false;
-  bool watching_ = false;
+  std::uint64_t watched_revision_ = 0;  // all changes up to this revision have been received
+  bool is_reading_ = false;
+  bool is_watching_ = false;
 };
 
 }  // namespace mothslip
--- a/src/coordination/shard/journal.cpp
+++ b/src/coordination/shard/journal.cpp
@@ -58,10 +58,10 @@
 // the write rate. The interval is shorter while most of the write budget is unused. Otherwise writes are less
 // frequent and each contains more.
 double Journal::write_interval_s(std::size_t changes) const {
-  const double shard_changes_per_s = ctx_.state->write_rate() / ctx_.shard_count;
+  const double shard_changes_per_s = ctx_.state->write_limit_rps() / ctx_.shard_count;
   const double interval_s =
       static_cast<double>(changes) / std::max(0.1, kJournalBudgetFraction * shard_changes_per_s);
-  return ctx_.state->writes_left() > 0.6 ? interval_s / 4 : interval_s;
+  return ctx_.state->write_token_fraction() > 0.6 ? interval_s / 4 : interval_s;
 }
 
 // Completions that are about to be written to the job's own progress record or with its ending need no
@@ -121,7 +121,7 @@
 JournalWrite Journal::new_journal_write() const {
   JournalWrite write;
   write.txn = committer_.guarded_transaction();
-  write.max_changes = static_cast<std::size_t>(ctx_.state->writes_per_txn());
+  write.max_changes = static_cast<std::size_t>(ctx_.state->max_writes_per_txn());
   write.max_guards = 4 * static_cast<std::size_t>(ctx_.settings->txn_ops);
   return write;
 }
--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -66,8 +66,8 @@
   write->priority = priority;
   write->slot = slot;
   write->body = txn.body();
-  write->change_count = static_cast<int>(txn.then.size());
-  for (const Json& change : txn.then)
+  write->change_count = static_cast<int>(txn.changes.size());
+  for (const Json& change : txn.changes)
     write->changed_keys.insert(change.at(change.contains("put") ? "put" : "delete").get<std::string>());
   write->on_done = std::move(on_done);
   write->on_conflict = std::move(on_conflict);
--- a/src/coordination/state/state_messages.cpp
+++ b/src/coordination/state/state_messages.cpp
@@ -20,7 +20,7 @@
     case 503:
       return Outcome::kRefused;
     default:
-      return Outcome::kUnknown;  // a proxy's 502 or 504 says nothing about execution
+      return Outcome::kUnknown;  // a proxy's 502 or 504 does not show whether the call was executed
   }
 }
 
@@ -39,9 +39,9 @@
   out.reserve(events->size());
   for (const Json& event : *events) {
     WatchEvent change;
-    change.put = event.contains("put");
-    change.key = event.value(change.put ? "put" : "delete", "");
-    change.has_data = change.put && event.contains("data");
+    change.is_put = event.contains("put");
+    change.key = event.value(change.is_put ? "put" : "delete", "");
+    change.has_data = change.is_put && event.contains("data");
     if (change.has_data) change.data = event["data"];
     change.revision = event.value("stamp", std::uint64_t{0});
     out.push_back(std::move(change));
@@ -68,7 +68,7 @@
 std::string Transaction::body() const {
   Json conditions = Json::array();
   for (const auto& [key, revision] : guards) conditions.push_back({{"k", key}, {"stamp", revision}});
-  return dump_json({{"guards", std::move(conditions)}, {"then", then}});
+  return dump_json({{"guards", std::move(conditions)}, {"then", changes}});
 }
 
 }  // namespace mothslip
