--- a/src/coordination/shard/cancellation.hpp
+++ b/src/coordination/shard/cancellation.hpp
@@ -1,12 +1,14 @@
-// A cancellation is told to users only once it is durable and every shard that may hold tasks of the job has
-// taken note: a delegate that the state service refuses would otherwise go on renewing the leases of machines
-// that run cancelled tasks, and so it did, through an outage longer than cancel_s.
+// Cancellation of jobs. A cancellation is confirmed to users only once it is durable and every shard that may
+// hold tasks of the job has acknowledged it. Otherwise a delegate that the state service refuses would
+// continue to renew the leases of machines that run cancelled tasks. That happened, throughout an outage
+// longer than cancel_s.
 //
-// Taken note has a delegate whose owner has answered the home's message while its lease was valid, or whose
-// key showed that very owner, or no owner, or a later one, after the cancellation: who owns the shard later
-// loads its records later. One that shrank, completed or deleted its delegation, or wrote the cancellation
-// into it, has shown it too. (Owners that were deposed before are bounded by
-// Ownership::may_renew_worker_leases.)
+// A delegate has acknowledged the cancellation in each of these cases:
+// - Its owner has answered the home shard's message while the owner's lease was valid.
+// - After the cancellation, the owner key of its shard showed the owner that had answered, a later owner or
+//   none. A node that becomes the owner later also loads the records of the shard later.
+// - The delegate has reduced, completed or deleted its delegation, or has written the cancellation into it.
+// Owners that were deposed earlier are covered by Ownership::may_renew_worker_leases.
 #pragma once
 
 #include <string>
--- a/src/coordination/shard/shard_context.hpp
+++ b/src/coordination/shard/shard_context.hpp
@@ -23,7 +23,8 @@
   int shard_count = 1;
   // Whether no other node can own this shard now (Ownership::exclusive).
   std::function<bool()> exclusive_owner;
-  // The leases of the shard's workers may be renewed (Ownership::may_renew_worker_leases).
+  // Whether the leases of the workers of this shard may be renewed
+  // (Ownership::may_renew_worker_leases).
   std::function<bool()> may_renew;
   // Returns the revision of the last ownership change of a shard that this node has observed: when its
   // current owner claimed it, or when its last owner lost it.
