--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -26,24 +26,24 @@
   // The part of the cloud's limit that this node may use, 0..1.
   void set_share(double share);
   // One more call may be made now, and `reserve` calls would be left after it.
-  [[nodiscard]] bool ready(double reserve = 0);
+  [[nodiscard]] bool can_call(double reserve = 0);
   // The calls. Each takes a token, whether or not there is one, and gets exactly one reply.
   // Lists the machine types.
-  void machine_types(CloudHandler handler);
+  void list_machine_types(CloudHandler handler);
   // Rents machines, at most 50 in one call.
-  void rent(const RentalRequest& request, CloudHandler handler);
+  void rent_machines(const RentalRequest& request, CloudHandler handler);
   // Returns machines, at most 100 in one call.
-  void give_back(const std::vector<std::string>& machine_names, CloudHandler handler);
+  void return_machines(const std::vector<std::string>& machine_names, CloudHandler handler);
   // Lists machines in order of their names, those after `from` (empty: from the first).
-  void list(const std::string& from, CloudHandler handler);
+  void list_machines(const std::string& after_machine, CloudHandler handler);
 
  private:
   void send(const char* method, std::string path, std::string body, CloudHandler handler);
 
   Env& env_;
   std::string address_;
-  double rps_;  // calls a second that the cloud takes from all nodes together
-  TokenBucket calls_;
+  double max_calls_per_second_;  // calls a second that the cloud takes from all nodes together
+  TokenBucket call_tokens_;
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/cloud_messages.cpp
+++ b/src/coordination/fleet/cloud_messages.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr int kOk = 200;
-constexpr int kBadRequest = 400;
-constexpr int kUnavailable = 503;
+constexpr int kStatusOk = 200;
+constexpr int kStatusBadRequest = 400;
+constexpr int kStatusUnavailable = 503;
 
 std::string text_or_empty(const Json& object, const char* field) {
   const auto it = object.find(field);
@@ -41,8 +41,11 @@
 }  // namespace
 
 Json RentalRequest::to_json() const {
-  return {
-      {"rental", name}, {"flavour", machine_type}, {"hall", zone}, {"loaner", spot}, {"how_many", how_many}};
+  return {{"rental", name},
+          {"flavour", machine_type},
+          {"hall", zone},
+          {"loaner", spot},
+          {"how_many", machine_count}};
 }
 
 std::string RentalRecord::request_name(const std::string& rental_name, std::size_t index) {
@@ -55,7 +58,7 @@
     list.push_back({{"flavour", request.machine_type},
                     {"hall", request.zone},
                     {"loaner", request.spot},
-                    {"how_many", request.how_many}});
+                    {"how_many", request.machine_count}});
   }
   return {{"requests", std::move(list)}};
 }
@@ -72,7 +75,7 @@
 
 CloudListPage CloudListPage::from_json(const Json& value) {
   CloudListPage out;
-  out.more = value.value("more", false);
+  out.has_more = value.value("more", false);
   const auto items = value.find("hosts");
   if (items == value.end() || !items->is_array()) return out;
   for (const Json& item : *items) out.machines.push_back(parse_machine(item));
@@ -81,12 +84,12 @@
 
 RentalAnswer RentalAnswer::from_reply(int status, const Json& body) {
   RentalAnswer out;
-  if (status == kOk && body.is_object()) {
+  if (status == kStatusOk && body.is_object()) {
     out.outcome = Outcome::kRented;
     out.machine_names = parse_machine_names(body);
-  } else if (status == kUnavailable && body.is_object() && body.value("error", "") == "no capacity") {
+  } else if (status == kStatusUnavailable && body.is_object() && body.value("error", "") == "no capacity") {
     out.outcome = Outcome::kNoCapacity;
-  } else if (status == kBadRequest) {
+  } else if (status == kStatusBadRequest) {
     out.outcome = Outcome::kRejected;
   }
   return out;
--- a/src/coordination/fleet/cloud_messages.hpp
+++ b/src/coordination/fleet/cloud_messages.hpp
@@ -15,7 +15,7 @@
   std::string machine_type;
   std::string zone;
   bool spot = false;
-  int how_many = 0;
+  int machine_count = 0;
 
   // Body of the call.
   [[nodiscard]] Json to_json() const;
@@ -45,7 +45,7 @@
 // One page of the cloud's list of machines.
 struct CloudListPage {
   std::vector<CloudMachine> machines;  // in order of their names
-  bool more = false;                   // further pages follow, from the last name of this one
+  bool has_more = false;               // further pages follow, from the last name of this one
 
   // `value` is an object. Throws Json::exception when the name or the type of a machine is not a string.
   static CloudListPage from_json(const Json& value);
--- a/src/coordination/fleet/demand_estimate.cpp
+++ b/src/coordination/fleet/demand_estimate.cpp
@@ -6,15 +6,15 @@
 namespace mothslip {
 
 namespace {
-constexpr double kSmoothRise = 90.0;         // seconds over which use is averaged while it rises
-constexpr double kSmoothFall = 40.0;         // seconds, while it falls
-constexpr double kOrdinaryFall = 60.0;       // seconds, for work on ordinary machines
-constexpr double kLeastOrdinaryCores = 0.5;  // less than that is no work at all
-constexpr double kBestEffortStart =
+constexpr double kRiseSmoothingSeconds = 90.0;          // seconds over which use is averaged while it rises
+constexpr double kFallSmoothingSeconds = 40.0;          // seconds, while it falls
+constexpr double kOrdinaryFallSmoothingSeconds = 60.0;  // seconds, for work on ordinary machines
+constexpr double kMinOrdinaryCores = 0.5;               // less than that is no work at all
+constexpr double kBestEffortStartTargetSeconds =
     120.0;  // seconds: machines are rented for best-effort work that waits longer
-constexpr double kDefaultGuaranteedStart = 60.0;  // seconds, when no guarantee asks for less
-constexpr double kHeadroomStart = 0.5;            // seconds: headroom has to be free at once
-constexpr int kHeadroomRank = -1;                 // after all work
+constexpr double kDefaultStartTargetSeconds = 60.0;  // seconds, when no guarantee asks for less
+constexpr double kHeadroomStartTargetSeconds = 0.5;  // seconds: headroom has to be free at once
+constexpr int kHeadroomRank = -1;                    // after all work
 constexpr Resources kHeadroomUnit = {4, 8, 0};
 }  // namespace
 
@@ -39,18 +39,18 @@
       types_(types),
       zones_(zones),
       reports_(reports),
-      guaranteed_start_within_s_(kDefaultGuaranteedStart) {
+      default_start_within_s_(kDefaultStartTargetSeconds) {
   for (const Objective& objective : settings.objectives) {
     if (objective.kind == "guarantee") {
-      guaranteed_start_within_s_ = std::min(guaranteed_start_within_s_, objective.within_s);
+      default_start_within_s_ = std::min(default_start_within_s_, objective.within_s);
     }
     if (objective.kind != "wait" || objective.job_class.empty()) continue;
-    auto [it, fresh] = start_within_by_class_.try_emplace(objective.job_class, objective.within_s);
-    if (!fresh) it->second = std::min(it->second, objective.within_s);
+    auto [it, inserted] = start_within_s_by_class_.try_emplace(objective.job_class, objective.within_s);
+    if (!inserted) it->second = std::min(it->second, objective.within_s);
   }
 }
 
-bool DemandEstimate::known_team(int team) const {
+bool DemandEstimate::is_known_team(int team) const {
   return team >= 0 && team < static_cast<int>(settings_.teams.size());
 }
 
@@ -66,61 +66,66 @@
   }
   double sum = 0;
   for (const auto& [team, cores] : wanted) {
-    if (known_team(team)) sum += std::min(cores, team_limit(team));
+    if (is_known_team(team)) sum += std::min(cores, team_limit(team));
   }
   return sum;
 }
 
-void DemandEstimate::follow(double step_s) {
+void DemandEstimate::update(double step_s) {
   // A new leader starts from what it finds, not from nothing.
-  const bool first = !has_estimate_ && reports_.complete();
+  const bool first = !has_estimate_ && reports_.is_complete();
   if (first) has_estimate_ = true;
-  const auto follow_value = [first, step_s](double& known, double fresh) {
-    const double weight = first ? 1.0 : std::min(1.0, step_s / (fresh < known ? kSmoothFall : kSmoothRise));
-    known += (fresh - known) * weight;
+  const auto update_average = [first, step_s](double& average, double observed) {
+    const double weight =
+        first ? 1.0
+              : std::min(1.0, step_s / (observed < average ? kFallSmoothingSeconds : kRiseSmoothingSeconds));
+    average += (observed - average) * weight;
   };
-  follow_value(used_cores_, cores_wanted_within_limits());
-  double squares = 0;
-  for (const auto& [shard, report] : reports_.all()) squares += report.summary.squares;
-  follow_value(squares_, squares);
-  follow_ordinary_use(step_s);
+  update_average(used_cores_, cores_wanted_within_limits());
+  double squared_cores_sum = 0;
+  for (const auto& [shard, report] : reports_.all()) squared_cores_sum += report.summary.squared_cores_sum;
+  update_average(squared_cores_sum_, squared_cores_sum);
+  update_ordinary_use(step_s);
 }
 
 // Ordinary machines take long to boot, and gangs can start nowhere else: a rise is followed at once, a fall
 // slowly.
-void DemandEstimate::follow_ordinary_use(double step_s) {
-  OrdinaryUse fresh_use;
+void DemandEstimate::update_ordinary_use(double step_s) {
+  OrdinaryUse observed_use;
   for (const auto& [shard, report] : reports_.all()) {
-    const OrdinaryUse& use = report.summary.ordinary;
-    fresh_use.cores += use.cores;
-    fresh_use.squares += use.squares;
-    for (std::size_t r = 0; r < fresh_use.largest.size(); r++) {
-      fresh_use.largest[r] = std::max(fresh_use.largest[r], use.largest[r]);
+    const OrdinaryUse& use = report.summary.ordinary_use;
+    observed_use.cores += use.cores;
+    observed_use.squared_cores_sum += use.squared_cores_sum;
+    for (std::size_t r = 0; r < observed_use.largest_start_demand.size(); r++) {
+      observed_use.largest_start_demand[r] =
+          std::max(observed_use.largest_start_demand[r], use.largest_start_demand[r]);
     }
   }
-  const auto follow_value = [step_s](double& known, double fresh) {
-    known = std::max(fresh, known + (fresh - known) * std::min(1.0, step_s / kOrdinaryFall));
+  const auto update_average = [step_s](double& average, double observed) {
+    average = std::max(
+        observed, average + (observed - average) * std::min(1.0, step_s / kOrdinaryFallSmoothingSeconds));
   };
-  follow_value(ordinary_.cores, fresh_use.cores);
-  follow_value(ordinary_.squares, fresh_use.squares);
+  update_average(ordinary_use_.cores, observed_use.cores);
+  update_average(ordinary_use_.squared_cores_sum, observed_use.squared_cores_sum);
   // What has to be free at once is remembered until hardly any such work is left.
-  const bool forget = ordinary_.cores < kLeastOrdinaryCores;
-  for (std::size_t r = 0; r < fresh_use.largest.size(); r++) {
-    const double kept = forget ? 0 : ordinary_.largest[r];
-    ordinary_.largest[r] = std::max(kept, fresh_use.largest[r]);
+  const bool is_reset = ordinary_use_.cores < kMinOrdinaryCores;
+  for (std::size_t r = 0; r < observed_use.largest_start_demand.size(); r++) {
+    const double kept = is_reset ? 0 : ordinary_use_.largest_start_demand[r];
+    ordinary_use_.largest_start_demand[r] = std::max(kept, observed_use.largest_start_demand[r]);
   }
 }
 
 double DemandEstimate::headroom_cores() const {
   const Tuning& tuning = settings_.tuning;
-  return std::min(tuning.headroom * used_cores_, tuning.headroom_spread * std::sqrt(squares_));
+  return std::min(tuning.headroom * used_cores_, tuning.headroom_spread * std::sqrt(squared_cores_sum_));
 }
 
-bool DemandEstimate::has_ordinary_work() const { return ordinary_.cores >= kLeastOrdinaryCores; }
+bool DemandEstimate::has_ordinary_work() const { return ordinary_use_.cores >= kMinOrdinaryCores; }
 
 double DemandEstimate::ordinary_headroom_cores() const {
   const Tuning& tuning = settings_.tuning;
-  return std::min(tuning.headroom * ordinary_.cores, tuning.headroom_spread * std::sqrt(ordinary_.squares));
+  return std::min(tuning.headroom * ordinary_use_.cores,
+                  tuning.headroom_spread * std::sqrt(ordinary_use_.squared_cores_sum));
 }
 
 double DemandEstimate::waiting_cores() const {
@@ -133,8 +138,8 @@
   return waiting;
 }
 
-bool DemandEstimate::within_limit(const DemandSummary& demand) const {
-  if (!known_team(demand.team)) return false;
+bool DemandEstimate::is_within_team_limit(const DemandSummary& demand) const {
+  if (!is_known_team(demand.team)) return false;
   double used = demand.demand[0];
   for (const auto& [shard, report] : reports_.all()) {
     const auto it = report.summary.used_by_team.find(demand.team);
@@ -144,14 +149,14 @@
 }
 
 // The most urgent first, then the oldest.
-std::vector<const DemandSummary*> DemandEstimate::in_order() const {
+std::vector<const DemandSummary*> DemandEstimate::demands_by_priority() const {
   std::vector<const DemandSummary*> out;
   for (const auto& [shard, report] : reports_.all()) {
     if (!reports_.is_recent(report)) continue;
     for (const DemandSummary& demand : report.summary.demands) out.push_back(&demand);
   }
   std::sort(out.begin(), out.end(), [](const DemandSummary* a, const DemandSummary* b) {
-    return a->urgency != b->urgency ? a->urgency > b->urgency : a->submitted < b->submitted;
+    return a->urgency != b->urgency ? a->urgency > b->urgency : a->submitted_at < b->submitted_at;
   });
   return out;
 }
@@ -168,8 +173,8 @@
 std::vector<FleetDemand> DemandEstimate::demands() const {
   std::vector<FleetDemand> out;
   std::map<int, double> claimed = used_by_team();  // then also what is asked for by demands before
-  for (const DemandSummary* wanted : in_order()) {
-    if (!known_team(wanted->team)) continue;
+  for (const DemandSummary* wanted : demands_by_priority()) {
+    if (!is_known_team(wanted->team)) continue;
     int count = wanted->count;
     double& used = claimed[wanted->team];
     if (wanted->demand[0] > 0) {
@@ -178,7 +183,7 @@
     }
     if (count <= 0) continue;
     used += count * wanted->demand[0];
-    if (wanted->gang && count < wanted->count) continue;  // not all of it is within the team's limit
+    if (wanted->is_gang && count < wanted->count) continue;  // not all of it is within the team's limit
     out.push_back(to_fleet_demand(*wanted, count));
   }
   return out;
@@ -188,7 +193,7 @@
   FleetDemand out;
   out.demand = wanted.demand;
   out.count = count;
-  if (wanted.gang) {
+  if (wanted.is_gang) {
     out.demand = gang_unit(wanted, types_);
     if (out.demand != wanted.demand) out.count = 1;
   }
@@ -211,9 +216,9 @@
 }
 
 double DemandEstimate::start_within_s(const DemandSummary& wanted) const {
-  const auto it = start_within_by_class_.find(wanted.job_class);
-  const double wish = it != start_within_by_class_.end() ? it->second : guaranteed_start_within_s_;
-  return wanted.urgency == 0 ? std::max(wish, kBestEffortStart) : wish;
+  const auto it = start_within_s_by_class_.find(wanted.job_class);
+  const double target_s = it != start_within_s_by_class_.end() ? it->second : default_start_within_s_;
+  return wanted.urgency == 0 ? std::max(target_s, kBestEffortStartTargetSeconds) : target_s;
 }
 
 std::vector<FleetDemand> DemandEstimate::headroom_demands() const {
@@ -222,15 +227,16 @@
   spot.demand = kHeadroomUnit;
   spot.count = static_cast<int>(std::ceil(headroom_cores() / kHeadroomUnit[0]));
   spot.rank = kHeadroomRank;
-  spot.start_within_s = kHeadroomStart;
+  spot.start_within_s = kHeadroomStartTargetSeconds;
   spot.spot_only = true;
   out.push_back(spot);
-  if (has_ordinary_work() && ordinary_.largest[0] > 0) {
+  if (has_ordinary_work() && ordinary_use_.largest_start_demand[0] > 0) {
     FleetDemand ordinary;
-    ordinary.demand = ordinary_.largest;
-    ordinary.count = static_cast<int>(std::ceil(ordinary_headroom_cores() / ordinary_.largest[0]));
+    ordinary.demand = ordinary_use_.largest_start_demand;
+    ordinary.count =
+        static_cast<int>(std::ceil(ordinary_headroom_cores() / ordinary_use_.largest_start_demand[0]));
     ordinary.rank = kHeadroomRank;
-    ordinary.start_within_s = kHeadroomStart;
+    ordinary.start_within_s = kHeadroomStartTargetSeconds;
     ordinary.spot_allowed = false;
     out.push_back(ordinary);
   }
--- a/src/coordination/fleet/demand_estimate.hpp
+++ b/src/coordination/fleet/demand_estimate.hpp
@@ -24,7 +24,7 @@
                  const ShardReports& reports);
 
   // Follows what the summaries say, `step_s` seconds after the last step.
-  void follow(double step_s);
+  void update(double step_s);
 
   // Recent use: cores placed and waiting within the teams' limits, smoothed.
   [[nodiscard]] double used_cores() const { return used_cores_; }
@@ -35,14 +35,14 @@
 
   // There is work that may run on ordinary machines only.
   [[nodiscard]] bool has_ordinary_work() const;
-  [[nodiscard]] const OrdinaryUse& ordinary() const { return ordinary_; }
+  [[nodiscard]] const OrdinaryUse& ordinary_use() const { return ordinary_use_; }
   // Cores of ordinary machines to be kept free for what that work varies by.
   [[nodiscard]] double ordinary_headroom_cores() const;
 
   // Cores that wait, but for best-effort work.
   [[nodiscard]] double waiting_cores() const;
   // One more task of it would be within its team's limit.
-  [[nodiscard]] bool within_limit(const DemandSummary& demand) const;
+  [[nodiscard]] bool is_within_team_limit(const DemandSummary& demand) const;
   // What waits, as sizing takes it: the most urgent first, then the oldest, each team up to its limit.
   [[nodiscard]] std::vector<FleetDemand> demands() const;
   // Room to be kept free, as demands of the lowest rank: on spot machines, and on ordinary ones for work that
@@ -50,12 +50,12 @@
   [[nodiscard]] std::vector<FleetDemand> headroom_demands() const;
 
  private:
-  [[nodiscard]] bool known_team(int team) const;
+  [[nodiscard]] bool is_known_team(int team) const;
   [[nodiscard]] double team_limit(int team) const;
   [[nodiscard]] double cores_wanted_within_limits() const;
-  [[nodiscard]] std::vector<const DemandSummary*> in_order() const;
+  [[nodiscard]] std::vector<const DemandSummary*> demands_by_priority() const;
   [[nodiscard]] std::map<int, double> used_by_team() const;
-  void follow_ordinary_use(double step_s);
+  void update_ordinary_use(double step_s);
   // `count` of the demand's tasks, within the team's limit.
   [[nodiscard]] FleetDemand to_fleet_demand(const DemandSummary& wanted, int count) const;
   [[nodiscard]] double start_within_s(const DemandSummary& wanted) const;
@@ -64,12 +64,12 @@
   const MachineTypes& types_;
   NameTable& zones_;
   const ShardReports& reports_;
-  std::map<std::string, double> start_within_by_class_;  // seconds, by job class, from the objectives
-  double guaranteed_start_within_s_;                     // any job: the least that guarantees say
-  bool has_estimate_ = false;                            // since all shards reported
-  double used_cores_ = 0;                                // smoothed
-  double squares_ = 0;                                   // of the open jobs' cores, smoothed
-  OrdinaryUse ordinary_;                                 // smoothed
+  std::map<std::string, double> start_within_s_by_class_;  // seconds, by job class, from the objectives
+  double default_start_within_s_;                          // any job: the least that guarantees say
+  bool has_estimate_ = false;                              // since all shards reported
+  double used_cores_ = 0;                                  // smoothed
+  double squared_cores_sum_ = 0;                           // of the open jobs' cores, smoothed
+  OrdinaryUse ordinary_use_;                               // smoothed
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -8,13 +8,14 @@
 namespace mothslip {
 
 namespace {
-constexpr double kStepSeconds = 1.0;
-constexpr double kTypesInterval = 60.0;      // seconds between two looks at the cloud's machine types
-constexpr double kFirstTypesEarliest = 5.0;  // seconds after the start, drawn between the two
-constexpr double kFirstTypesLatest = 15.0;
-constexpr double kTypesCallReserve = 1.0;  // calls to the cloud that are left for other purposes
-constexpr double kLogInterval = 10.0;      // seconds
-constexpr std::size_t kMaxHints = 60;
+constexpr double kStepIntervalSeconds = 1.0;
+constexpr double kTypesRefreshIntervalSeconds =
+    60.0;  // seconds between two looks at the cloud's machine types
+constexpr double kMinFirstTypesRefreshSeconds = 5.0;  // seconds after the start, drawn between the two
+constexpr double kMaxFirstTypesRefreshSeconds = 15.0;
+constexpr double kReservedCloudCalls = 1.0;   // calls to the cloud that are left for other purposes
+constexpr double kLogIntervalSeconds = 10.0;  // seconds
+constexpr std::size_t kMaxWaitingHints = 60;
 }  // namespace
 
 Fleet::Fleet(Context context)
@@ -34,35 +35,36 @@
   rentals_.load([this] {
     last_step_at_ = ctx_.env->now();
     scale_out_.start();
-    next_types_at_ = ctx_.env->now() + ctx_.env->uniform(kFirstTypesEarliest, kFirstTypesLatest);
+    next_types_refresh_at_ =
+        ctx_.env->now() + ctx_.env->uniform(kMinFirstTypesRefreshSeconds, kMaxFirstTypesRefreshSeconds);
     run_step();
   });
 }
 
 void Fleet::run_step() {
   const double now = ctx_.env->now();
-  if (ctx_.exclusive_owner()) act(now - last_step_at_);
+  if (ctx_.exclusive_owner()) update_fleet(now - last_step_at_);
   last_step_at_ = now;
-  ctx_.env->after(kStepSeconds, callbacks_([this] { run_step(); }));
+  ctx_.env->after(kStepIntervalSeconds, callback_guard_([this] { run_step(); }));
 }
 
-void Fleet::act(double step_s) {
-  demand_.follow(step_s);
+void Fleet::update_fleet(double step_s) {
+  demand_.update(step_s);
   liveness_.evaluate(inventory_);
   returns_.send();
   plan();
-  rentals_.drop_ended();
+  rentals_.remove_ended_records();
   inventory_.poll_list_if_due();
-  const bool types_due = ctx_.env->now() >= next_types_at_;
-  if (types_due && ctx_.cloud->ready(kTypesCallReserve)) refresh_types();
+  const bool types_due = ctx_.env->now() >= next_types_refresh_at_;
+  if (types_due && ctx_.cloud->can_call(kReservedCloudCalls)) refresh_types();
 }
 
 void Fleet::refresh_types() {
-  next_types_at_ = ctx_.env->now() + kTypesInterval;
-  ctx_.cloud->machine_types(callbacks_([this](const CloudReply& reply) {
+  next_types_refresh_at_ = ctx_.env->now() + kTypesRefreshIntervalSeconds;
+  ctx_.cloud->list_machine_types(callback_guard_([this](const CloudReply& reply) {
     if (reply.status != 200) return;
     auto types = MachineTypes::parse(reply.body);
-    if (types) ctx_.new_types(std::move(*types));
+    if (types) ctx_.on_new_types(std::move(*types));
   }));
 }
 
@@ -87,12 +89,12 @@
 void Fleet::log_if_due(const FleetView& view, const std::vector<FleetDemand>& demands) {
   const double now = ctx_.env->now();
   if (now < next_log_at_) return;
-  next_log_at_ = now + kLogInterval;
+  next_log_at_ = now + kLogIntervalSeconds;
   int booting = 0;
   double free = 0;
   double total = 0;
-  for (std::size_t m = 0; m < view.names.size(); m++) {
-    const MachineSummary* machine = reports_.machine(view.names[m]);
+  for (std::size_t m = 0; m < view.machine_names.size(); m++) {
+    const MachineSummary* machine = reports_.machine(view.machine_names[m]);
     if (machine == nullptr) {
       booting++;
       continue;
@@ -107,11 +109,11 @@
   spdlog::info(
       "fleet: {} up, {} not yet, {:.0f} of {:.0f} cores free; {:.0f} "
       "cores waiting, use {:.0f}",
-      view.names.size() - static_cast<std::size_t>(booting), booting, free, total, waiting,
+      view.machine_names.size() - static_cast<std::size_t>(booting), booting, free, total, waiting,
       demand_.used_cores());
 }
 
-FleetOrders Fleet::take(ShardSummary summary) {
+FleetOrders Fleet::on_summary(ShardSummary summary) {
   const ShardSummary& latest = reports_.update(std::move(summary));
   inventory_.add_reporting(latest);
   FleetOrders orders;
@@ -142,12 +144,12 @@
   for (const auto& [other, report] : reports_.all()) {
     if (other == shard || !reports_.is_recent(report)) continue;
     for (const DemandSummary& demand : report.summary.demands) {
-      if (demand.starving != starving || orders.waiting.size() >= kMaxHints) continue;
+      if (demand.starving != starving || orders.waiting.size() >= kMaxWaitingHints) continue;
       // Best-effort work waits for what others leave: nothing is kept for it,
       // unless it starves.
       const bool best_effort = demand.urgency == 0;
       if (best_effort && !starving) continue;
-      const bool startable = !best_effort && demand_.within_limit(demand);
+      const bool startable = !best_effort && demand_.is_within_team_limit(demand);
       orders.waiting.push_back({demand.demand, demand.urgency, demand.allows_spot, starving, startable});
     }
   }
--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -41,8 +41,8 @@
     NameTable* zones = nullptr;
     std::uint64_t fencing_token = 0;  // of shard 0
     int shard_count = 1;
-    std::function<bool()> exclusive_owner;        // nobody else can lead shard 0 now
-    std::function<void(MachineTypes)> new_types;  // the cloud's list of machine types, as last asked for
+    std::function<bool()> exclusive_owner;           // nobody else can lead shard 0 now
+    std::function<void(MachineTypes)> on_new_types;  // the cloud's list of machine types, as last asked for
   };
   explicit Fleet(Context context);
 
@@ -50,12 +50,12 @@
   void start();
   // A shard tells of its machines and its waiting tasks, and hears what to do
   // with its machines.
-  FleetOrders take(ShardSummary summary);
+  FleetOrders on_summary(ShardSummary summary);
 
  private:
   void run_step();
   // `step_s` seconds after the last step.
-  void act(double step_s);
+  void update_fleet(double step_s);
   void plan();
   void refresh_types();
   [[nodiscard]] std::vector<FleetDemand> all_demands() const;
@@ -75,9 +75,9 @@
   ScaleIn scale_in_;
   double headroom_share_ = 0;  // of all cores: what is wanted free, as last planned
   double last_step_at_ = 0;    // times are seconds of Env::now()
-  double next_types_at_ = 0;
+  double next_types_refresh_at_ = 0;
   double next_log_at_ = 0;
-  CallbackGuard callbacks_;
+  CallbackGuard callback_guard_;
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/fleet_view.cpp
+++ b/src/coordination/fleet/fleet_view.cpp
@@ -5,9 +5,11 @@
 namespace mothslip {
 
 namespace {
-constexpr double kBootLate = 1.7;         // times boot_s: a machine that is not up by then is not counted on
-constexpr double kLeastBootLeft = 2.0;    // seconds that a machine that is not up needs at the least
-constexpr double kRequestTrusted = 10.0;  // seconds: a rental without an answer is counted on this long
+constexpr double kBootOverdueFactor =
+    1.7;  // times boot_s: a machine that is not up by then is not counted on
+constexpr double kMinRemainingBootSeconds = 2.0;  // seconds that a machine that is not up needs at the least
+constexpr double kUnansweredRequestUsableSeconds =
+    10.0;  // seconds: a rental without an answer is counted on this long
 }  // namespace
 
 double FleetView::total_cores() const {
@@ -69,7 +71,7 @@
         market.rented_machines++;
     }
     view.machines.push_back(std::move(out));
-    view.names.push_back(name);
+    view.machine_names.push_back(name);
   }
 }
 
@@ -85,24 +87,24 @@
     out.rooms = reported->rooms;
     return out;
   }
-  const double age = sources_.env.now() - rented.rented_at;
-  out.usable = !rented.returning && !rented.failed && age < kBootLate * type.boot_s;
-  out.rooms.push_back({std::max(kLeastBootLeft, type.boot_s - age), type.capacity});
+  const double age_s = sources_.env.now() - rented.rented_at;
+  out.usable = !rented.returning && !rented.failed && age_s < kBootOverdueFactor * type.boot_s;
+  out.rooms.push_back({std::max(kMinRemainingBootSeconds, type.boot_s - age_s), type.capacity});
   return out;
 }
 
 // What is being asked for counts as booting, or it would be asked for again every second until answered.
 void FleetViewBuilder::add_requested(FleetView& view) const {
-  sources_.rentals.for_each_open([this, &view](const RentalLedger::OpenRequest& open) {
+  sources_.rentals.for_each_open_request([this, &view](const RentalLedger::OpenRequest& open) {
     FleetMachine out;
     out.type = sources_.types.find(open.request.machine_type);
     if (out.type < 0) return;
     out.zone = sources_.zones.intern(open.request.zone);
     out.spot = open.request.spot;
-    out.usable = sources_.env.now() - open.asked_at < kRequestTrusted;
+    out.usable = sources_.env.now() - open.requested_at < kUnansweredRequestUsableSeconds;
     const FleetType& type = view.types[static_cast<std::size_t>(out.type)];
     out.rooms.push_back({type.boot_s, type.capacity});
-    for (int i = 0; i < open.request.how_many; i++) view.machines.push_back(out);
+    for (int i = 0; i < open.request.machine_count; i++) view.machines.push_back(out);
   });
 }
 
--- a/src/coordination/fleet/fleet_view.hpp
+++ b/src/coordination/fleet/fleet_view.hpp
@@ -16,7 +16,7 @@
   std::vector<FleetMarket> markets;
   // Machines with a name come first, then those that are being asked for, which have none yet.
   std::vector<FleetMachine> machines;
-  std::vector<std::string> names;  // of the first machines, by the same index
+  std::vector<std::string> machine_names;  // of the first machines, by the same index
 
   // Of all machines.
   [[nodiscard]] double total_cores() const;
--- a/src/coordination/fleet/machine_inventory.cpp
+++ b/src/coordination/fleet/machine_inventory.cpp
@@ -7,13 +7,13 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRetryListSeconds = 3.0;     // after a call for a page that failed
-constexpr double kLeastListInterval = 2.0;    // seconds between two lists
-constexpr double kCallsBetweenLists = 4.0;    // that the cloud's limit allows meanwhile, for other purposes
-constexpr double kLeastCallsPerSecond = 0.1;  // taken for the cloud's limit when it is less
+constexpr double kListRetrySeconds = 3.0;        // after a call for a page that failed
+constexpr double kMinListIntervalSeconds = 2.0;  // seconds between two lists
+constexpr double kCallsPerListInterval = 4.0;  // that the cloud's limit allows meanwhile, for other purposes
+constexpr double kMinCallsPerSecond = 0.1;     // taken for the cloud's limit when it is less
 }  // namespace
 
-void start_return(const std::string& machine_name, RentedMachine& machine, const std::string& reason) {
+void mark_for_return(const std::string& machine_name, RentedMachine& machine, const std::string& reason) {
   if (machine.returning) return;
   machine.returning = true;
   spdlog::info("{} to be returned: {}", machine_name, reason);
@@ -24,42 +24,42 @@
     : env_(env), cloud_(cloud), settings_(settings), types_(types), zones_(zones) {}
 
 void MachineInventory::poll_list_if_due() {
-  if (listing_ || env_.now() < next_list_at_ || !cloud_.ready()) return;
-  listed_.clear();
+  if (is_listing_ || env_.now() < next_list_at_ || !cloud_.can_call()) return;
+  listed_names_.clear();
   request_page("");
 }
 
 void MachineInventory::request_page(const std::string& after_machine) {
-  listing_ = true;
-  cloud_.list(after_machine, callbacks_([this](const CloudReply& reply) { on_page(reply); }));
+  is_listing_ = true;
+  cloud_.list_machines(after_machine, callback_guard_([this](const CloudReply& reply) { on_page(reply); }));
 }
 
 void MachineInventory::on_page(const CloudReply& reply) {
   if (reply.status != 200 || !reply.body.is_object()) {
-    listing_ = false;
-    next_list_at_ = env_.now() + kRetryListSeconds;
+    is_listing_ = false;
+    next_list_at_ = env_.now() + kListRetrySeconds;
     return;
   }
   const CloudListPage page = CloudListPage::from_json(reply.body);
-  take_page(page);
-  if (page.more && !page.machines.empty()) {
+  merge_page(page);
+  if (page.has_more && !page.machines.empty()) {
     request_page(page.machines.back().name);
     return;
   }
-  listing_ = false;
-  const double interval = kCallsBetweenLists / std::max(kLeastCallsPerSecond, settings_.cloud_rps);
-  next_list_at_ = env_.now() + std::max(kLeastListInterval, interval);
-  end_list();
+  is_listing_ = false;
+  const double interval_s = kCallsPerListInterval / std::max(kMinCallsPerSecond, settings_.cloud_rps);
+  next_list_at_ = env_.now() + std::max(kMinListIntervalSeconds, interval_s);
+  finish_list();
 }
 
-void MachineInventory::take_page(const CloudListPage& page) {
+void MachineInventory::merge_page(const CloudListPage& page) {
   for (const CloudMachine& listed : page.machines) {
     const int type = types_.find(listed.machine_type);
     if (listed.name.empty() || type < 0) continue;
-    listed_.insert(listed.name);
-    auto [it, fresh] = machines_.try_emplace(listed.name);
+    listed_names_.insert(listed.name);
+    auto [it, inserted] = machines_.try_emplace(listed.name);
     RentedMachine& machine = it->second;
-    if (fresh) {
+    if (inserted) {
       machine.type = type;
       machine.zone = zones_.intern(listed.zone);
       machine.spot = listed.spot;
@@ -69,21 +69,21 @@
   }
 }
 
-void MachineInventory::end_list() {
-  list_complete_ = true;
+void MachineInventory::finish_list() {
+  has_full_list_ = true;
   for (auto& [name, machine] : machines_) {
-    if (listed_.count(name) > 0) {
-      machine.missing = 0;
+    if (listed_names_.count(name) > 0) {
+      machine.missing_lists = 0;
     } else {
-      machine.missing++;
+      machine.missing_lists++;
     }
   }
 }
 
 void MachineInventory::add_rented(const std::string& machine_name, int type, int zone, bool spot,
                                   double rented_at) {
-  auto [it, fresh] = machines_.try_emplace(machine_name);
-  if (!fresh) return;
+  auto [it, inserted] = machines_.try_emplace(machine_name);
+  if (!inserted) return;
   it->second.type = type;
   it->second.zone = zone;
   it->second.spot = spot;
@@ -94,8 +94,8 @@
   for (const MachineSummary& reported : summary.machines) {
     const int type = types_.find(reported.machine_type);
     if (type < 0) continue;
-    auto [it, fresh] = machines_.try_emplace(reported.name);
-    if (!fresh) continue;
+    auto [it, inserted] = machines_.try_emplace(reported.name);
+    if (!inserted) continue;
     it->second.type = type;
     it->second.zone = zones_.intern(reported.zone);
     it->second.spot = reported.spot;
--- a/src/coordination/fleet/machine_inventory.hpp
+++ b/src/coordination/fleet/machine_inventory.hpp
@@ -20,7 +20,7 @@
   int zone = 0;  // index into the zone names
   bool spot = false;
   double rented_at = 0;
-  int missing = 0;         // full lists in a row without it
+  int missing_lists = 0;   // full lists in a row without it
   bool failed = false;     // the cloud says so
   bool returning = false;  // to be drained and returned
   bool returned = false;   // the cloud confirmed it
@@ -28,7 +28,7 @@
 };
 
 // Marks the machine as one that goes back; without effect when it is marked already. `reason` is for the log.
-void start_return(const std::string& machine_name, RentedMachine& machine, const std::string& reason);
+void mark_for_return(const std::string& machine_name, RentedMachine& machine, const std::string& reason);
 
 class MachineInventory {
  public:
@@ -45,7 +45,7 @@
   // Asks the cloud for its list, page by page, when it is time for that and a call may be made.
   void poll_list_if_due();
   // At least one full list came since this leader took over.
-  [[nodiscard]] bool list_complete() const { return list_complete_; }
+  [[nodiscard]] bool has_full_list() const { return has_full_list_; }
 
   // Adds a machine that the cloud named in its answer to a rental, unless it is known.
   void add_rented(const std::string& machine_name, int type, int zone, bool spot, double rented_at);
@@ -56,8 +56,8 @@
  private:
   void request_page(const std::string& after_machine);
   void on_page(const CloudReply& reply);
-  void take_page(const CloudListPage& page);
-  void end_list();
+  void merge_page(const CloudListPage& page);
+  void finish_list();
 
   Env& env_;
   CloudClient& cloud_;
@@ -65,11 +65,11 @@
   const MachineTypes& types_;
   NameTable& zones_;
   Machines machines_;
-  std::set<std::string> listed_;  // names in the list that is being read
-  bool listing_ = false;
-  bool list_complete_ = false;
+  std::set<std::string> listed_names_;  // names in the list that is being read
+  bool is_listing_ = false;
+  bool has_full_list_ = false;
   double next_list_at_ = 0;
-  CallbackGuard callbacks_;
+  CallbackGuard callback_guard_;
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/machine_liveness.hpp
+++ b/src/coordination/fleet/machine_liveness.hpp
@@ -19,7 +19,7 @@
 
  private:
   [[nodiscard]] bool is_gone(const std::string& machine_name, const RentedMachine& machine,
-                             bool list_complete) const;
+                             bool has_full_list) const;
   // Why the machine has to go back; null when it need not.
   [[nodiscard]] const char* return_reason(const std::string& machine_name,
                                           const RentedMachine& machine) const;
--- a/src/coordination/fleet/machine_returns.cpp
+++ b/src/coordination/fleet/machine_returns.cpp
@@ -13,13 +13,13 @@
     : env_(env), cloud_(cloud), settings_(settings), reports_(reports), inventory_(inventory) {}
 
 void MachineReturns::send() {
-  if (call_open_ || !cloud_.ready()) return;
+  if (is_call_open_ || !cloud_.can_call()) return;
   const std::vector<std::string> machine_names = ready_to_return();
   if (machine_names.empty()) return;
-  call_open_ = true;
-  cloud_.give_back(machine_names, callbacks_([this, machine_names](const CloudReply& reply) {
-                     on_reply(machine_names, reply);
-                   }));
+  is_call_open_ = true;
+  cloud_.return_machines(machine_names, callback_guard_([this, machine_names](const CloudReply& reply) {
+                           on_reply(machine_names, reply);
+                         }));
 }
 
 std::vector<std::string> MachineReturns::ready_to_return() const {
@@ -32,7 +32,7 @@
 }
 
 bool MachineReturns::may_be_returned(const std::string& machine_name, const RentedMachine& machine) const {
-  if (!machine.returning || machine.returned || !reports_.heard_of(machine_name)) return false;
+  if (!machine.returning || machine.returned || !reports_.has_recent_report(machine_name)) return false;
   // Drained first, unless nothing on it can be saved by waiting.
   const MachineSummary* reported = reports_.machine(machine_name);
   if (reported == nullptr || machine.failed || reported->silent_s > settings_.lease_s) return true;
@@ -40,7 +40,7 @@
 }
 
 void MachineReturns::on_reply(const std::vector<std::string>& machine_names, const CloudReply& reply) {
-  call_open_ = false;
+  is_call_open_ = false;
   // Anything but a 200 may or may not have worked: it is repeated until confirmed.
   if (reply.status != 200) return;
   for (const std::string& machine_name : machine_names) {
--- a/src/coordination/fleet/machine_returns.hpp
+++ b/src/coordination/fleet/machine_returns.hpp
@@ -31,8 +31,8 @@
   const Settings& settings_;
   const ShardReports& reports_;
   MachineInventory& inventory_;
-  bool call_open_ = false;
-  CallbackGuard callbacks_;
+  bool is_call_open_ = false;
+  CallbackGuard callback_guard_;
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/rental_ledger.cpp
+++ b/src/coordination/fleet/rental_ledger.cpp
@@ -9,20 +9,21 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRetryLoadSeconds = 0.5;
-constexpr double kKeepSeconds = 60.0;      // a rental's record, after it was asked for
-constexpr double kTroubleSeconds = 2.0;    // the cloud is left alone this long after it failed to answer
-constexpr double kUnansweredRepeat = 1.0;  // seconds until a call without a response is repeated
-constexpr double kFailedRepeat = 2.0;      // seconds until a call that failed is repeated
-constexpr double kBucketPause = 0.1;       // seconds until a call that the token bucket holds back is retried
+constexpr double kLoadRetrySeconds = 0.5;
+constexpr double kRecordRetentionSeconds = 60.0;  // a rental's record, after it was asked for
+constexpr double kFailurePauseSeconds = 2.0;  // the cloud is left alone this long after it failed to answer
+constexpr double kUnansweredRetrySeconds = 1.0;  // seconds until a call without a response is repeated
+constexpr double kFailedRetrySeconds = 2.0;      // seconds until a call that failed is repeated
+constexpr double kTokenRetrySeconds =
+    0.1;  // seconds until a call that the token bucket holds back is retried
 constexpr int kMaxOpenCalls = 24;
-constexpr int kMaxMachinesPerCall = 50;         // that the cloud takes
-constexpr std::size_t kRecordFrameBytes = 40;   // of a rental's record without its requests
-constexpr std::size_t kRequestFrameBytes = 60;  // of a request in it without its names
-constexpr double kPartlyRentedBackoff = 10.0;   // seconds: the market had less than was asked for
-constexpr double kRefusedBackoffLeast = 8.0;    // seconds: it had none
-constexpr double kRefusedBackoffMost = 40.0;    // seconds
-constexpr double kRefusedBackoffGrowth = 1.5;
+constexpr int kMaxMachinesPerCall = 50;                // that the cloud takes
+constexpr std::size_t kRecordOverheadBytes = 40;       // of a rental's record without its requests
+constexpr std::size_t kRequestOverheadBytes = 60;      // of a request in it without its names
+constexpr double kPartialRentalBackoffSeconds = 10.0;  // seconds: the market had less than was asked for
+constexpr double kMinRefusalBackoffSeconds = 8.0;      // seconds: it had none
+constexpr double kMaxRefusalBackoffSeconds = 40.0;     // seconds
+constexpr double kRefusalBackoffFactor = 1.5;
 }  // namespace
 
 RentalLedger::RentalLedger(const RentalServices& services, MachineInventory& inventory,
@@ -33,22 +34,22 @@
   auto on_list = [this, done = std::move(done)](Outcome outcome, const std::vector<StateItem>& items,
                                                 std::uint64_t) {
     if (outcome != Outcome::kOk) {
-      services_.env.after(kRetryLoadSeconds, callbacks_([this, done] { load(done); }));
+      services_.env.after(kLoadRetrySeconds, callback_guard_([this, done] { load(done); }));
       return;
     }
-    adopt(items);
+    resume(items);
     done();
   };
-  services_.state.list(RequestPriority::kRest, keys::kRentals, callbacks_(std::move(on_list)));
+  services_.state.list(RequestPriority::kRest, keys::kRentals, callback_guard_(std::move(on_list)));
 }
 
-void RentalLedger::adopt(const std::vector<StateItem>& items) {
+void RentalLedger::resume(const std::vector<StateItem>& items) {
   for (const StateItem& item : items) {
     const std::string name = item.key.substr(keys::kRentals.size());
     Rental rental;
-    rental.asked_at = services_.env.now();
+    rental.requested_at = services_.env.now();
     rental.requests = RentalRecord::from_json(name, item.data).requests;
-    for (const RentalRequest& request : rental.requests) rental.open.insert(request.name);
+    for (const RentalRequest& request : rental.requests) rental.open_requests.insert(request.name);
     open_calls_ += static_cast<int>(rental.requests.size());
     rentals_.emplace(name, rental);
     for (const RentalRequest& request : rental.requests) call(name, request);
@@ -56,28 +57,29 @@
 }
 
 bool RentalLedger::accepts_requests() const {
-  return open_calls_ < kMaxOpenCalls && services_.env.now() >= trouble_until_;
+  return open_calls_ < kMaxOpenCalls && services_.env.now() >= paused_until_;
 }
 
 void RentalLedger::rent(const std::vector<FleetPlan::NewMachines>& wanted) {
-  const std::string name = "r-" + std::to_string(fencing_token_) + "-" + std::to_string(++last_name_);
+  const std::string name =
+      "r-" + std::to_string(fencing_token_) + "-" + std::to_string(++last_rental_number_);
   Rental rental;
-  std::size_t bytes = kRecordFrameBytes;
-  const auto most_bytes = static_cast<std::size_t>(services_.settings.value_kb * 1024);
+  std::size_t bytes = kRecordOverheadBytes;
+  const auto max_bytes = static_cast<std::size_t>(services_.settings.value_kb * 1024);
   for (const FleetPlan::NewMachines& each : wanted) {
     for (int left = each.count; left > 0 && open_calls_ < kMaxOpenCalls; left -= kMaxMachinesPerCall) {
       RentalRequest request = {RentalRecord::request_name(name, rental.requests.size()),
                                services_.types.at(each.type).name, services_.zones.name(each.zone), each.spot,
                                std::min(kMaxMachinesPerCall, left)};
-      bytes += kRequestFrameBytes + request.machine_type.size() + request.zone.size();
-      if (bytes > most_bytes && !rental.requests.empty()) break;  // what a record can't hold comes next time
-      rental.open.insert(request.name);
+      bytes += kRequestOverheadBytes + request.machine_type.size() + request.zone.size();
+      if (bytes > max_bytes && !rental.requests.empty()) break;  // what a record can't hold comes next time
+      rental.open_requests.insert(request.name);
       rental.requests.push_back(std::move(request));
       open_calls_++;
     }
   }
   if (rental.requests.empty()) return;
-  rental.asked_at = services_.env.now();
+  rental.requested_at = services_.env.now();
   rentals_.emplace(name, std::move(rental));
   record(name);
 }
@@ -92,27 +94,27 @@
       for (const RentalRequest& request : requests) call(name, request);
       return;
     }
-    end_calls(static_cast<int>(requests.size()));
+    subtract_open_calls(static_cast<int>(requests.size()));
     // Not executed, or not known to be: in both cases nothing was asked of the cloud under these names, and
     // they are not used again. A record that turns up later is repeated by a new leader and brings machines.
     rentals_.erase(name);
   };
-  services_.state.commit(RequestPriority::kLaunch, txn, callbacks_(std::move(on_commit)));
+  services_.state.commit(RequestPriority::kLaunch, txn, callback_guard_(std::move(on_commit)));
 }
 
 void RentalLedger::call(const std::string& name, const RentalRequest& request) {
   if (rentals_.count(name) == 0) return;
   // Repeats pass the token bucket like any other call: while the cloud was away they once ran up a debt of
   // calls that kept it from being asked for a minute after it was back.
-  const bool trouble = services_.env.now() < trouble_until_;
-  if (trouble || !services_.cloud.ready()) {
-    const double pause_s = trouble ? services_.env.uniform(0.5, 1.0) : kBucketPause;
-    services_.env.after(pause_s, callbacks_([this, name, request] { call(name, request); }));
+  const bool is_paused = services_.env.now() < paused_until_;
+  if (is_paused || !services_.cloud.can_call()) {
+    const double pause_s = is_paused ? services_.env.uniform(0.5, 1.0) : kTokenRetrySeconds;
+    services_.env.after(pause_s, callback_guard_([this, name, request] { call(name, request); }));
     return;
   }
-  services_.cloud.rent(request, callbacks_([this, name, request](const CloudReply& reply) {
-                         on_reply(name, request, reply);
-                       }));
+  services_.cloud.rent_machines(request, callback_guard_([this, name, request](const CloudReply& reply) {
+                                  on_reply(name, request, reply);
+                                }));
 }
 
 void RentalLedger::on_reply(const std::string& name, const RentalRequest& request, const CloudReply& reply) {
@@ -126,38 +128,38 @@
     on_uncertain(name, request, reply.status);
     return;
   }
-  rental.open.erase(request.name);
-  end_calls(1);
+  rental.open_requests.erase(request.name);
+  subtract_open_calls(1);
   if (answer.outcome == RentalAnswer::Outcome::kRented) {
-    on_rented(request, key, rental.asked_at, answer.machine_names);
+    on_rented(request, key, rental.requested_at, answer.machine_names);
     return;
   }
   Market& market = markets_[key];
-  market.backoff_s =
-      std::clamp(market.backoff_s * kRefusedBackoffGrowth, kRefusedBackoffLeast, kRefusedBackoffMost);
+  market.backoff_s = std::clamp(market.backoff_s * kRefusalBackoffFactor, kMinRefusalBackoffSeconds,
+                                kMaxRefusalBackoffSeconds);
   market.refused_until = services_.env.now() + market.backoff_s;
 }
 
 // Trouble, too many calls or silence: the same name again, until the answer is certain.
 void RentalLedger::on_uncertain(const std::string& name, const RentalRequest& request, int status) {
-  trouble_until_ = services_.env.now() + kTroubleSeconds;
-  services_.env.after(status == 0 ? kUnansweredRepeat : kFailedRepeat,
-                      callbacks_([this, name, request] { call(name, request); }));
+  paused_until_ = services_.env.now() + kFailurePauseSeconds;
+  services_.env.after(status == 0 ? kUnansweredRetrySeconds : kFailedRetrySeconds,
+                      callback_guard_([this, name, request] { call(name, request); }));
 }
 
-void RentalLedger::on_rented(const RentalRequest& request, const MarketKey& key, double asked_at,
+void RentalLedger::on_rented(const RentalRequest& request, const MarketKey& key, double requested_at,
                              const std::vector<std::string>& machine_names) {
   const auto [type, zone, spot] = key;
   for (const std::string& machine_name : machine_names) {
-    inventory_.add_rented(machine_name, type, zone, spot, asked_at);
+    inventory_.add_rented(machine_name, type, zone, spot, requested_at);
   }
   const auto count = static_cast<int>(machine_names.size());
-  spdlog::info("rented {} of {} {} in {}{} ({})", count, request.how_many, request.machine_type, request.zone,
-               request.spot ? ", spot" : "", request.name);
-  const bool partly = count < request.how_many;
+  spdlog::info("rented {} of {} {} in {}{} ({})", count, request.machine_count, request.machine_type,
+               request.zone, request.spot ? ", spot" : "", request.name);
+  const bool is_partial = count < request.machine_count;
   Market& market = markets_[key];
-  market.backoff_s = partly ? kPartlyRentedBackoff : 0;
-  market.refused_until = partly ? services_.env.now() + market.backoff_s : 0;
+  market.backoff_s = is_partial ? kPartialRentalBackoffSeconds : 0;
+  market.refused_until = is_partial ? services_.env.now() + market.backoff_s : 0;
 }
 
 bool RentalLedger::is_refused(int type, int zone, bool spot) const {
@@ -165,25 +167,25 @@
   return market != markets_.end() && services_.env.now() < market->second.refused_until;
 }
 
-void RentalLedger::for_each_open(const std::function<void(const OpenRequest&)>& visit) const {
+void RentalLedger::for_each_open_request(const std::function<void(const OpenRequest&)>& visit) const {
   for (const auto& [name, rental] : rentals_) {
     for (const RentalRequest& request : rental.requests) {
-      if (rental.open.count(request.name) > 0) visit({request, rental.asked_at});
+      if (rental.open_requests.count(request.name) > 0) visit({request, rental.requested_at});
     }
   }
 }
 
-void RentalLedger::drop_ended() {
+void RentalLedger::remove_ended_records() {
   for (auto it = rentals_.begin(); it != rentals_.end();) {
     const std::string name = it->first;
-    const bool ended = it->second.open.empty();
-    const bool old = services_.env.now() - it->second.asked_at > kKeepSeconds;
+    const bool ended = it->second.open_requests.empty();
+    const bool is_expired = services_.env.now() - it->second.requested_at > kRecordRetentionSeconds;
     ++it;
-    if (ended && old) drop(name);
+    if (ended && is_expired) remove_record(name);
   }
 }
 
-void RentalLedger::drop(const std::string& name) {
+void RentalLedger::remove_record(const std::string& name) {
   rentals_.erase(name);
   Transaction txn;
   txn.guard(keys::shard_owner(0), fencing_token_);
@@ -191,6 +193,6 @@
   services_.state.commit(RequestPriority::kRest, txn, [](const StateReply&) {});
 }
 
-void RentalLedger::end_calls(int count) { open_calls_ = std::max(0, open_calls_ - count); }
+void RentalLedger::subtract_open_calls(int count) { open_calls_ = std::max(0, open_calls_ - count); }
 
 }  // namespace mothslip
--- a/src/coordination/fleet/rental_ledger.hpp
+++ b/src/coordination/fleet/rental_ledger.hpp
@@ -37,7 +37,7 @@
   // A request whose outcome is not certain yet.
   struct OpenRequest {
     const RentalRequest& request;
-    double asked_at = 0;  // seconds of Env::now()
+    double requested_at = 0;  // seconds of Env::now()
   };
 
   // Machines that are rented are added to `inventory`. Every write is guarded by shard 0's `fencing_token`.
@@ -54,17 +54,17 @@
   // The market had less than was asked for, and is left alone for a while.
   [[nodiscard]] bool is_refused(int type, int zone, bool spot) const;
   // Calls `visit` for each open request, by name of the rental and in order of the requests.
-  void for_each_open(const std::function<void(const OpenRequest&)>& visit) const;
+  void for_each_open_request(const std::function<void(const OpenRequest&)>& visit) const;
   // Removes the records of rentals that ended some time ago.
-  void drop_ended();
+  void remove_ended_records();
 
  private:
   // One record names all that is asked for in a step: a change a machine type and zone would use up the
   // budget of changes just when jobs wait for machines.
   struct Rental {
     std::vector<RentalRequest> requests;
-    std::set<std::string> open;  // names of those whose outcome is not certain
-    double asked_at = 0;
+    std::set<std::string> open_requests;  // names of those whose outcome is not certain
+    double requested_at = 0;
   };
   struct Market {
     double refused_until = 0;
@@ -72,25 +72,25 @@
   };
   using MarketKey = std::tuple<int, int, bool>;  // type, zone, spot
 
-  void adopt(const std::vector<StateItem>& items);
+  void resume(const std::vector<StateItem>& items);
   void record(const std::string& name);
   void call(const std::string& name, const RentalRequest& request);
   void on_reply(const std::string& name, const RentalRequest& request, const CloudReply& reply);
   void on_uncertain(const std::string& name, const RentalRequest& request, int status);
-  void on_rented(const RentalRequest& request, const MarketKey& key, double asked_at,
+  void on_rented(const RentalRequest& request, const MarketKey& key, double requested_at,
                  const std::vector<std::string>& machine_names);
-  void drop(const std::string& name);
-  void end_calls(int count);
+  void remove_record(const std::string& name);
+  void subtract_open_calls(int count);
 
   RentalServices services_;
   MachineInventory& inventory_;
   std::uint64_t fencing_token_;
-  int last_name_ = 0;
+  int last_rental_number_ = 0;
   std::map<std::string, Rental> rentals_;  // by name
   std::map<MarketKey, Market> markets_;
   int open_calls_ = 0;
-  double trouble_until_ = 0;  // the cloud is left alone until then
-  CallbackGuard callbacks_;
+  double paused_until_ = 0;  // the cloud is left alone until then
+  CallbackGuard callback_guard_;
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -7,8 +7,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kCordonReserve = 0.2;    // of recent use, free on the other machines
-constexpr std::size_t kReturnShare = 30;  // one in so many machines may go back a step
+constexpr double kCordonReserveFraction = 0.2;      // of recent use, free on the other machines
+constexpr std::size_t kMachinesPerIdleReturn = 30;  // one in so many machines may go back a step
 }  // namespace
 
 ScaleIn::ScaleIn(const Settings& settings, const ShardReports& reports, const DemandEstimate& demand,
@@ -26,20 +26,20 @@
 // largest.
 void ScaleIn::reserve_ordinary(const FleetView& view) {
   double left = 0;
-  if (demand_.has_ordinary_work()) left = demand_.ordinary().cores + demand_.ordinary_headroom_cores();
+  if (demand_.has_ordinary_work()) left = demand_.ordinary_use().cores + demand_.ordinary_headroom_cores();
   std::vector<std::tuple<bool, double, std::string>> candidates;  // not reserved yet, less its cores, name
-  for (std::size_t m = 0; m < view.names.size(); m++) {
+  for (std::size_t m = 0; m < view.machine_names.size(); m++) {
     const FleetMachine& machine = view.machines[m];
     if (machine.spot || !machine.usable) continue;
     const double cores = view.types[static_cast<std::size_t>(machine.type)].capacity[0];
-    candidates.emplace_back(!is_reserved(view.names[m]), -cores, view.names[m]);
+    candidates.emplace_back(!is_reserved(view.machine_names[m]), -cores, view.machine_names[m]);
   }
   std::sort(candidates.begin(), candidates.end());
   reserved_.clear();
-  for (const auto& [fresh, minus_cores, name] : candidates) {
+  for (const auto& [is_unreserved, negative_cores, name] : candidates) {
     if (left <= 0) break;
     reserved_.insert(name);
-    left += minus_cores;
+    left += negative_cores;
   }
 }
 
@@ -50,20 +50,20 @@
   const double waiting = demand_.waiting_cores();
   std::vector<std::pair<double, std::size_t>> ordinary;  // the dearest first
   double free = 0;
-  for (std::size_t m = 0; m < view.names.size(); m++) {
+  for (std::size_t m = 0; m < view.machine_names.size(); m++) {
     const FleetMachine& machine = view.machines[m];
-    const std::string& name = view.names[m];
+    const std::string& name = view.machine_names[m];
     if (reports_.machine(name) == nullptr || !machine.usable) continue;
     free += free_cores(name);
     if (!machine.spot && !is_reserved(name)) ordinary.emplace_back(-view.price_per_core(machine), m);
   }
   std::sort(ordinary.begin(), ordinary.end());
-  const double reserve = kCordonReserve * demand_.used_cores();
-  for (const auto& [price, m] : ordinary) {
-    const double own = free_cores(view.names[m]);
-    if (free - own - waiting <= reserve) continue;
-    free -= own;
-    cordoned_.insert(view.names[m]);
+  const double reserve = kCordonReserveFraction * demand_.used_cores();
+  for (const auto& [negative_price, m] : ordinary) {
+    const double own_free = free_cores(view.machine_names[m]);
+    if (free - own_free - waiting <= reserve) continue;
+    free -= own_free;
+    cordoned_.insert(view.machine_names[m]);
   }
 }
 
@@ -77,22 +77,22 @@
 // fleet, so that a large one shrinks as fast as a small one.
 void ScaleIn::return_idle(const FleetView& view, const FleetPlan& plan) {
   std::vector<std::pair<double, std::size_t>> idle;  // the dearest first
-  for (std::size_t m = 0; m < view.names.size(); m++) {
-    if (plan.planned_tasks[m] > 0 || !is_idle(view, m) || is_reserved(view.names[m])) continue;
+  for (std::size_t m = 0; m < view.machine_names.size(); m++) {
+    if (plan.planned_tasks[m] > 0 || !is_idle(view, m) || is_reserved(view.machine_names[m])) continue;
     idle.emplace_back(-view.price_per_core(view.machines[m]), m);
   }
   std::sort(idle.begin(), idle.end());
-  const std::size_t most = 1 + view.names.size() / kReturnShare;
-  for (std::size_t i = 0; i < idle.size() && i < most; i++) {
-    const std::string& name = view.names[idle[i].second];
-    start_return(name, inventory_.machines().at(name), "idle");
+  const std::size_t max_returns = 1 + view.machine_names.size() / kMachinesPerIdleReturn;
+  for (std::size_t i = 0; i < idle.size() && i < max_returns; i++) {
+    const std::string& name = view.machine_names[idle[i].second];
+    mark_for_return(name, inventory_.machines().at(name), "idle");
   }
 }
 
 // Spot machines are cheap to keep, and what they have cached saves the next task its fetch: they are kept
 // longer.
 bool ScaleIn::is_idle(const FleetView& view, std::size_t index) const {
-  const MachineSummary* reported = reports_.machine(view.names[index]);
+  const MachineSummary* reported = reports_.machine(view.machine_names[index]);
   const FleetMachine& machine = view.machines[index];
   if (reported == nullptr || !machine.usable || !reported->empty) return false;
   const Tuning& tuning = settings_.tuning;
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -8,10 +8,13 @@
 namespace mothslip {
 
 namespace {
-constexpr double kSilentShard = 20.0;      // seconds: a shard that stays silent longer is not waited for
-constexpr double kGangAge = 2.0;           // seconds: a gang that has waited so long gets machines of its own
-constexpr double kGangRentInterval = 2.5;  // seconds: by then it is known to which shards those rented fall
-constexpr int kMaxGangRent = 8;            // machines at once
+constexpr double kShardReportTimeoutSeconds =
+    20.0;  // seconds: a shard that stays silent longer is not waited for
+constexpr double kGangRentalAfterSeconds =
+    2.0;  // seconds: a gang that has waited so long gets machines of its own
+constexpr double kGangRentalIntervalSeconds =
+    2.5;  // seconds: by then it is known to which shards those rented fall
+constexpr int kMaxMachinesPerGangRental = 8;  // machines at once
 
 Resources capacity_of(const MachineType& type) { return {type.cores, type.memory_gb, type.accelerators}; }
 }  // namespace
@@ -20,22 +23,22 @@
     : sources_(sources), rentals_(rentals) {}
 
 // A shard that stays silent must not keep the others from their machines.
-bool ScaleOut::knows_what_there_is() const {
-  if (!sources_.inventory.list_complete()) return false;
-  return sources_.reports.complete() || sources_.env.now() - started_at_ > kSilentShard;
+bool ScaleOut::knows_all_machines() const {
+  if (!sources_.inventory.has_full_list()) return false;
+  return sources_.reports.is_complete() || sources_.env.now() - started_at_ > kShardReportTimeoutSeconds;
 }
 
 void ScaleOut::rent(const FleetPlan& plan) {
-  if (!knows_what_there_is()) return;
-  std::vector<FleetPlan::NewMachines> rents = plan.new_machines;
+  if (!knows_all_machines()) return;
+  std::vector<FleetPlan::NewMachines> new_machines = plan.new_machines;
   const double now = sources_.env.now();
-  if (now >= next_gang_rent_at_) {
-    next_gang_rent_at_ = now + kGangRentInterval;
+  if (now >= next_gang_rental_at_) {
+    next_gang_rental_at_ = now + kGangRentalIntervalSeconds;
     const DemandSummary* gang = oldest_large_gang();
-    const auto rent = gang != nullptr ? rent_for(*gang) : std::nullopt;
-    if (rent) rents.push_back(*rent);
+    const auto gang_machines = gang != nullptr ? machines_for(*gang) : std::nullopt;
+    if (gang_machines) new_machines.push_back(*gang_machines);
   }
-  rentals_.rent(rents);
+  rentals_.rent(new_machines);
 }
 
 // Of those that have waited a while and are within their team's limit; null: there is none.
@@ -45,9 +48,9 @@
     if (!sources_.reports.is_recent(report)) continue;
     for (const DemandSummary& demand : report.summary.demands) {
       if (!is_large_gang(demand)) continue;
-      const double waited_s = sources_.env.wall_time() - demand.submitted;
-      if (waited_s < kGangAge || !sources_.demand.within_limit(demand)) continue;
-      if (oldest == nullptr || demand.submitted < oldest->submitted) oldest = &demand;
+      const double waited_s = sources_.env.wall_time() - demand.submitted_at;
+      if (waited_s < kGangRentalAfterSeconds || !sources_.demand.is_within_team_limit(demand)) continue;
+      if (oldest == nullptr || demand.submitted_at < oldest->submitted_at) oldest = &demand;
     }
   }
   return oldest;
@@ -55,13 +58,13 @@
 
 // No single machine holds it.
 bool ScaleOut::is_large_gang(const DemandSummary& demand) const {
-  return demand.gang && demand.count >= 2 && gang_unit(demand, sources_.types) == demand.demand;
+  return demand.is_gang && demand.count >= 2 && gang_unit(demand, sources_.types) == demand.demand;
 }
 
 // A gang that no single machine holds needs several of one shard and, as a rule, of one zone. Which shard a
 // machine falls to shows only when it is rented: where no shard has enough, more are rented in the zone that
 // lacks least, until one has. (What is too much goes back when it is idle.)
-std::optional<FleetPlan::NewMachines> ScaleOut::rent_for(const DemandSummary& gang) const {
+std::optional<FleetPlan::NewMachines> ScaleOut::machines_for(const DemandSummary& gang) const {
   std::optional<GangOffer> best;
   const std::vector<MachineType>& types = sources_.types.all();
   for (std::size_t t = 0; t < types.size(); t++) {
@@ -72,23 +75,23 @@
       if (missing <= 0) return std::nullopt;
       for (const bool spot : {true, false}) {
         const auto offer = offer_for(gang, static_cast<int>(t), zone, spot, missing);
-        if (offer && (!best || offer->better_than(*best))) best = offer;
+        if (offer && (!best || offer->is_better_than(*best))) best = offer;
       }
     }
   }
-  return best ? std::optional(best->rent) : std::nullopt;
+  return best ? std::optional(best->machines) : std::nullopt;
 }
 
 std::optional<ScaleOut::GangOffer> ScaleOut::offer_for(const DemandSummary& gang, int type, int zone,
                                                        bool spot, int missing) const {
   if (rentals_.is_refused(type, zone, spot) || !allows(gang, type, zone, spot)) return std::nullopt;
   const MachineType& machine_type = sources_.types.at(type);
-  const int slots_each = slots(capacity_of(machine_type), gang.demand);
-  const int count = (missing + slots_each - 1) / slots_each;
+  const int slots_per_machine = slots(capacity_of(machine_type), gang.demand);
+  const int count = (missing + slots_per_machine - 1) / slots_per_machine;
   GangOffer out;
-  out.rent = {type, zone, spot, std::min(count, kMaxGangRent)};
+  out.machines = {type, zone, spot, std::min(count, kMaxMachinesPerGangRental)};
   out.missing = missing;
-  out.price = (spot ? machine_type.spot_price : machine_type.hourly_price) * count;
+  out.hourly_price = (spot ? machine_type.spot_price : machine_type.hourly_price) * count;
   return out;
 }
 
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -35,18 +35,18 @@
  private:
   // Machines of one market for a gang.
   struct GangOffer {
-    FleetPlan::NewMachines rent;
-    int missing = 0;   // tasks of the gang for which no shard has room in the zone
-    double price = 0;  // dollars an hour for all that is missing
-    [[nodiscard]] bool better_than(const GangOffer& other) const {
-      return std::pair(missing, price) < std::pair(other.missing, other.price);
+    FleetPlan::NewMachines machines;
+    int missing = 0;          // tasks of the gang for which no shard has room in the zone
+    double hourly_price = 0;  // dollars an hour for all that is missing
+    [[nodiscard]] bool is_better_than(const GangOffer& other) const {
+      return std::pair(missing, hourly_price) < std::pair(other.missing, other.hourly_price);
     }
   };
 
-  [[nodiscard]] bool knows_what_there_is() const;
+  [[nodiscard]] bool knows_all_machines() const;
   [[nodiscard]] const DemandSummary* oldest_large_gang() const;
   [[nodiscard]] bool is_large_gang(const DemandSummary& demand) const;
-  [[nodiscard]] std::optional<FleetPlan::NewMachines> rent_for(const DemandSummary& gang) const;
+  [[nodiscard]] std::optional<FleetPlan::NewMachines> machines_for(const DemandSummary& gang) const;
   [[nodiscard]] std::optional<GangOffer> offer_for(const DemandSummary& gang, int type, int zone, bool spot,
                                                    int missing) const;
   [[nodiscard]] int missing_slots(const DemandSummary& gang, int zone) const;
@@ -56,7 +56,7 @@
   ScaleOutSources sources_;
   RentalLedger& rentals_;
   double started_at_ = 0;
-  double next_gang_rent_at_ = 0;
+  double next_gang_rental_at_ = 0;
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/shard_reports.cpp
+++ b/src/coordination/fleet/shard_reports.cpp
@@ -7,7 +7,7 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRecentSeconds = 5.0;  // a shard's summary is acted on for this long
+constexpr double kReportValidSeconds = 5.0;  // a shard's summary is acted on for this long
 }
 
 ShardReports::ShardReports(const Env& env, const Settings& settings, int shard_count)
@@ -28,7 +28,7 @@
 }
 
 bool ShardReports::is_recent(const ShardReport& report) const {
-  return env_.now() - report.received_at <= kRecentSeconds;
+  return env_.now() - report.received_at <= kReportValidSeconds;
 }
 
 const MachineSummary* ShardReports::machine(const std::string& machine_name) const {
@@ -36,12 +36,12 @@
   return it == machines_.end() ? nullptr : it->second;
 }
 
-bool ShardReports::heard_of(const std::string& machine_name) const {
+bool ShardReports::has_recent_report(const std::string& machine_name) const {
   const auto it = reports_.find(shard_of(machine_name, shard_count_));
-  return it != reports_.end() && env_.now() - it->second.received_at < kRecentSeconds;
+  return it != reports_.end() && env_.now() - it->second.received_at < kReportValidSeconds;
 }
 
-bool ShardReports::knows_all_of(const std::string& machine_name) const {
+bool ShardReports::has_complete_report(const std::string& machine_name) const {
   const auto it = reports_.find(shard_of(machine_name, shard_count_));
   return it != reports_.end() && env_.now() - it->second.leader_since > settings_.lease_s;
 }
--- a/src/coordination/fleet/shard_reports.hpp
+++ b/src/coordination/fleet/shard_reports.hpp
@@ -27,7 +27,7 @@
 
   // By shard.
   [[nodiscard]] const std::map<int, ShardReport>& all() const { return reports_; }
-  [[nodiscard]] bool complete() const { return static_cast<int>(reports_.size()) == shard_count_; }
+  [[nodiscard]] bool is_complete() const { return static_cast<int>(reports_.size()) == shard_count_; }
   [[nodiscard]] int shard_count() const { return shard_count_; }
   // The report is recent enough to act on it.
   [[nodiscard]] bool is_recent(const ShardReport& report) const;
@@ -35,12 +35,12 @@
   // The machine in the last summary of its shard; null when that does not name it.
   [[nodiscard]] const MachineSummary* machine(const std::string& machine_name) const;
   // The leader of the machine's shard has sent a summary lately.
-  [[nodiscard]] bool heard_of(const std::string& machine_name) const;
+  [[nodiscard]] bool has_recent_report(const std::string& machine_name) const;
   // The leader of the machine's shard has led it for longer than a lease, so that it knows all machines that
   // are up. A new leader knows those with placements from its records, the others once they report: of what
   // it does not name yet, nothing is concluded before. (Incident db4e: idle machines that were up went back
   // as "never came up" a second after each failover.)
-  [[nodiscard]] bool knows_all_of(const std::string& machine_name) const;
+  [[nodiscard]] bool has_complete_report(const std::string& machine_name) const;
 
  private:
   const Env& env_;
--- a/src/coordination/fleet/shard_summary.cpp
+++ b/src/coordination/fleet/shard_summary.cpp
@@ -54,9 +54,9 @@
   Json out = {{"d", to_list(demand.demand)}, {"n", demand.count},       {"t", demand.team},
               {"u", demand.urgency},         {"g", demand.estimated_s}, {"p", demand.image_gb},
               {"l", demand.time_left_s},     {"w", demand.job_class},   {"s", demand.allows_spot},
-              {"f", demand.machine_types},   {"h", demand.zone},        {"a", demand.submitted},
+              {"f", demand.machine_types},   {"h", demand.zone},        {"a", demand.submitted_at},
               {"z", demand.starving}};
-  if (demand.gang) out["k"] = true;
+  if (demand.is_gang) out["k"] = true;
   return out;
 }
 
@@ -73,9 +73,9 @@
   out.allows_spot = value.at("s").get<bool>();
   out.machine_types = value.at("f").get<std::vector<std::string>>();
   out.zone = value.at("h").get<std::string>();
-  out.submitted = value.at("a").get<double>();
+  out.submitted_at = value.at("a").get<double>();
   out.starving = value.value("z", false);
-  out.gang = value.value("k", false);
+  out.is_gang = value.value("k", false);
   return out;
 }
 
@@ -114,12 +114,14 @@
   for (const DemandSummary& each : demands) demand_list.push_back(to_object(each));
   Json out = {{"part", shard},
               {"baton", fencing_token},
-              {"squares", squares},
+              {"squares", squared_cores_sum},
               {"wanted", to_list(wanted_by_team)},
               {"teams", to_list(used_by_team)},
               {"machines", std::move(machine_list)},
               {"demands", std::move(demand_list)}};
-  if (!ordinary.empty()) out["ordinary"] = {ordinary.cores, ordinary.squares, to_list(ordinary.largest)};
+  if (!ordinary_use.empty())
+    out["ordinary"] = {ordinary_use.cores, ordinary_use.squared_cores_sum,
+                       to_list(ordinary_use.largest_start_demand)};
   return out;
 }
 
@@ -129,10 +131,10 @@
     out.shard = value.at("part").get<int>();
     out.fencing_token = value.at("baton").get<std::uint64_t>();
     out.wanted_by_team = parse_cores_by_team(value.at("wanted"));
-    out.squares = value.value("squares", 0.0);
+    out.squared_cores_sum = value.value("squares", 0.0);
     if (value.contains("ordinary")) {
       const Json& use = value["ordinary"];
-      out.ordinary = {use.at(0).get<double>(), use.at(1).get<double>(), parse_resources(use.at(2))};
+      out.ordinary_use = {use.at(0).get<double>(), use.at(1).get<double>(), parse_resources(use.at(2))};
     }
     out.used_by_team = parse_cores_by_team(value.at("teams"));
     for (const Json& item : value.at("machines")) out.machines.push_back(parse_machine(item));
--- a/src/coordination/fleet/shard_summary.hpp
+++ b/src/coordination/fleet/shard_summary.hpp
@@ -42,16 +42,16 @@
   bool allows_spot = false;
   std::vector<std::string> machine_types;  // empty: any
   std::string zone;                        // empty: any
-  double submitted = 0;                    // seconds since the epoch
+  double submitted_at = 0;                 // seconds since the epoch
   bool starving = false;                   // of its job nothing has begun for long
-  bool gang = false;                       // the tasks start together: they are asked for as one
+  bool is_gang = false;                    // the tasks start together: they are asked for as one
 };
 
 // Work that may only run on ordinary machines: what it takes, and what that varies by.
 struct OrdinaryUse {
   double cores = 0;
-  double squares = 0;   // of the cores of each open job
-  Resources largest{};  // that has to be free at once for one of the jobs to start
+  double squared_cores_sum = 0;      // of the cores of each open job
+  Resources largest_start_demand{};  // that has to be free at once for one of the jobs to start
 
   [[nodiscard]] bool empty() const { return cores <= 0; }
 };
@@ -62,8 +62,9 @@
   std::uint64_t fencing_token = 0;
   std::map<int, double> wanted_by_team;  // cores placed and waiting
   std::map<int, double> used_by_team;
-  double squares = 0;  // of the cores that each open job of this shard's own has placed or waiting, summed
-  OrdinaryUse ordinary;
+  double squared_cores_sum =
+      0;  // of the cores that each open job of this shard's own has placed or waiting, summed
+  OrdinaryUse ordinary_use;
   std::vector<MachineSummary> machines;
   std::vector<DemandSummary> demands;
 
@@ -78,8 +79,8 @@
   int urgency = 0;
   bool allows_spot = false;
   bool starving = false;
-  bool startable = false;  // goes before best-effort work, and lacks nothing but room
-  double least_cores = 0;  // of the smallest machine type that can hold it; for the shard to work out
+  bool startable = false;        // goes before best-effort work, and lacks nothing but room
+  double min_machine_cores = 0;  // of the smallest machine type that can hold it; for the shard to work out
 };
 
 // What a shard is to do with its machines, by their names.
--- a/src/coordination/node/machine_type_catalog.cpp
+++ b/src/coordination/node/machine_type_catalog.cpp
@@ -96,7 +96,7 @@
 }
 
 void MachineTypeCatalog::fetch() {
-  cloud_.machine_types([this](const CloudReply& reply) {
+  cloud_.list_machine_types([this](const CloudReply& reply) {
     if (known()) return;
     if (reply.status == 200) {
       if (auto types = MachineTypes::parse(reply.body)) {
--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -134,7 +134,7 @@
   context.shard_count = ownership_.shard_count();
   context.exclusive_owner = [this] { return exclusive_owner(kFleetShard); };
   // May restart shards and so end the fleet manager: it runs after the caller's own code has returned.
-  context.new_types = [this](MachineTypes types) {
+  context.on_new_types = [this](MachineTypes types) {
     env_.after(0, [this, types = std::move(types)]() mutable { machine_types_.update(std::move(types)); });
   };
   return context;
--- a/src/coordination/node/shard_router.cpp
+++ b/src/coordination/node/shard_router.cpp
@@ -48,7 +48,7 @@
     if (!summary) return responder.send(400, R"({"error":"malformed"})");
     Fleet* fleet = shards_.fleet();
     if (fleet == nullptr) return responder.send(421, R"({"error":"no fleet here"})");
-    return responder.send(200, dump_json(fleet->take(std::move(*summary)).to_json()));
+    return responder.send(200, dump_json(fleet->on_summary(std::move(*summary)).to_json()));
   }
   ShardLeader* leader = shards_.find(message->shard);
   if (leader == nullptr) return responder.send(421, R"({"error":"not the owner"})");
@@ -60,7 +60,7 @@
   for (const auto& [shard, leader] : shards_.leaders()) {
     if (!leader->active()) continue;
     if (Fleet* fleet = shards_.fleet(); fleet != nullptr) {
-      leader->apply(fleet->take(leader->summary()));
+      leader->apply(fleet->on_summary(leader->summary()));
       continue;
     }
     const std::string address = ownership_.shard_count() > 0 ? owner_address(kFleetShard) : "";
--- a/src/coordination/shard/placement_rules.cpp
+++ b/src/coordination/shard/placement_rules.cpp
@@ -151,7 +151,7 @@
 void PlacementRules::add_waiting_elsewhere(const Machine& machine, WaitingBySize& out) const {
   for (const WaitingHint& hint : model_.demand_elsewhere()) {
     if (machine.record.spot && !hint.allows_spot) continue;
-    if (!fits(hint.demand, machine.capacity) || !needs_type(hint.least_cores, machine.type)) continue;
+    if (!fits(hint.demand, machine.capacity) || !needs_type(hint.min_machine_cores, machine.type)) continue;
     out.large = true;
     out.large_urgency = std::max(out.large_urgency, hint.urgency);
     out.large_starves |= hint.starving;
--- a/src/coordination/shard/shard_model.cpp
+++ b/src/coordination/shard/shard_model.cpp
@@ -16,7 +16,7 @@
 
 void ShardModel::set_demand_elsewhere(std::vector<WaitingHint> hints) {
   demand_elsewhere_ = std::move(hints);
-  for (WaitingHint& hint : demand_elsewhere_) hint.least_cores = least_cores(std::nullopt, hint.demand);
+  for (WaitingHint& hint : demand_elsewhere_) hint.min_machine_cores = least_cores(std::nullopt, hint.demand);
 }
 
 JobPtr ShardModel::find_task(const std::string& ref, int index) const {
--- a/src/coordination/shard/summary_builder.cpp
+++ b/src/coordination/shard/summary_builder.cpp
@@ -26,10 +26,10 @@
 
 void SummaryBuilder::add_ordinary_use(const Job& job, double cores, OrdinaryUse& use) {
   use.cores += cores;
-  use.squares += cores * cores;
+  use.squared_cores_sum += cores * cores;
   const double at_once = job.is_gang() ? job.spec().task_count : 1;
-  for (std::size_t r = 0; r < use.largest.size(); r++)
-    use.largest[r] = std::max(use.largest[r], at_once * job.demand[r]);
+  for (std::size_t r = 0; r < use.largest_start_demand.size(); r++)
+    use.largest_start_demand[r] = std::max(use.largest_start_demand[r], at_once * job.demand[r]);
 }
 
 // The machine's room now, and as its tasks come to their ends; what best-effort work holds yields to other
@@ -86,9 +86,9 @@
   if (job.delegated_here() || preemptible) return;
   const double cores = (job.placed + tasks.wanted + job.delegated_open()) * job.demand[0];
   if (job.spec().allows_spot) {
-    out.squares += cores * cores;
+    out.squared_cores_sum += cores * cores;
   } else {
-    add_ordinary_use(job, cores, out.ordinary);
+    add_ordinary_use(job, cores, out.ordinary_use);
   }
 }
 
@@ -107,9 +107,9 @@
   out.allows_spot = spec.allows_spot;
   if (spec.machine_types) out.machine_types = *spec.machine_types;
   if (spec.zone) out.zone = *spec.zone;
-  out.submitted = job.record.submitted_at;
+  out.submitted_at = job.record.submitted_at;
   out.starving = rules_.starving(job);
-  out.gang = job.is_gang();
+  out.is_gang = job.is_gang();
   return out;
 }
 
