--- a/src/coordination/fleet/cloud_client.cpp
+++ b/src/coordination/fleet/cloud_client.cpp
@@ -5,7 +5,7 @@
 namespace mothslip {
 
 namespace {
-constexpr double kCallTimeoutSeconds = 4.0;  // timeout of a call
+constexpr double kCallTimeoutSeconds = 4.0;
 }
 
 CloudClient::CloudClient(Env& env, const Settings& settings)
--- a/src/coordination/fleet/cloud_client.hpp
+++ b/src/coordination/fleet/cloud_client.hpp
@@ -1,5 +1,5 @@
-// Calls to the cloud's interface, behind a token bucket. Nothing is queued here: callers ask `ready` whether
-// a call may be made now, and come back later when it may not.
+// Calls the cloud's API, limited by a token bucket. Calls are not queued: callers check `can_call` and retry
+// later if it returns false.
 #pragma once
 
 #include <functional>
@@ -15,26 +15,26 @@
 
 struct CloudReply {
   int status = 0;  // 0: no response
-  Json body;       // null when empty, discarded when it is not JSON
+  Json body;       // null if empty, discarded if it is not JSON
 };
 using CloudHandler = std::function<void(CloudReply)>;
 
 class CloudClient {
  public:
-  // `env` outlives the client, and the client outlives its calls.
+  // `env` must outlive the client, and the client must outlive its calls.
   CloudClient(Env& env, const Settings& settings);
-  // The part of the cloud's limit that this node may use, 0..1.
+  // Sets the fraction of the cloud's limit that this node may use, 0..1.
   void set_share(double share);
-  // One more call may be made now, and `reserve` calls would be left after it.
+  // Returns true if a call may be made now that leaves tokens for `reserve` more calls.
   [[nodiscard]] bool can_call(double reserve = 0);
-  // The calls. Each takes a token, whether or not there is one, and gets exactly one reply.
+  // Each of the following calls takes a token, even if there is none, and calls its handler exactly once.
   // Lists the machine types.
   void list_machine_types(CloudHandler handler);
   // Rents machines, at most 50 in one call.
   void rent_machines(const RentalRequest& request, CloudHandler handler);
   // Returns machines, at most 100 in one call.
   void return_machines(const std::vector<std::string>& machine_names, CloudHandler handler);
-  // Lists machines in order of their names, those after `from` (empty: from the first).
+  // Lists machines sorted by name, starting after `after_machine`. If that is empty, starts with the first.
   void list_machines(const std::string& after_machine, CloudHandler handler);
 
  private:
@@ -42,7 +42,7 @@
 
   Env& env_;
   std::string address_;
-  double max_calls_per_second_;  // calls a second that the cloud takes from all nodes together
+  double max_calls_per_second_;  // the cloud's limit for all nodes together
   TokenBucket call_tokens_;
 };
 
--- a/src/coordination/fleet/demand_estimate.cpp
+++ b/src/coordination/fleet/demand_estimate.cpp
@@ -6,16 +6,18 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRiseSmoothingSeconds = 90.0;          // seconds over which use is averaged while it rises
-constexpr double kFallSmoothingSeconds = 40.0;          // seconds, while it falls
-constexpr double kOrdinaryFallSmoothingSeconds = 60.0;  // seconds, for work on ordinary machines
-constexpr double kMinOrdinaryCores = 0.5;               // less than that is no work at all
-constexpr double kBestEffortStartTargetSeconds =
-    120.0;  // seconds: machines are rented for best-effort work that waits longer
-constexpr double kDefaultStartTargetSeconds = 60.0;  // seconds, when no guarantee asks for less
-constexpr double kHeadroomStartTargetSeconds = 0.5;  // seconds: headroom has to be free at once
-constexpr int kHeadroomRank = -1;                    // after all work
-constexpr Resources kHeadroomUnit = {4, 8, 0};
+// Time constants of the averages: for use that rises, for use that falls, and for falling use of ordinary
+// machines.
+constexpr double kRiseSmoothingSeconds = 90.0;
+constexpr double kFallSmoothingSeconds = 40.0;
+constexpr double kOrdinaryFallSmoothingSeconds = 60.0;
+constexpr double kMinOrdinaryCores = 0.5;  // a smaller average counts as no work
+// Machines are rented for best-effort work only if it would wait for longer than this.
+constexpr double kBestEffortStartTargetSeconds = 120.0;
+constexpr double kDefaultStartTargetSeconds = 60.0;  // used unless a guarantee is shorter
+constexpr double kHeadroomStartTargetSeconds = 0.5;  // headroom has to be free immediately
+constexpr int kHeadroomRank = -1;                    // lower than the rank of all work
+constexpr Resources kHeadroomUnit = {4, 8, 0};       // cores, GB of memory, accelerators
 }  // namespace
 
 bool allows_type(const DemandSummary& demand, const std::string& machine_type) {
@@ -58,7 +60,7 @@
   return settings_.teams[static_cast<std::size_t>(team)].cpus_max;
 }
 
-// Beyond a team's limit its waiting tasks need no machines, however many there are.
+// Waiting tasks beyond a team's limit need no machines and are not counted.
 double DemandEstimate::cores_wanted_within_limits() const {
   std::map<int, double> wanted;
   for (const auto& [shard, report] : reports_.all()) {
@@ -72,7 +74,8 @@
 }
 
 void DemandEstimate::update(double step_s) {
-  // A new leader starts from what it finds, not from nothing.
+  // A new leader starts with the present use as its average, because an average that rises from zero would be
+  // too low.
   const bool first = !has_estimate_ && reports_.is_complete();
   if (first) has_estimate_ = true;
   const auto update_average = [first, step_s](double& average, double observed) {
@@ -88,8 +91,8 @@
   update_ordinary_use(step_s);
 }
 
-// Ordinary machines take long to boot, and gangs can start nowhere else: a rise is followed at once, a fall
-// slowly.
+// Follows a rise immediately and a fall slowly: ordinary machines take a long time to boot, and gangs cannot
+// start anywhere else.
 void DemandEstimate::update_ordinary_use(double step_s) {
   OrdinaryUse observed_use;
   for (const auto& [shard, report] : reports_.all()) {
@@ -107,7 +110,7 @@
   };
   update_average(ordinary_use_.cores, observed_use.cores);
   update_average(ordinary_use_.squared_cores_sum, observed_use.squared_cores_sum);
-  // What has to be free at once is remembered until hardly any such work is left.
+  // The largest demand is kept until almost none of this work is left.
   const bool is_reset = ordinary_use_.cores < kMinOrdinaryCores;
   for (std::size_t r = 0; r < observed_use.largest_start_demand.size(); r++) {
     const double kept = is_reset ? 0 : ordinary_use_.largest_start_demand[r];
@@ -148,7 +151,7 @@
   return used <= team_limit(demand.team);
 }
 
-// The most urgent first, then the oldest.
+// Returns the demands of all shards, the most urgent first, then the oldest.
 std::vector<const DemandSummary*> DemandEstimate::demands_by_priority() const {
   std::vector<const DemandSummary*> out;
   for (const auto& [shard, report] : reports_.all()) {
@@ -172,7 +175,7 @@
 
 std::vector<FleetDemand> DemandEstimate::demands() const {
   std::vector<FleetDemand> out;
-  std::map<int, double> claimed = used_by_team();  // then also what is asked for by demands before
+  std::map<int, double> claimed = used_by_team();  // plus the demands handled so far
   for (const DemandSummary* wanted : demands_by_priority()) {
     if (!is_known_team(wanted->team)) continue;
     int count = wanted->count;
@@ -183,7 +186,7 @@
     }
     if (count <= 0) continue;
     used += count * wanted->demand[0];
-    if (wanted->is_gang && count < wanted->count) continue;  // not all of it is within the team's limit
+    if (wanted->is_gang && count < wanted->count) continue;  // the whole gang would exceed the team's limit
     out.push_back(to_fleet_demand(*wanted, count));
   }
   return out;
--- a/src/coordination/fleet/demand_estimate.hpp
+++ b/src/coordination/fleet/demand_estimate.hpp
@@ -1,4 +1,4 @@
-// What work is there and how it varies: from the shards' summaries, smoothed over time.
+// Estimates the demand and its variation from the shards' summaries, smoothed over time.
 #pragma once
 
 #include <map>
@@ -11,42 +11,44 @@
 
 namespace mothslip {
 
-// Whether the demand may run on machines of this type.
+// Returns true if the tasks may run on machines of this type.
 bool allows_type(const DemandSummary& demand, const std::string& machine_type);
 
-// What a gang takes on one machine, if there is a type that holds all of it; else what each task takes.
+// Returns the unit in which a gang requests room: the demand of the whole gang if an allowed machine type can
+// hold it, otherwise the demand of one task.
 Resources gang_unit(const DemandSummary& gang, const MachineTypes& types);
 
 class DemandEstimate {
  public:
-  // The arguments outlive this object.
+  // All references must outlive this object.
   DemandEstimate(const Settings& settings, const MachineTypes& types, NameTable& zones,
                  const ShardReports& reports);
 
-  // Follows what the summaries say, `step_s` seconds after the last step.
+  // Updates the averages from the present summaries. `step_s` is the time since the last update.
   void update(double step_s);
 
-  // Recent use: cores placed and waiting within the teams' limits, smoothed.
+  // Returns the recent use: the smoothed number of cores placed and waiting within the teams' limits.
   [[nodiscard]] double used_cores() const { return used_cores_; }
-  // Cores to be kept free for what use varies by. Jobs come independently of each other: what is in use
-  // varies by about the root of the sum of their squares. With many jobs that is far less, of what is in use,
-  // than with a few.
+  // Returns the number of cores to keep free for variations of the use. Jobs arrive independently of each
+  // other, so the use varies by about the square root of the sum of the squares of their cores. With many
+  // jobs this is a much smaller fraction of the use than with a few.
   [[nodiscard]] double headroom_cores() const;
 
-  // There is work that may run on ordinary machines only.
+  // Returns true if there is work that may run on ordinary machines only.
   [[nodiscard]] bool has_ordinary_work() const;
   [[nodiscard]] const OrdinaryUse& ordinary_use() const { return ordinary_use_; }
-  // Cores of ordinary machines to be kept free for what that work varies by.
+  // Returns the number of cores of ordinary machines to keep free for variations of that work.
   [[nodiscard]] double ordinary_headroom_cores() const;
 
-  // Cores that wait, but for best-effort work.
+  // Returns the cores of the waiting tasks, without best-effort work.
   [[nodiscard]] double waiting_cores() const;
-  // One more task of it would be within its team's limit.
+  // Returns true if one more task of the demand would be within its team's limit.
   [[nodiscard]] bool is_within_team_limit(const DemandSummary& demand) const;
-  // What waits, as sizing takes it: the most urgent first, then the oldest, each team up to its limit.
+  // Returns the waiting tasks as input of plan_fleet: the most urgent first, then the oldest, for each team
+  // up to its limit.
   [[nodiscard]] std::vector<FleetDemand> demands() const;
-  // Room to be kept free, as demands of the lowest rank: on spot machines, and on ordinary ones for work that
-  // may run on those only.
+  // Returns the room to keep free as demands of the lowest rank: on spot machines, and on ordinary machines
+  // for work that may run on ordinary machines only.
   [[nodiscard]] std::vector<FleetDemand> headroom_demands() const;
 
  private:
@@ -56,7 +58,7 @@
   [[nodiscard]] std::vector<const DemandSummary*> demands_by_priority() const;
   [[nodiscard]] std::map<int, double> used_by_team() const;
   void update_ordinary_use(double step_s);
-  // `count` of the demand's tasks, within the team's limit.
+  // Converts `count` tasks of the demand, which are within the team's limit.
   [[nodiscard]] FleetDemand to_fleet_demand(const DemandSummary& wanted, int count) const;
   [[nodiscard]] double start_within_s(const DemandSummary& wanted) const;
 
@@ -64,12 +66,12 @@
   const MachineTypes& types_;
   NameTable& zones_;
   const ShardReports& reports_;
-  std::map<std::string, double> start_within_s_by_class_;  // seconds, by job class, from the objectives
-  double default_start_within_s_;                          // any job: the least that guarantees say
-  bool has_estimate_ = false;                              // since all shards reported
-  double used_cores_ = 0;                                  // smoothed
-  double squared_cores_sum_ = 0;                           // of the open jobs' cores, smoothed
-  OrdinaryUse ordinary_use_;                               // smoothed
+  std::map<std::string, double> start_within_s_by_class_;  // by job class, from the objectives
+  double default_start_within_s_;  // for other classes: the shortest of the guarantees
+  bool has_estimate_ = false;      // true once all shards have reported
+  double used_cores_ = 0;          // smoothed
+  double squared_cores_sum_ = 0;   // smoothed, for the jobs that may run on spot machines
+  OrdinaryUse ordinary_use_;       // smoothed
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -9,12 +9,14 @@
 
 namespace {
 constexpr double kStepIntervalSeconds = 1.0;
-constexpr double kTypesRefreshIntervalSeconds =
-    60.0;  // seconds between two looks at the cloud's machine types
-constexpr double kMinFirstTypesRefreshSeconds = 5.0;  // seconds after the start, drawn between the two
+constexpr double kTypesRefreshIntervalSeconds = 60.0;
+// The first refresh of the machine types takes place at a random time in this interval after the start.
+constexpr double kMinFirstTypesRefreshSeconds = 5.0;
 constexpr double kMaxFirstTypesRefreshSeconds = 15.0;
-constexpr double kReservedCloudCalls = 1.0;   // calls to the cloud that are left for other purposes
-constexpr double kLogIntervalSeconds = 10.0;  // seconds
+// A refresh of the machine types leaves this many calls to the cloud for other purposes.
+constexpr double kReservedCloudCalls = 1.0;
+constexpr double kLogIntervalSeconds = 10.0;
+
 constexpr std::size_t kMaxWaitingHints = 60;
 }  // namespace
 
@@ -107,8 +109,8 @@
     waiting += demand.rank < 0 ? 0 : demand.count * demand.demand[0];
   }
   spdlog::info(
-      "fleet: {} up, {} not yet, {:.0f} of {:.0f} cores free; {:.0f} "
-      "cores waiting, use {:.0f}",
+      "fleet: {} machines are up, {} are booting, {:.0f} of {:.0f} cores are free; tasks with {:.0f} "
+      "cores wait, smoothed use is {:.0f} cores",
       view.machine_names.size() - static_cast<std::size_t>(booting), booting, free, total, waiting,
       demand_.used_cores());
 }
@@ -119,7 +121,7 @@
   FleetOrders orders;
   orders.headroom_share = headroom_share_;
   add_machine_orders(latest, orders);
-  for (const bool starving : {true, false}) {  // those first, should there be too many
+  for (const bool starving : {true, false}) {  // hints of starving jobs first: the number of hints is limited
     add_waiting_hints(latest.shard, starving, orders);
   }
   return orders;
@@ -139,14 +141,13 @@
   }
 }
 
-// What waits at other shards, starving or not.
+// Adds hints for the tasks that wait at other shards, either of starving jobs or of the others.
 void Fleet::add_waiting_hints(int shard, bool starving, FleetOrders& orders) const {
   for (const auto& [other, report] : reports_.all()) {
     if (other == shard || !reports_.is_recent(report)) continue;
     for (const DemandSummary& demand : report.summary.demands) {
       if (demand.starving != starving || orders.waiting.size() >= kMaxWaitingHints) continue;
-      // Best-effort work waits for what others leave: nothing is kept for it,
-      // unless it starves.
+      // Best-effort work uses the room that other work leaves. No room is kept for it unless it starves.
       const bool best_effort = demand.urgency == 0;
       if (best_effort && !starving) continue;
       const bool startable = !best_effort && demand_.is_within_team_limit(demand);
--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -1,11 +1,9 @@
-// Scales the fleet: rents and returns machines. One node does: the leader of
-// shard 0, and every write is guarded by that leadership.
+// Scales the fleet: rents and returns machines. Only the leader of shard 0 does this. Every write is guarded
+// by the fencing token of that leadership.
 //
-// The work is divided: ShardReports holds what the shards say, MachineInventory
-// the machines there are, RentalLedger what is asked of the cloud,
-// DemandEstimate the work and how it varies; MachineLiveness, MachineReturns,
-// ScaleOut and ScaleIn decide. Fleet calls them once a second and answers the
-// shards.
+// ShardReports holds the summaries of the shards, MachineInventory the existing machines, RentalLedger the
+// requests to the cloud, and DemandEstimate the demand and its variation. MachineLiveness, MachineReturns,
+// ScaleOut and ScaleIn make the decisions. Fleet calls them once per second and returns orders to the shards.
 #pragma once
 
 #include <functional>
@@ -30,8 +28,7 @@
 
 class Fleet {
  public:
-  // What the fleet works with. The pointers are not null, and what they point
-  // to outlives the fleet.
+  // The dependencies of the fleet. The pointers must not be null, and the objects must outlive the fleet.
   struct Context {
     Env* env = nullptr;
     StateClient* state = nullptr;
@@ -39,22 +36,23 @@
     const Settings* settings = nullptr;
     const MachineTypes* types = nullptr;
     NameTable* zones = nullptr;
-    std::uint64_t fencing_token = 0;  // of shard 0
+    std::uint64_t fencing_token = 0;  // fencing token of shard 0
     int shard_count = 1;
-    std::function<bool()> exclusive_owner;           // nobody else can lead shard 0 now
-    std::function<void(MachineTypes)> on_new_types;  // the cloud's list of machine types, as last asked for
+    // Returns true if no other node can lead shard 0 at this moment.
+    std::function<bool()> exclusive_owner;
+    // Receives the machine types each time that the cloud has listed them.
+    std::function<void(MachineTypes)> on_new_types;
   };
   explicit Fleet(Context context);
 
-  // Reads the recorded rentals, then begins to act.
+  // Reads the recorded rentals, then starts to scale the fleet.
   void start();
-  // A shard tells of its machines and its waiting tasks, and hears what to do
-  // with its machines.
+  // Stores the summary of a shard and returns the orders for the machines of that shard.
   FleetOrders on_summary(ShardSummary summary);
 
  private:
   void run_step();
-  // `step_s` seconds after the last step.
+  // `step_s` is the time since the last step.
   void update_fleet(double step_s);
   void plan();
   void refresh_types();
@@ -73,8 +71,8 @@
   MachineReturns returns_;
   ScaleOut scale_out_;
   ScaleIn scale_in_;
-  double headroom_share_ = 0;  // of all cores: what is wanted free, as last planned
-  double last_step_at_ = 0;    // times are seconds of Env::now()
+  double headroom_share_ = 0;  // fraction of all cores to keep free, as of the last plan
+  double last_step_at_ = 0;    // this and the times below are in seconds of Env::now()
   double next_types_refresh_at_ = 0;
   double next_log_at_ = 0;
   CallbackGuard callback_guard_;
--- a/src/coordination/fleet/fleet_view.cpp
+++ b/src/coordination/fleet/fleet_view.cpp
@@ -5,11 +5,12 @@
 namespace mothslip {
 
 namespace {
-constexpr double kBootOverdueFactor =
-    1.7;  // times boot_s: a machine that is not up by then is not counted on
-constexpr double kMinRemainingBootSeconds = 2.0;  // seconds that a machine that is not up needs at the least
-constexpr double kUnansweredRequestUsableSeconds =
-    10.0;  // seconds: a rental without an answer is counted on this long
+// A machine that has not booted within boot_s times this factor is not planned for.
+constexpr double kBootOverdueFactor = 1.7;
+// Lower bound of the expected remaining boot time of a machine that is not up.
+constexpr double kMinRemainingBootSeconds = 2.0;
+// The machines of a rental request are planned for until it has been without an answer for this long.
+constexpr double kUnansweredRequestUsableSeconds = 10.0;
 }  // namespace
 
 double FleetView::total_cores() const {
@@ -93,7 +94,8 @@
   return out;
 }
 
-// What is being asked for counts as booting, or it would be asked for again every second until answered.
+// Adds the machines of open rental requests as booting. Otherwise, each plan would request them again, once
+// per second until the cloud answers.
 void FleetViewBuilder::add_requested(FleetView& view) const {
   sources_.rentals.for_each_open_request([this, &view](const RentalLedger::OpenRequest& open) {
     FleetMachine out;
--- a/src/coordination/fleet/fleet_view.hpp
+++ b/src/coordination/fleet/fleet_view.hpp
@@ -1,4 +1,4 @@
-// The fleet at one moment, in the terms of sizing (scheduling/sizing.hpp).
+// A snapshot of the fleet as the input of plan_fleet (scheduling/sizing.hpp).
 #pragma once
 
 #include <string>
@@ -14,17 +14,17 @@
 struct FleetView {
   std::vector<FleetType> types;  // by index of the machine type
   std::vector<FleetMarket> markets;
-  // Machines with a name come first, then those that are being asked for, which have none yet.
+  // Machines with a name come first, followed by those of open rental requests, which have no name yet.
   std::vector<FleetMachine> machines;
-  std::vector<std::string> machine_names;  // of the first machines, by the same index
+  std::vector<std::string> machine_names;  // names of the first machines, by the same index
 
-  // Of all machines.
+  // Returns the cores of all machines.
   [[nodiscard]] double total_cores() const;
-  // Dollars an hour for a core of this machine.
+  // Returns the price of one core of this machine in dollars per hour.
   [[nodiscard]] double price_per_core(const FleetMachine& machine) const;
 };
 
-// What the view is made from. All of it outlives the builder.
+// The inputs of the view. All of them must outlive the builder.
 struct FleetSources {
   const Env& env;
   const MachineTypes& types;
--- a/src/coordination/fleet/machine_inventory.cpp
+++ b/src/coordination/fleet/machine_inventory.cpp
@@ -7,16 +7,17 @@
 namespace mothslip {
 
 namespace {
-constexpr double kListRetrySeconds = 3.0;        // after a call for a page that failed
-constexpr double kMinListIntervalSeconds = 2.0;  // seconds between two lists
-constexpr double kCallsPerListInterval = 4.0;  // that the cloud's limit allows meanwhile, for other purposes
-constexpr double kMinCallsPerSecond = 0.1;     // taken for the cloud's limit when it is less
+constexpr double kListRetrySeconds = 3.0;  // after a failed request for a page
+constexpr double kMinListIntervalSeconds = 2.0;
+// Between two lists, the cloud's limit allows at least this many calls for other purposes.
+constexpr double kCallsPerListInterval = 4.0;
+constexpr double kMinCallsPerSecond = 0.1;  // lower bound of the cloud's limit in this calculation
 }  // namespace
 
 void mark_for_return(const std::string& machine_name, RentedMachine& machine, const std::string& reason) {
   if (machine.returning) return;
   machine.returning = true;
-  spdlog::info("{} to be returned: {}", machine_name, reason);
+  spdlog::info("machine {} will be drained and returned to the cloud: {}", machine_name, reason);
 }
 
 MachineInventory::MachineInventory(Env& env, CloudClient& cloud, const Settings& settings,
--- a/src/coordination/fleet/machine_liveness.cpp
+++ b/src/coordination/fleet/machine_liveness.cpp
@@ -3,14 +3,18 @@
 namespace mothslip {
 
 namespace {
-constexpr double kBootTimeoutFactor =
-    3.0;  // times boot_s: a machine that has not come up by then is returned
-constexpr double kBootTimeoutMarginSeconds = 10.0;  // seconds beyond that
-constexpr double kSilenceTimeoutLeases = 3;         // a machine that is silent for so many leases is returned
-constexpr int kMinMissingLists = 2;                 // full lists in a row without a machine: it is not there
-constexpr double kListLagMarginSeconds = 5.0;       // seconds beyond the lag of the cloud's list
-constexpr double kReturnedMachineListLags = 2;      // a returned machine may be listed for so many lags
-constexpr double kUnlistedMachineListLags = 3;  // a machine that was rented may be missing for so many lags
+// A machine that has not booted within boot_s times this factor, plus the margin, is returned.
+constexpr double kBootTimeoutFactor = 3.0;
+constexpr double kBootTimeoutMarginSeconds = 10.0;
+// A machine that has sent no heartbeat for this many lease durations is returned.
+constexpr double kSilenceTimeoutLeases = 3;
+// A machine that is missing from this many consecutive full lists counts as unlisted.
+constexpr int kMinMissingLists = 2;
+// The cloud's list lags behind by up to list_lag_s. A returned machine may still be listed, and a rented
+// machine may still be missing, for this many lags plus the margin.
+constexpr double kListLagMarginSeconds = 5.0;
+constexpr double kReturnedMachineListLags = 2;
+constexpr double kUnlistedMachineListLags = 3;
 }  // namespace
 
 MachineLiveness::MachineLiveness(const Env& env, const Settings& settings, const MachineTypes& types,
@@ -23,7 +27,7 @@
     const std::string& name = it->first;
     RentedMachine& machine = it->second;
     if (!reports_.has_recent_report(name)) {
-      ++it;  // it may well be up: the leader of its shard has only not said so
+      ++it;  // the machine may be up: the leader of its shard has not sent a summary recently
       continue;
     }
     if (is_gone(name, machine, inventory.has_full_list())) {
@@ -45,10 +49,10 @@
   const double now = env_.now();
   const double list_lag_s = settings_.list_lag_s;
   if (machine.returned) {
-    // Remembered while lists that lag may still show it.
+    // The machine is kept in the inventory while a lagging list may still contain it.
     return now - machine.returned_at > kReturnedMachineListLags * list_lag_s + kListLagMarginSeconds;
   }
-  // Never heard here, and not listed any more: taken or deleted.
+  // The machine does not report and is no longer listed: it has been evicted or deleted.
   const double age_s = now - machine.rented_at;
   return age_s > kUnlistedMachineListLags * list_lag_s + kListLagMarginSeconds && has_full_list &&
          reports_.has_complete_report(machine_name);
@@ -56,22 +60,23 @@
 
 const char* MachineLiveness::return_reason(const std::string& machine_name,
                                            const RentedMachine& machine) const {
-  if (machine.failed) return "failed";
+  if (machine.failed) return "the cloud lists it as failed";
   const MachineSummary* reported = reports_.machine(machine_name);
   if (reported == nullptr) {
     const double age_s = env_.now() - machine.rented_at;
     const double boot_s = types_.at(machine.type).boot_s;
     const bool is_overdue = age_s > kBootTimeoutFactor * boot_s + kBootTimeoutMarginSeconds &&
                             reports_.has_complete_report(machine_name);
-    return is_overdue ? "never came up" : nullptr;
+    return is_overdue ? "it has not reported within the boot timeout" : nullptr;
   }
-  if (reported->faulty) return "sick";
-  // Silent machines are more likely cut off or hung than dead, and come back sooner than new ones boot
-  // (incident 0675). Dead ones the list shows, and meanwhile silent ones are counted on for nothing.
+  if (reported->faulty) return "it is faulty";
+  // A silent machine is more likely disconnected or hung than dead, and usually recovers sooner than a new
+  // machine boots (incident 0675). The list shows which machines are dead. Until then, silent machines are
+  // not planned for.
   const double silence_timeout_s = kSilenceTimeoutLeases * settings_.lease_s;
   const bool is_unlisted = machine.missing_lists >= kMinMissingLists;
   if (reported->silent_s > silence_timeout_s || (reported->silent_s > settings_.lease_s && is_unlisted)) {
-    return is_unlisted ? "taken" : "silent";
+    return is_unlisted ? "it is silent and the cloud no longer lists it" : "it is silent";
   }
   return nullptr;
 }
--- a/src/coordination/fleet/machine_liveness.hpp
+++ b/src/coordination/fleet/machine_liveness.hpp
@@ -1,5 +1,5 @@
-// Which machines go back for what is known of them: failed ones, those that never came up and those that are
-// faulty or silent.
+// Decides which machines are returned because they have failed, have not booted in time, or are faulty or
+// silent.
 #pragma once
 
 #include "coordination/fleet/machine_inventory.hpp"
@@ -9,18 +9,18 @@
 
 class MachineLiveness {
  public:
-  // The arguments outlive this object.
+  // All references must outlive this object.
   MachineLiveness(const Env& env, const Settings& settings, const MachineTypes& types,
                   const ShardReports& reports);
 
-  // Marks the machines that are to be returned, and forgets those that are gone for certain. Nothing is
-  // concluded about machines of a shard whose leader has sent no summary lately.
+  // Marks the machines to be returned and removes those that certainly no longer exist from the inventory.
+  // Machines of a shard whose leader has not sent a summary recently are left unchanged.
   void evaluate(MachineInventory& inventory) const;
 
  private:
   [[nodiscard]] bool is_gone(const std::string& machine_name, const RentedMachine& machine,
                              bool has_full_list) const;
-  // Why the machine has to go back; null when it need not.
+  // Returns the reason to return the machine, or null if there is none.
   [[nodiscard]] const char* return_reason(const std::string& machine_name,
                                           const RentedMachine& machine) const;
 
--- a/src/coordination/fleet/machine_returns.cpp
+++ b/src/coordination/fleet/machine_returns.cpp
@@ -5,7 +5,7 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMaxMachinesPerCall = 100;  // that the cloud takes
+constexpr std::size_t kMaxMachinesPerCall = 100;  // the cloud's limit
 }
 
 MachineReturns::MachineReturns(const Env& env, CloudClient& cloud, const Settings& settings,
@@ -33,7 +33,7 @@
 
 bool MachineReturns::may_be_returned(const std::string& machine_name, const RentedMachine& machine) const {
   if (!machine.returning || machine.returned || !reports_.has_recent_report(machine_name)) return false;
-  // Drained first, unless nothing on it can be saved by waiting.
+  // The machine is drained first, unless waiting cannot save any of its tasks.
   const MachineSummary* reported = reports_.machine(machine_name);
   if (reported == nullptr || machine.failed || reported->silent_s > settings_.lease_s) return true;
   return reported->draining && reported->empty;
@@ -41,14 +41,15 @@
 
 void MachineReturns::on_reply(const std::vector<std::string>& machine_names, const CloudReply& reply) {
   is_call_open_ = false;
-  // Anything but a 200 may or may not have worked: it is repeated until confirmed.
+  // Without status 200, the call may or may not have taken effect. It is repeated until the cloud confirms
+  // it.
   if (reply.status != 200) return;
   for (const std::string& machine_name : machine_names) {
     const auto it = inventory_.machines().find(machine_name);
     if (it == inventory_.machines().end()) continue;
     it->second.returned = true;
     it->second.returned_at = env_.now();
-    spdlog::info("{} returned", machine_name);
+    spdlog::info("machine {} has been returned to the cloud", machine_name);
   }
 }
 
--- a/src/coordination/fleet/machine_returns.hpp
+++ b/src/coordination/fleet/machine_returns.hpp
@@ -1,4 +1,4 @@
-// The calls that return machines to the cloud.
+// Returns machines to the cloud.
 #pragma once
 
 #include <string>
@@ -13,12 +13,12 @@
 
 class MachineReturns {
  public:
-  // The arguments outlive this object.
+  // All references must outlive this object.
   MachineReturns(const Env& env, CloudClient& cloud, const Settings& settings, const ShardReports& reports,
                  MachineInventory& inventory);
 
-  // Returns the machines that are marked for it and drained, one call at a time, when a call may be made. A
-  // call is repeated until the cloud confirms it.
+  // Sends a call that returns the machines that are marked for return and drained, if a call may be made and
+  // none is open. The return of a machine is requested again until the cloud confirms it.
   void send();
 
  private:
--- a/src/coordination/fleet/rental_ledger.cpp
+++ b/src/coordination/fleet/rental_ledger.cpp
@@ -10,19 +10,18 @@
 
 namespace {
 constexpr double kLoadRetrySeconds = 0.5;
-constexpr double kRecordRetentionSeconds = 60.0;  // a rental's record, after it was asked for
-constexpr double kFailurePauseSeconds = 2.0;  // the cloud is left alone this long after it failed to answer
-constexpr double kUnansweredRetrySeconds = 1.0;  // seconds until a call without a response is repeated
-constexpr double kFailedRetrySeconds = 2.0;      // seconds until a call that failed is repeated
-constexpr double kTokenRetrySeconds =
-    0.1;  // seconds until a call that the token bucket holds back is retried
+constexpr double kRecordRetentionSeconds = 60.0;  // from the time of the request
+constexpr double kFailurePauseSeconds = 2.0;      // pause of all calls after one whose outcome is uncertain
+constexpr double kUnansweredRetrySeconds = 1.0;   // retry delay of a call without a response
+constexpr double kFailedRetrySeconds = 2.0;       // retry delay of a call that failed
+constexpr double kTokenRetrySeconds = 0.1;        // retry delay while the token bucket is empty
 constexpr int kMaxOpenCalls = 24;
-constexpr int kMaxMachinesPerCall = 50;                // that the cloud takes
-constexpr std::size_t kRecordOverheadBytes = 40;       // of a rental's record without its requests
-constexpr std::size_t kRequestOverheadBytes = 60;      // of a request in it without its names
-constexpr double kPartialRentalBackoffSeconds = 10.0;  // seconds: the market had less than was asked for
-constexpr double kMinRefusalBackoffSeconds = 8.0;      // seconds: it had none
-constexpr double kMaxRefusalBackoffSeconds = 40.0;     // seconds
+constexpr int kMaxMachinesPerCall = 50;                // the cloud's limit
+constexpr std::size_t kRecordOverheadBytes = 40;       // size of a rental's record without its requests
+constexpr std::size_t kRequestOverheadBytes = 60;      // size of a request in the record without its names
+constexpr double kPartialRentalBackoffSeconds = 10.0;  // the market had fewer machines than requested
+constexpr double kMinRefusalBackoffSeconds = 8.0;      // the market had no machines
+constexpr double kMaxRefusalBackoffSeconds = 40.0;
 constexpr double kRefusalBackoffFactor = 1.5;
 }  // namespace
 
@@ -72,7 +71,8 @@
                                services_.types.at(each.type).name, services_.zones.name(each.zone), each.spot,
                                std::min(kMaxMachinesPerCall, left)};
       bytes += kRequestOverheadBytes + request.machine_type.size() + request.zone.size();
-      if (bytes > max_bytes && !rental.requests.empty()) break;  // what a record can't hold comes next time
+      if (bytes > max_bytes && !rental.requests.empty())
+        break;  // the next plan requests what the record cannot hold
       rental.open_requests.insert(request.name);
       rental.requests.push_back(std::move(request));
       open_calls_++;
@@ -95,8 +95,9 @@
       return;
     }
     subtract_open_calls(static_cast<int>(requests.size()));
-    // Not executed, or not known to be: in both cases nothing was asked of the cloud under these names, and
-    // they are not used again. A record that turns up later is repeated by a new leader and brings machines.
+    // The write has not been executed, or its outcome is unknown. In both cases, no request was sent under
+    // these names, and they are not used again. If the record exists after all, a new leader sends its
+    // requests and rents the machines.
     rentals_.erase(name);
   };
   services_.state.commit(RequestPriority::kLaunch, txn, callback_guard_(std::move(on_commit)));
@@ -104,8 +105,8 @@
 
 void RentalLedger::call(const std::string& name, const RentalRequest& request) {
   if (rentals_.count(name) == 0) return;
-  // Repeats pass the token bucket like any other call: while the cloud was away they once ran up a debt of
-  // calls that kept it from being asked for a minute after it was back.
+  // Repeated calls take tokens from the bucket like any other call. When they did not, an outage of the cloud
+  // left the bucket with a negative balance that blocked all calls for a minute after the outage.
   const bool is_paused = services_.env.now() < paused_until_;
   if (is_paused || !services_.cloud.can_call()) {
     const double pause_s = is_paused ? services_.env.uniform(0.5, 1.0) : kTokenRetrySeconds;
@@ -140,7 +141,8 @@
   market.refused_until = services_.env.now() + market.backoff_s;
 }
 
-// Trouble, too many calls or silence: the same name again, until the answer is certain.
+// Handles an error, a rejection by the rate limit or a missing response. The call is repeated under the same
+// name until the outcome is certain.
 void RentalLedger::on_uncertain(const std::string& name, const RentalRequest& request, int status) {
   paused_until_ = services_.env.now() + kFailurePauseSeconds;
   services_.env.after(status == 0 ? kUnansweredRetrySeconds : kFailedRetrySeconds,
@@ -154,8 +156,9 @@
     inventory_.add_rented(machine_name, type, zone, spot, requested_at);
   }
   const auto count = static_cast<int>(machine_names.size());
-  spdlog::info("rented {} of {} {} in {}{} ({})", count, request.machine_count, request.machine_type,
-               request.zone, request.spot ? ", spot" : "", request.name);
+  spdlog::info("rented {} of {} requested machines of type {} in zone {}{} (request {})", count,
+               request.machine_count, request.machine_type, request.zone, request.spot ? ", spot" : "",
+               request.name);
   const bool is_partial = count < request.machine_count;
   Market& market = markets_[key];
   market.backoff_s = is_partial ? kPartialRentalBackoffSeconds : 0;
--- a/src/coordination/fleet/rental_ledger.hpp
+++ b/src/coordination/fleet/rental_ledger.hpp
@@ -1,8 +1,8 @@
-// Rentals: what is asked of the cloud, under names that are recorded first.
+// Rental requests to the cloud, whose names are recorded before they are sent.
 //
-// A rental's name is made of the fencing token and a counter and is recorded before the call, so that it is
-// never used for another. A call is repeated under its name until its outcome is certain, and a new leader
-// repeats the recorded calls to learn what they brought.
+// The name of a rental consists of the fencing token and a counter. It is recorded before the call, so that
+// no other rental uses the same name. A call is repeated under its name until its outcome is certain. A new
+// leader repeats the recorded calls in order to learn which machines they rented.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 
 namespace mothslip {
 
-// What the ledger works with. All of it outlives the ledger.
+// The dependencies of the ledger. All of them must outlive the ledger.
 struct RentalServices {
   Env& env;
   StateClient& state;
@@ -40,30 +40,31 @@
     double requested_at = 0;  // seconds of Env::now()
   };
 
-  // Machines that are rented are added to `inventory`. Every write is guarded by shard 0's `fencing_token`.
+  // Adds rented machines to `inventory`. Guards every write by the fencing token of shard 0.
   RentalLedger(const RentalServices& services, MachineInventory& inventory, std::uint64_t fencing_token);
 
-  // Reads the rentals of earlier leaders and repeats their calls; retries until the state service answers,
-  // then calls `done`.
+  // Reads the rentals of earlier leaders, repeats their calls and calls `done`. Retries the read until the
+  // state service answers.
   void load(std::function<void()> done);
-  // Whether it is worth planning: not too many calls are open, and the cloud has not just failed to answer.
+  // Returns true if further requests can be sent: the limit of open calls is not reached, and no call has
+  // failed recently.
   [[nodiscard]] bool accepts_requests() const;
-  // Records the requests as one rental, as many as its record holds and may be open at once, then calls the
-  // cloud.
+  // Records the requests as one rental and then sends them to the cloud. Requests that exceed the size of one
+  // record or the limit of open calls are left out.
   void rent(const std::vector<FleetPlan::NewMachines>& wanted);
-  // The market had less than was asked for, and is left alone for a while.
+  // Returns true if the market recently had fewer machines than requested and is still in its backoff time.
   [[nodiscard]] bool is_refused(int type, int zone, bool spot) const;
-  // Calls `visit` for each open request, by name of the rental and in order of the requests.
+  // Calls `visit` for each open request, sorted by the name of the rental and then in request order.
   void for_each_open_request(const std::function<void(const OpenRequest&)>& visit) const;
-  // Removes the records of rentals that ended some time ago.
+  // Removes the records of rentals without open requests after the retention time.
   void remove_ended_records();
 
  private:
-  // One record names all that is asked for in a step: a change a machine type and zone would use up the
-  // budget of changes just when jobs wait for machines.
+  // All requests of one step are in one record. One write per machine type and zone would exhaust the write
+  // budget at the time when jobs wait for machines.
   struct Rental {
     std::vector<RentalRequest> requests;
-    std::set<std::string> open_requests;  // names of those whose outcome is not certain
+    std::set<std::string> open_requests;  // names of the requests whose outcome is not certain
     double requested_at = 0;
   };
   struct Market {
@@ -89,7 +90,7 @@
   std::map<std::string, Rental> rentals_;  // by name
   std::map<MarketKey, Market> markets_;
   int open_calls_ = 0;
-  double paused_until_ = 0;  // the cloud is left alone until then
+  double paused_until_ = 0;  // no calls are sent before this time
   CallbackGuard callback_guard_;
 };
 
--- a/src/coordination/fleet/scale_in.cpp
+++ b/src/coordination/fleet/scale_in.cpp
@@ -7,8 +7,10 @@
 namespace mothslip {
 
 namespace {
-constexpr double kCordonReserveFraction = 0.2;      // of recent use, free on the other machines
-constexpr std::size_t kMachinesPerIdleReturn = 30;  // one in so many machines may go back a step
+// A machine is cordoned only if this fraction of the recent use stays free on the other machines.
+constexpr double kCordonReserveFraction = 0.2;
+// Each step returns at most one idle machine, plus one per this many machines of the fleet.
+constexpr std::size_t kMachinesPerIdleReturn = 30;
 }  // namespace
 
 ScaleIn::ScaleIn(const Settings& settings, const ShardReports& reports, const DemandEstimate& demand,
@@ -21,13 +23,14 @@
   return_idle(view, plan);
 }
 
-// Work that may run on ordinary machines only, gangs above all, finds them taken if other work may fill them
-// too: as many as it needs take nothing that could go elsewhere. Those reserved already stay, then the
-// largest.
+// Reserves as many ordinary machines as the work needs that may run on ordinary machines only. Reserved
+// machines start no tasks that another machine could run. Otherwise, other work would occupy all ordinary
+// machines, which affects gangs in particular. Machines that are reserved already come first, then the
+// largest ones.
 void ScaleIn::reserve_ordinary(const FleetView& view) {
   double left = 0;
   if (demand_.has_ordinary_work()) left = demand_.ordinary_use().cores + demand_.ordinary_headroom_cores();
-  std::vector<std::tuple<bool, double, std::string>> candidates;  // not reserved yet, less its cores, name
+  std::vector<std::tuple<bool, double, std::string>> candidates;  // is not reserved yet, negative cores, name
   for (std::size_t m = 0; m < view.machine_names.size(); m++) {
     const FleetMachine& machine = view.machines[m];
     if (machine.spot || !machine.usable) continue;
@@ -43,12 +46,13 @@
   }
 }
 
-// An ordinary machine that always gets some task never falls idle. When the others have room for all that
-// waits and a reserve without it, it takes nothing new; when work waits again, it does.
+// Cordons ordinary machines, because one that keeps receiving tasks never becomes idle. A machine is cordoned
+// while the other machines have room for all waiting tasks and a reserve. When more tasks wait, it receives
+// tasks again.
 void ScaleIn::cordon_surplus(const FleetView& view) {
   cordoned_ = reserved_;
   const double waiting = demand_.waiting_cores();
-  std::vector<std::pair<double, std::size_t>> ordinary;  // the dearest first
+  std::vector<std::pair<double, std::size_t>> ordinary;  // negative price and index: the most expensive first
   double free = 0;
   for (std::size_t m = 0; m < view.machine_names.size(); m++) {
     const FleetMachine& machine = view.machines[m];
@@ -67,16 +71,16 @@
   }
 }
 
-// Free at once, on a machine that reports.
+// Returns the cores that are free now. The machine must be in the last summary of its shard.
 double ScaleIn::free_cores(const std::string& machine_name) const {
   const MachineSummary* machine = reports_.machine(machine_name);
   return machine->rooms.empty() ? 0.0 : std::max(0.0, machine->rooms.front().room[0]);
 }
 
-// Idle machines that the plan does not count on go back, the dearest first, a few a step: a share of the
-// fleet, so that a large one shrinks as fast as a small one.
+// Returns idle machines that the plan does not use, the most expensive first. The number per step is a
+// fraction of the fleet, so that a large fleet shrinks as fast as a small one.
 void ScaleIn::return_idle(const FleetView& view, const FleetPlan& plan) {
-  std::vector<std::pair<double, std::size_t>> idle;  // the dearest first
+  std::vector<std::pair<double, std::size_t>> idle;  // negative price and index: the most expensive first
   for (std::size_t m = 0; m < view.machine_names.size(); m++) {
     if (plan.planned_tasks[m] > 0 || !is_idle(view, m) || is_reserved(view.machine_names[m])) continue;
     idle.emplace_back(-view.price_per_core(view.machines[m]), m);
@@ -85,12 +89,12 @@
   const std::size_t max_returns = 1 + view.machine_names.size() / kMachinesPerIdleReturn;
   for (std::size_t i = 0; i < idle.size() && i < max_returns; i++) {
     const std::string& name = view.machine_names[idle[i].second];
-    mark_for_return(name, inventory_.machines().at(name), "idle");
+    mark_for_return(name, inventory_.machines().at(name), "it is idle");
   }
 }
 
-// Spot machines are cheap to keep, and what they have cached saves the next task its fetch: they are kept
-// longer.
+// Spot machines have a longer idle time than ordinary ones: they are cheap, and their cached images save the
+// next task from fetching its image.
 bool ScaleIn::is_idle(const FleetView& view, std::size_t index) const {
   const MachineSummary* reported = reports_.machine(view.machine_names[index]);
   const FleetMachine& machine = view.machines[index];
--- a/src/coordination/fleet/scale_in.hpp
+++ b/src/coordination/fleet/scale_in.hpp
@@ -1,4 +1,4 @@
-// Which machines are cordoned and which go back because they are idle.
+// Decides which machines are cordoned and which are returned because they are idle.
 #pragma once
 
 #include <set>
@@ -15,14 +15,14 @@
 
 class ScaleIn {
  public:
-  // The arguments outlive this object.
+  // All references must outlive this object.
   ScaleIn(const Settings& settings, const ShardReports& reports, const DemandEstimate& demand,
           MachineInventory& inventory);
 
-  // Decides anew which machines are reserved and cordoned, and marks idle ones that the plan does not count
-  // on for their return. `plan` was made from `view`.
+  // Selects the machines that are reserved and cordoned, replacing the previous selection, and marks idle
+  // machines that the plan does not use for return. `plan` must have been computed from `view`.
   void update(const FleetView& view, const FleetPlan& plan);
-  // The machine takes nothing new that could go elsewhere.
+  // Returns true if the machine must start no tasks that another machine could run.
   [[nodiscard]] bool is_cordoned(const std::string& machine_name) const {
     return cordoned_.count(machine_name) > 0;
   }
@@ -41,7 +41,7 @@
   const ShardReports& reports_;
   const DemandEstimate& demand_;
   MachineInventory& inventory_;
-  std::set<std::string> reserved_;  // ordinary machines for work that may run nowhere else
+  std::set<std::string> reserved_;  // ordinary machines kept for work that may run on ordinary machines only
   std::set<std::string> cordoned_;
 };
 
--- a/src/coordination/fleet/scale_out.cpp
+++ b/src/coordination/fleet/scale_out.cpp
@@ -8,13 +8,13 @@
 namespace mothslip {
 
 namespace {
-constexpr double kShardReportTimeoutSeconds =
-    20.0;  // seconds: a shard that stays silent longer is not waited for
-constexpr double kGangRentalAfterSeconds =
-    2.0;  // seconds: a gang that has waited so long gets machines of its own
-constexpr double kGangRentalIntervalSeconds =
-    2.5;  // seconds: by then it is known to which shards those rented fall
-constexpr int kMaxMachinesPerGangRental = 8;  // machines at once
+// The fleet leader waits no longer than this for the first summaries of the shards.
+constexpr double kShardReportTimeoutSeconds = 20.0;
+// Machines are rented for a gang once it has waited for this long.
+constexpr double kGangRentalAfterSeconds = 2.0;
+// After this interval, the names and thereby the shards of the previously rented machines are known.
+constexpr double kGangRentalIntervalSeconds = 2.5;
+constexpr int kMaxMachinesPerGangRental = 8;
 
 Resources capacity_of(const MachineType& type) { return {type.cores, type.memory_gb, type.accelerators}; }
 }  // namespace
@@ -22,7 +22,8 @@
 ScaleOut::ScaleOut(const ScaleOutSources& sources, RentalLedger& rentals)
     : sources_(sources), rentals_(rentals) {}
 
-// A shard that stays silent must not keep the others from their machines.
+// Returns true after a timeout even if a shard has not reported: one silent shard must not prevent rentals
+// for the others.
 bool ScaleOut::knows_all_machines() const {
   if (!sources_.inventory.has_full_list()) return false;
   return sources_.reports.is_complete() || sources_.env.now() - started_at_ > kShardReportTimeoutSeconds;
@@ -41,7 +42,8 @@
   rentals_.rent(new_machines);
 }
 
-// Of those that have waited a while and are within their team's limit; null: there is none.
+// Returns the oldest large gang that has waited for kGangRentalAfterSeconds and is within its team's limit,
+// or null if there is none.
 const DemandSummary* ScaleOut::oldest_large_gang() const {
   const DemandSummary* oldest = nullptr;
   for (const auto& [shard, report] : sources_.reports.all()) {
@@ -56,14 +58,15 @@
   return oldest;
 }
 
-// No single machine holds it.
+// Returns true if no single machine can hold the gang.
 bool ScaleOut::is_large_gang(const DemandSummary& demand) const {
   return demand.is_gang && demand.count >= 2 && gang_unit(demand, sources_.types) == demand.demand;
 }
 
-// A gang that no single machine holds needs several of one shard and, as a rule, of one zone. Which shard a
-// machine falls to shows only when it is rented: where no shard has enough, more are rented in the zone that
-// lacks least, until one has. (What is too much goes back when it is idle.)
+// A gang that no single machine can hold needs several machines of one shard and usually of one zone. The
+// shard of a machine is known only once it has been rented. If no shard has enough machines, more are rented
+// in the zone where the fewest are missing, until one shard has enough. Surplus machines are returned when
+// they are idle.
 std::optional<FleetPlan::NewMachines> ScaleOut::machines_for(const DemandSummary& gang) const {
   std::optional<GangOffer> best;
   const std::vector<MachineType>& types = sources_.types.all();
@@ -95,14 +98,14 @@
   return out;
 }
 
-// Tasks of the gang for which the shard that has most room in the zone has none.
+// Returns the number of tasks of the gang that the shard with the most room in the zone cannot hold.
 int ScaleOut::missing_slots(const DemandSummary& gang, int zone) const {
   const std::vector<int> by_shard = slots_by_shard(gang, zone);
   return gang.count - *std::max_element(by_shard.begin(), by_shard.end());
 }
 
-// Tasks of the gang that each shard's machines in this zone could hold if they were empty. A shard owns the
-// machines whose names hash to it: those that are still booting count too.
+// Returns the number of tasks of the gang that each shard's machines in this zone could hold if they were
+// empty. A shard owns the machines whose names hash to it. Booting machines are included.
 std::vector<int> ScaleOut::slots_by_shard(const DemandSummary& gang, int zone) const {
   const int shard_count = sources_.reports.shard_count();
   std::vector<int> out(static_cast<std::size_t>(shard_count));
--- a/src/coordination/fleet/scale_out.hpp
+++ b/src/coordination/fleet/scale_out.hpp
@@ -1,4 +1,4 @@
-// Renting: what the plan asks for, and machines for gangs that no single machine holds.
+// Rents the machines of the plan, and machines for gangs that no single machine can hold.
 #pragma once
 
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace mothslip {
 
-// What scaling out goes by. All of it outlives the ScaleOut.
+// The inputs of ScaleOut. All of them must outlive it.
 struct ScaleOutSources {
   const Env& env;
   const MachineTypes& types;
@@ -26,18 +26,18 @@
  public:
   ScaleOut(const ScaleOutSources& sources, RentalLedger& rentals);
 
-  // The leader has read its records: the wait for the shards' first summaries begins.
+  // Starts the wait for the first summaries of the shards. Called once the rental records have been read.
   void start() { started_at_ = sources_.env.now(); }
-  // Rents what the plan asks for, and from time to time machines for a large gang. Nothing is rented before a
-  // first look at what there is, from the cloud and from every shard.
+  // Rents the machines of the plan and, at intervals, machines for a large gang. Rents nothing until
+  // the cloud has sent a full list and either every shard has sent a summary or that wait has timed out.
   void rent(const FleetPlan& plan);
 
  private:
-  // Machines of one market for a gang.
+  // Machines of one market that could be rented for a gang.
   struct GangOffer {
     FleetPlan::NewMachines machines;
-    int missing = 0;          // tasks of the gang for which no shard has room in the zone
-    double hourly_price = 0;  // dollars an hour for all that is missing
+    int missing = 0;          // tasks of the gang for which the best shard has no room in the zone
+    double hourly_price = 0;  // dollars per hour for machines that hold all missing tasks
     [[nodiscard]] bool is_better_than(const GangOffer& other) const {
       return std::pair(missing, hourly_price) < std::pair(other.missing, other.hourly_price);
     }
--- a/src/coordination/fleet/shard_reports.cpp
+++ b/src/coordination/fleet/shard_reports.cpp
@@ -7,7 +7,7 @@
 namespace mothslip {
 
 namespace {
-constexpr double kReportValidSeconds = 5.0;  // a shard's summary is acted on for this long
+constexpr double kReportValidSeconds = 5.0;  // older summaries are not used for decisions
 }
 
 ShardReports::ShardReports(const Env& env, const Settings& settings, int shard_count)
--- a/src/coordination/fleet/shard_reports.hpp
+++ b/src/coordination/fleet/shard_reports.hpp
@@ -1,4 +1,4 @@
-// The last summary of every shard, as far as its leader has sent one to this fleet leader.
+// The last summary that this fleet leader has received from each shard.
 #pragma once
 
 #include <map>
@@ -9,37 +9,39 @@
 
 namespace mothslip {
 
-// The last summary of a shard and when it came. Times are seconds of Env::now().
+// The last summary of a shard. Times are in seconds of Env::now().
 struct ShardReport {
   ShardSummary summary;
   double received_at = 0;
-  double leader_since = 0;  // first summary from the shard's present leader
+  double leader_since = 0;  // time of the first summary from the shard's present leader
 };
 
 class ShardReports {
  public:
-  // The arguments outlive this object.
+  // All references must outlive this object.
   ShardReports(const Env& env, const Settings& settings, int shard_count);
 
-  // Replaces the shard's summary, and what was known of its machines. The summary stays where it is until the
-  // shard's next one.
+  // Replaces the shard's summary and the list of its machines. The returned reference is valid until the next
+  // summary of the same shard.
   const ShardSummary& update(ShardSummary summary);
 
-  // By shard.
+  // Returns the reports by shard.
   [[nodiscard]] const std::map<int, ShardReport>& all() const { return reports_; }
+  // Returns true if every shard has sent a summary.
   [[nodiscard]] bool is_complete() const { return static_cast<int>(reports_.size()) == shard_count_; }
   [[nodiscard]] int shard_count() const { return shard_count_; }
-  // The report is recent enough to act on it.
+  // Returns true if the report is recent enough to base decisions on it.
   [[nodiscard]] bool is_recent(const ShardReport& report) const;
 
-  // The machine in the last summary of its shard; null when that does not name it.
+  // Returns the machine as in the last summary of its shard, or null if that summary does not contain it.
   [[nodiscard]] const MachineSummary* machine(const std::string& machine_name) const;
-  // The leader of the machine's shard has sent a summary lately.
+  // Returns true if the leader of the machine's shard has sent a summary recently.
   [[nodiscard]] bool has_recent_report(const std::string& machine_name) const;
-  // The leader of the machine's shard has led it for longer than a lease, so that it knows all machines that
-  // are up. A new leader knows those with placements from its records, the others once they report: of what
-  // it does not name yet, nothing is concluded before. (Incident db4e: idle machines that were up went back
-  // as "never came up" a second after each failover.)
+  // Returns true if the present leader of the machine's shard has led it for longer than a lease. Its summary
+  // then contains all machines that are up. A new leader knows the machines with placements from its records,
+  // and the others only once they have reported. Until then, a machine that is missing from the summary may
+  // be up. In incident db4e, idle machines that were up were returned one second after each failover, as
+  // machines that had never booted.
   [[nodiscard]] bool has_complete_report(const std::string& machine_name) const;
 
  private:
@@ -47,7 +49,7 @@
   const Settings& settings_;
   int shard_count_;
   std::map<int, ShardReport> reports_;                     // by shard
-  std::map<std::string, const MachineSummary*> machines_;  // those in the summaries, by name
+  std::map<std::string, const MachineSummary*> machines_;  // the machines in all summaries, by name
 };
 
 }  // namespace mothslip
--- a/src/coordination/fleet/shard_summary.cpp
+++ b/src/coordination/fleet/shard_summary.cpp
@@ -24,7 +24,8 @@
   return out;
 }
 
-// Machines are lists, not objects: a shard may have hundreds, each told once a second.
+// Machines are written as lists, which are shorter than objects: a shard may have hundreds of machines, and
+// all of them are sent once per second.
 Json to_list(const MachineSummary& machine) {
   Json rooms = Json::array();
   for (const FleetRoom& room : machine.rooms) rooms.push_back(to_list(room));
--- a/src/coordination/fleet/shard_summary.hpp
+++ b/src/coordination/fleet/shard_summary.hpp
@@ -1,5 +1,5 @@
-// What the leader of a shard tells the fleet's leader once a second, and what that answers. Between nodes
-// both travel as JSON.
+// The summary that the leader of each shard sends to the fleet's leader once per second, and the orders that
+// the fleet's leader returns. Nodes exchange both as JSON.
 #pragma once
 
 #include <cstdint>
@@ -13,86 +13,88 @@
 
 namespace mothslip {
 
-// A machine that reports to the shard.
+// A machine whose worker reports to the shard.
 struct MachineSummary {
   std::string name;
   std::string machine_type;
   std::string zone;
   std::string address;
   bool spot = false;
-  bool schedulable = true;  // may anything new be started there
+  bool schedulable = true;  // new tasks may be started on it
   bool faulty = false;
   bool draining = false;
-  bool empty = false;            // nothing placed, and that is durable
-  double silent_s = 0;           // seconds since its last heartbeat
-  double idle_s = 0;             // seconds since it last had a placement
-  std::vector<FleetRoom> rooms;  // free now, and when placed tasks are expected to end
+  bool empty = false;            // no task is placed on it, and the end of each task is recorded
+  double silent_s = 0;           // time since its last heartbeat
+  double idle_s = 0;             // time since it last had a placement
+  std::vector<FleetRoom> rooms;  // room that is free now or when placed tasks are expected to end
 };
 
-// Waiting tasks of one job.
+// The waiting tasks of one job.
 struct DemandSummary {
-  Resources demand{};  // of a task
+  Resources demand{};  // demand of one task
   int count = 0;
-  int team = 0;     // index
-  int urgency = 0;  // see Urgency; 0: best-effort
+  int team = 0;     // index of the team
+  int urgency = 0;  // value of Urgency; 0: best-effort
   double estimated_s = 0;
   double image_gb = 0;
-  double time_left_s = 1e9;  // until the deadline; huge: none
+  double time_left_s = 1e9;  // time until the deadline; 1e9: no deadline
   std::string job_class;
   bool allows_spot = false;
-  std::vector<std::string> machine_types;  // empty: any
-  std::string zone;                        // empty: any
+  std::vector<std::string> machine_types;  // allowed types; empty: any type
+  std::string zone;                        // required zone; empty: any zone
   double submitted_at = 0;                 // seconds since the epoch
-  bool starving = false;                   // of its job nothing has begun for long
-  bool is_gang = false;                    // the tasks start together: they are asked for as one
+  bool starving = false;                   // no task of the job has started for a long time
+  bool is_gang = false;  // the tasks start together and need their machines at the same time
 };
 
-// Work that may only run on ordinary machines: what it takes, and what that varies by.
+// The use of ordinary machines by work that may not run on spot machines.
 struct OrdinaryUse {
   double cores = 0;
-  double squared_cores_sum = 0;      // of the cores of each open job
-  Resources largest_start_demand{};  // that has to be free at once for one of the jobs to start
+  double squared_cores_sum = 0;      // sum over the open jobs of the square of their cores
+  Resources largest_start_demand{};  // the most of each resource that one of the jobs needs at once to start
 
   [[nodiscard]] bool empty() const { return cores <= 0; }
 };
 
-// What a shard has and wants.
+// The machines of a shard and the demand of its jobs.
 struct ShardSummary {
   int shard = 0;
   std::uint64_t fencing_token = 0;
-  std::map<int, double> wanted_by_team;  // cores placed and waiting
+  std::map<int, double> wanted_by_team;  // cores of placed and waiting tasks
   std::map<int, double> used_by_team;
-  double squared_cores_sum =
-      0;  // of the cores that each open job of this shard's own has placed or waiting, summed
+  // The sum, over the open jobs that belong to this shard, of the square of their cores, placed and waiting.
+  double squared_cores_sum = 0;
   OrdinaryUse ordinary_use;
   std::vector<MachineSummary> machines;
   std::vector<DemandSummary> demands;
 
   [[nodiscard]] Json to_json() const;
-  // nullopt when malformed.
+  // Returns nullopt if the value is malformed.
   static std::optional<ShardSummary> from_json(const Json& value);
 };
 
-// Tasks that wait at other shards, so that a shard can keep large machines free for them.
+// Tasks that wait at another shard. The receiving shard can keep large machines free for them.
 struct WaitingHint {
   Resources demand{};
   int urgency = 0;
   bool allows_spot = false;
   bool starving = false;
-  bool startable = false;        // goes before best-effort work, and lacks nothing but room
-  double min_machine_cores = 0;  // of the smallest machine type that can hold it; for the shard to work out
+  bool startable = false;  // has precedence over best-effort work and lacks only room
+  // The cores of the smallest machine type that can hold one task. It is not sent: the receiving shard
+  // computes it.
+  double min_machine_cores = 0;
 };
 
-// What a shard is to do with its machines, by their names.
+// The orders of the fleet's leader to a shard. They refer to machines by name.
 struct FleetOrders {
-  std::vector<std::string> draining;  // start nothing, and let what runs end or move
-  std::vector<std::string> cordoned;  // start nothing that could go elsewhere
-  std::vector<std::string> removed;   // the cloud confirmed it
+  std::vector<std::string> draining;  // start no tasks; let running tasks end or move them
+  std::vector<std::string> cordoned;  // start no tasks that another machine could run
+  std::vector<std::string> removed;   // the cloud has confirmed their return
   std::vector<WaitingHint> waiting;
-  double headroom_share = 0;  // of the machines' cores, kept free of best-effort work
+  double headroom_share = 0;  // fraction of the machines' cores to keep free of best-effort work
 
   [[nodiscard]] Json to_json() const;
-  // Without any orders when malformed.
+  // Returns empty orders if the value is malformed.
   static FleetOrders from_json(const Json& value);
 };
 
