--- a/src/client/exit_code.hpp
+++ b/src/client/exit_code.hpp
@@ -4,7 +4,7 @@
 namespace mothslip::client {
 
 enum class ExitCode : int {
-  kDone = 0,
+  kSuccess = 0,
   kRefused = 1,      // a controller said that the request is wrong
   kUsage = 2,        // the command line is wrong: nothing was asked
   kUnreachable = 3,  // no controller answered
--- a/src/client/main.cpp
+++ b/src/client/main.cpp
@@ -25,7 +25,7 @@
 ExitCode exit_code_of(CallOutcome outcome) {
   switch (outcome) {
     case CallOutcome::kAnswered:
-      return ExitCode::kDone;
+      return ExitCode::kSuccess;
     case CallOutcome::kRefused:
       return ExitCode::kRefused;
     case CallOutcome::kUnavailable:
@@ -36,7 +36,7 @@
   return ExitCode::kUnreachable;
 }
 
-ExitCode fail(const CallResult& result) {
+ExitCode print_error(const CallResult& result) {
   std::cerr << "mothslipctl: " << result.error() << '\n';
   return exit_code_of(result.outcome);
 }
@@ -52,21 +52,21 @@
   return mothslip::client::unaccounted_table(UnaccountedList::from_json(body));
 }
 
-ExitCode show(const CallResult& result, bool json, Render render) {
-  if (!result.ok()) return fail(result);
+ExitCode print_result(const CallResult& result, bool json, Render render) {
+  if (!result.ok()) return print_error(result);
   if (json) {
     std::cout << result.body.dump(2) << '\n';
   } else {
     std::cout << render(result.body);
   }
-  return ExitCode::kDone;
+  return ExitCode::kSuccess;
 }
 
 ExitCode resolve_job(OperatorClient& client, const std::string& job, const std::string& decision) {
   const CallResult result = client.resolve(job, decision);
-  if (!result.ok()) return fail(result);
+  if (!result.ok()) return print_error(result);
   std::cout << job << ": " << decision << '\n';
-  return ExitCode::kDone;
+  return ExitCode::kSuccess;
 }
 
 // What the command line says.
@@ -83,7 +83,7 @@
 };
 
 // Declares options and subcommands; `command` is filled when `app` parses, and must outlive it.
-void declare(CLI::App& app, Command& command) {
+void declare_options(CLI::App& app, Command& command) {
   app.set_version_flag("--version", "mothslipctl " MOTHSLIP_VERSION);
   app.require_subcommand(1);
   app.add_option("--at", command.controllers,
@@ -107,8 +107,9 @@
 ExitCode run(const Command& command) {
   mothslip::EventEnv env;
   OperatorClient client(env, command.controllers, command.timeout_s);
-  if (command.status->parsed()) return show(client.status(), command.json, render_status);
-  if (command.unaccounted->parsed()) return show(client.unaccounted(), command.json, render_unaccounted);
+  if (command.status->parsed()) return print_result(client.status(), command.json, render_status);
+  if (command.unaccounted->parsed())
+    return print_result(client.unaccounted(), command.json, render_unaccounted);
   if (command.resolve->parsed()) return resolve_job(client, command.job, command.decision);
   return ExitCode::kUsage;
 }
@@ -118,11 +119,11 @@
 int main(int argc, char** argv) {
   Command command;
   CLI::App app{"mothslipctl, for those who operate a mothslip cluster"};
-  declare(app, command);
+  declare_options(app, command);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    const ExitCode code = app.exit(error) == 0 ? ExitCode::kDone : ExitCode::kUsage;
+    const ExitCode code = app.exit(error) == 0 ? ExitCode::kSuccess : ExitCode::kUsage;
     return static_cast<int>(code);
   }
   // A controller that closed its end must not end this process.
--- a/src/client/operator_client.cpp
+++ b/src/client/operator_client.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 constexpr double kCallTimeoutSeconds = 3.0;
-constexpr double kPauseSeconds = 0.5;  // between rounds of all controllers
+constexpr double kRetryDelaySeconds = 0.5;  // between rounds of all controllers
 
 // Of an answer with this HTTP status.
 CallOutcome outcome_of(int status) {
@@ -20,17 +20,18 @@
 }
 
 // The list does not show the job as waiting for a decision.
-bool decided(const recovery::UnaccountedList& list, const std::string& job) {
-  return std::none_of(
-      list.entries.begin(), list.entries.end(),
-      [&job](const recovery::UnaccountedEntry& entry) { return entry.job == job && entry.decided.empty(); });
+bool is_decided(const recovery::UnaccountedList& list, const std::string& job) {
+  return std::none_of(list.entries.begin(), list.entries.end(),
+                      [&job](const recovery::UnaccountedEntry& entry) {
+                        return entry.job == job && entry.pending_decision.empty();
+                      });
 }
 }  // namespace
 
 std::string CallResult::error() const {
   if (outcome == CallOutcome::kUnreachable) return "no controller answers";
-  const std::string said = body.is_object() ? body.value("error", "") : "";
-  return controller + ": " + (said.empty() ? "no reason given" : said);
+  const std::string reason = body.is_object() ? body.value("error", "") : "";
+  return controller + ": " + (reason.empty() ? "no reason given" : reason);
 }
 
 OperatorClient::OperatorClient(EventEnv& env, std::vector<std::string> controllers, double timeout_s)
@@ -50,12 +51,13 @@
     if (result.outcome == CallOutcome::kRefused && !accepted) return result;
     accepted |= result.ok();
     CallResult list = unaccounted();
-    if (accepted && list.ok() && decided(recovery::UnaccountedList::from_json(list.body), job)) return list;
+    if (accepted && list.ok() && is_decided(recovery::UnaccountedList::from_json(list.body), job))
+      return list;
     if (env_.now() >= give_up_at) {
       if (result.ok()) result.outcome = CallOutcome::kUnavailable;
       return result;
     }
-    pause(kPauseSeconds);
+    pause(kRetryDelaySeconds);
   }
 }
 
@@ -72,7 +74,7 @@
       if (out.outcome != CallOutcome::kUnavailable) return out;
     }
     if (env_.now() >= give_up_at) return out;
-    pause(kPauseSeconds);
+    pause(kRetryDelaySeconds);
   }
 }
 
@@ -87,8 +89,8 @@
   return out;
 }
 
-void OperatorClient::pause(double seconds) {
-  env_.after(seconds, [this] { env_.stop(); });
+void OperatorClient::pause(double delay_s) {
+  env_.after(delay_s, [this] { env_.stop(); });
   env_.run();
 }
 
--- a/src/client/operator_client.hpp
+++ b/src/client/operator_client.hpp
@@ -49,7 +49,7 @@
   CallResult call(const std::string& method, const std::string& path, const std::string& body);
   HttpReply call_once(const std::string& controller, const std::string& method, const std::string& path,
                       const std::string& body);
-  void pause(double seconds);
+  void pause(double delay_s);
 
   EventEnv& env_;
   std::vector<std::string> controllers_;
--- a/src/client/tables.cpp
+++ b/src/client/tables.cpp
@@ -31,17 +31,18 @@
   return out;
 }
 
-std::string rounded(double seconds) { return std::to_string(std::lround(seconds)) + " s"; }
+std::string duration_text(double duration_s) { return std::to_string(std::lround(duration_s)) + " s"; }
 
 std::string or_dash(const std::string& text) { return text.empty() ? "-" : text; }
 
 std::string rebuild_text(const recovery::RebuildStatus& rebuild) {
-  std::string out = "phase:        " + rebuild.phase + ", since " + rounded(rebuild.since_s) + "\n";
-  if (rebuild.waits_s) out += "waits:        " + rounded(*rebuild.waits_s) + " more\n";
+  std::string out = "phase:        " + rebuild.phase + ", since " + duration_text(rebuild.elapsed_s) + "\n";
+  if (rebuild.remaining_wait_s)
+    out += "waits:        " + duration_text(*rebuild.remaining_wait_s) + " more\n";
   if (rebuild.records)
     out += "records:      " + std::to_string(rebuild.records->written) + " of " +
            std::to_string(rebuild.records->total) + " written\n";
-  for (const std::string& node : rebuild.not_heard) out += "not heard:    " + node + "\n";
+  for (const std::string& node : rebuild.missing_controllers) out += "not heard:    " + node + "\n";
   return out;
 }
 
@@ -56,8 +57,8 @@
     out += (status.serving ? "last reason:  " : "reason:       ") + status.reason + "\n";
   if (!status.recovery) return out;
   const recovery::RecoveryStatus& recovery = *status.recovery;
-  out += "rebuilds:     incarnation " + std::to_string(recovery.begun) +
-         (recovery.leads ? ", led by this controller\n" : ", led by another controller\n");
+  out += "rebuilds:     incarnation " + std::to_string(recovery.target_incarnation) +
+         (recovery.is_leader ? ", led by this controller\n" : ", led by another controller\n");
   if (recovery.rebuild) out += rebuild_text(*recovery.rebuild);
   return out;
 }
@@ -68,7 +69,7 @@
   for (const recovery::UnaccountedEntry& entry : list.entries) {
     const std::string held = entry.held_tasks ? std::to_string(*entry.held_tasks) : "all";
     rows.push_back({or_dash(entry.job), or_dash(entry.team), or_dash(entry.job_class), held,
-                    or_dash(entry.decided), or_dash(entry.reason)});
+                    or_dash(entry.pending_decision), or_dash(entry.reason)});
   }
   return render(rows);
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -17,11 +17,11 @@
 namespace {
 
 // What the process ends with.
-constexpr int kGood = 0;
-constexpr int kFailed = 1;
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;
 constexpr int kBadSettings = 2;  // also: a command line that is not understood
 
-constexpr const char* kTuningFile = "mothslip.ini";
+constexpr const char* kTuningFileName = "mothslip.ini";
 
 struct CommandLine {
   std::string config;  // path of the settings file
@@ -50,7 +50,7 @@
 // The path of the operators' file; empty where there is none.
 std::string tuning_path(const CommandLine& command_line) {
   if (!command_line.tuning.empty()) return command_line.tuning;
-  const auto beside = std::filesystem::path(command_line.config).parent_path() / kTuningFile;
+  const auto beside = std::filesystem::path(command_line.config).parent_path() / kTuningFileName;
   std::error_code ignored;
   return std::filesystem::exists(beside, ignored) ? beside.string() : "";
 }
@@ -84,7 +84,7 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? kGood : kBadSettings;
+    return app.exit(error) == 0 ? kSuccess : kBadSettings;
   }
   mothslip::Settings settings;
   try {
@@ -95,7 +95,7 @@
   }
   if (command_line.check) {
     std::cout << command_line.config << ": good\n";
-    return kGood;
+    return kSuccess;
   }
   // A peer that closed its end must not end this process.
   std::signal(SIGPIPE, SIG_IGN);
@@ -104,7 +104,7 @@
     run(settings);
   } catch (const std::exception& error) {
     spdlog::critical("{}", error.what());
-    return kFailed;
+    return kFailure;
   }
-  return kGood;
+  return kSuccess;
 }
--- a/src/recovery/controller.cpp
+++ b/src/recovery/controller.cpp
@@ -11,11 +11,11 @@
 
 namespace {
 // So long after a rebuilding what was known before it is kept, should records be lost again.
-constexpr double kKeepSnapshotSeconds = 120.0;
+constexpr double kSnapshotRetentionSeconds = 120.0;
 }  // namespace
 
 Controller::Controller(Env& env, Settings settings, Capabilities capabilities)
-    : env_(env), settings_(std::move(settings)), capabilities_(capabilities), started_(env.now()) {}
+    : env_(env), settings_(std::move(settings)), capabilities_(capabilities), started_at_(env.now()) {}
 
 Controller::~Controller() = default;
 
@@ -31,19 +31,21 @@
     return;
   }
   StartUp::Handlers handlers;
-  handlers.suspend = [this](const std::string& why) { suspend(why); };
-  handlers.serve = [this](const Incarnation& incarnation, double doubt_s) { serve(incarnation, doubt_s); };
+  handlers.suspend = [this](const std::string& reason) { suspend(reason); };
+  handlers.serve = [this](const Incarnation& incarnation, double stale_risk_s) {
+    serve(incarnation, stale_risk_s);
+  };
   start_up_ = std::make_unique<StartUp>(env_, settings_, std::move(handlers));
   start_up_->start();
 }
 
 // ---------------------------------------------------------------- changes of mode
 
-void Controller::serve(const Incarnation& incarnation, double doubt_s) {
+void Controller::serve(const Incarnation& incarnation, double stale_risk_s) {
   ServingMode::Options options;
   options.capabilities = capabilities_;
   options.incarnation = incarnation;
-  options.doubt_s = doubt_s;
+  options.stale_risk_s = stale_risk_s;
   if (rebuilding_) {
     options.terminals = rebuilding_->terminals();
     last_snapshot_ = rebuilding_->take_snapshot();
@@ -51,23 +53,23 @@
   incarnation_ = incarnation;
   rebuilding_.reset();
   start_up_.reset();
-  serving_since_ = env_.now();
-  doubt_until_ = env_.now() + doubt_s;
+  serving_started_at_ = env_.now();
+  stale_risk_ends_at_ = env_.now() + stale_risk_s;
   serving_ = std::make_unique<ServingMode>(env_, settings_, options,
-                                           [this](const std::string& why) { suspend(why); });
+                                           [this](const std::string& reason) { suspend(reason); });
   serving_->start();
 }
 
 // Nothing is started, stopped or told from here on but what is final. (Never called from within a mode.)
-void Controller::suspend(const std::string& why) {
+void Controller::suspend(const std::string& reason) {
   if (rebuilding_) return;
-  spdlog::error("recovery: {}: this controller stops deciding", why);
-  reason_ = why;
+  spdlog::error("recovery: {}: this controller stops deciding", reason);
+  reason_ = reason;
   RebuildingMode::Options options;
   if (serving_) options.memory = serving_->memory();
-  options.known = evidence_at_hand(options.memory);
+  options.known_evidence = current_evidence(options.memory);
   options.last = incarnation_;
-  options.process_started = started_;
+  options.process_started_at = started_at_;
   serving_.reset();
   start_up_.reset();
   rebuilding_ = std::make_unique<RebuildingMode>(env_, settings_, options,
@@ -81,17 +83,18 @@
 }
 
 // All that this controller knows at the moment when it stops serving. `memory`: of its node.
-Evidence Controller::evidence_at_hand(const NodeMemory& memory) const {
+Evidence Controller::current_evidence(const NodeMemory& memory) const {
   Evidence out = evidence_of(memory);
-  if (doubt_s() > 0) forget_owners(out);
-  const bool just_rebuilt = serving_since_ > 0 && env_.now() - serving_since_ < kKeepSnapshotSeconds;
+  if (stale_risk_s() > 0) forget_owners(out);
+  const bool just_rebuilt =
+      serving_started_at_ > 0 && env_.now() - serving_started_at_ < kSnapshotRetentionSeconds;
   if (just_rebuilt) out.merge(last_snapshot_.as_surviving_records());
   if (serving_) out.newest = std::max(out.newest, serving_->newest_revision());
   if (start_up_) out.merge(start_up_->reported());
   return out;
 }
 
-double Controller::doubt_s() const { return std::max(0.0, doubt_until_ - env_.now()); }
+double Controller::stale_risk_s() const { return std::max(0.0, stale_risk_ends_at_ - env_.now()); }
 
 // ---------------------------------------------------------------- requests
 
@@ -116,12 +119,12 @@
 // Who asks leads a rebuilding. What is answered has to stay true, so this controller stops serving first. But
 // a request that comes late, when the rebuilding is over, changes nothing any more.
 void Controller::on_evidence_request(const HttpRequest& request, const Responder& responder) {
-  const auto asked = EvidenceRequest::from_json(parse_json(request.body));
-  if (!asked) return responder.send(400, R"({"error":"malformed"})");
-  const bool over = serving_ && asked->begun <= incarnation_.number;
-  if (over) return responder.send(409, R"({"error":"it is over"})");
+  const auto evidence_request = EvidenceRequest::from_json(parse_json(request.body));
+  if (!evidence_request) return responder.send(400, R"({"error":"malformed"})");
+  const bool is_over = serving_ && evidence_request->target_incarnation <= incarnation_.number;
+  if (is_over) return responder.send(409, R"({"error":"it is over"})");
   if (!rebuilding_) suspend("another controller rebuilds the records");
-  responder.send(200, dump_json(rebuilding_->answer(*asked).to_json()));
+  responder.send(200, dump_json(rebuilding_->answer(*evidence_request).to_json()));
 }
 
 ControllerStatus Controller::status() const {
@@ -129,7 +132,7 @@
   out.node = settings_.node;
   out.incarnation = incarnation_.number;
   out.serving = serving();
-  out.doubt_s = doubt_s();
+  out.stale_risk_s = stale_risk_s();
   out.newest_revision = serving_ ? serving_->newest_revision() : 0;
   out.reason = reason_;
   if (rebuilding_) {
--- a/src/recovery/controller.hpp
+++ b/src/recovery/controller.hpp
@@ -36,11 +36,11 @@
   [[nodiscard]] const Incarnation& incarnation() const { return incarnation_; }
 
  private:
-  void serve(const Incarnation& incarnation, double doubt_s);
-  void suspend(const std::string& why);
+  void serve(const Incarnation& incarnation, double stale_risk_s);
+  void suspend(const std::string& reason);
   void resume(const MetaRecord& meta);
-  [[nodiscard]] Evidence evidence_at_hand(const NodeMemory& memory) const;
-  [[nodiscard]] double doubt_s() const;
+  [[nodiscard]] Evidence current_evidence(const NodeMemory& memory) const;
+  [[nodiscard]] double stale_risk_s() const;
   [[nodiscard]] Mode& mode() const;
   void on_evidence_request(const HttpRequest& request, const Responder& responder);
   [[nodiscard]] ControllerStatus status() const;
@@ -48,13 +48,13 @@
   Env& env_;
   Settings settings_;
   Capabilities capabilities_;
-  double started_;  // by the clock of `env_`
+  double started_at_;  // by the clock of `env_`
   Incarnation incarnation_;
   std::string reason_;  // why the records are, or were last, rebuilt
   // Until then what this controller has read may prove to be older than what others saw before it began: it
   // began when no controller served that could know.
-  double doubt_until_ = 0;
-  double serving_since_ = 0;        // 0: it has not served yet
+  double stale_risk_ends_at_ = 0;
+  double serving_started_at_ = 0;   // 0: it has not served yet
   EvidenceSnapshot last_snapshot_;  // of the last rebuilding
 
   // With recovery switched off; else one of the three modes.
--- a/src/recovery/doubt.hpp
+++ b/src/recovery/doubt.hpp
@@ -11,19 +11,19 @@
 namespace mothslip::recovery {
 
 // So long a controller that began when no other served may be proved wrong, in seconds.
-inline constexpr double kDoubtSeconds = 60.0;
+inline constexpr double kStaleRiskSeconds = 60.0;
 
 // So long a controller that begins listens to workers first, where no controller serves, in seconds: the
 // state service has lost nothing unless workers show otherwise within that.
-[[nodiscard]] inline double listening_s(const Settings& settings) {
+[[nodiscard]] inline double report_wait_s(const Settings& settings) {
   constexpr double kReportPeriods = 2.0;
-  constexpr double kLeastSeconds = 2.0;
-  return std::max(kLeastSeconds, kReportPeriods * settings.report_s);
+  constexpr double kMinWaitSeconds = 2.0;
+  return std::max(kMinWaitSeconds, kReportPeriods * settings.report_s);
 }
 
 // So long a node that is in doubt for `doubt_s` more decides nothing; 0 or less: it decides at once.
-[[nodiscard]] inline double hold_back_s(const Settings& settings, double doubt_s) {
-  return doubt_s - (kDoubtSeconds - listening_s(settings));
+[[nodiscard]] inline double hold_back_s(const Settings& settings, double stale_risk_s) {
+  return stale_risk_s - (kStaleRiskSeconds - report_wait_s(settings));
 }
 
 }  // namespace mothslip::recovery
--- a/src/recovery/loss_detector.cpp
+++ b/src/recovery/loss_detector.cpp
@@ -6,27 +6,29 @@
 namespace mothslip::recovery {
 
 LossDetector::LossDetector(std::uint64_t newest, LossHandler on_loss)
-    : newest_(newest), on_loss_(std::move(on_loss)) {}
+    : newest_revision_(newest), on_loss_(std::move(on_loss)) {}
 
 void LossDetector::on_revision(std::uint64_t newest_when_asked, std::uint64_t revision) {
   if (revision < newest_when_asked) {
-    conclude("the state service is at revision " + std::to_string(revision) + " after " +
-             std::to_string(newest_when_asked));
+    report_loss("the state service is at revision " + std::to_string(revision) + " after " +
+                std::to_string(newest_when_asked));
     return;
   }
-  newest_ = std::max(newest_, revision);
+  newest_revision_ = std::max(newest_revision_, revision);
 }
 
-void LossDetector::on_peer_revision(std::uint64_t revision) { newest_ = std::max(newest_, revision); }
+void LossDetector::on_peer_revision(std::uint64_t revision) {
+  newest_revision_ = std::max(newest_revision_, revision);
+}
 
-void LossDetector::on_contradiction(const std::string& what) { conclude(what); }
+void LossDetector::on_contradiction(const std::string& what) { report_loss(what); }
 
-void LossDetector::on_other_incarnation() { conclude("meta is missing or of another incarnation"); }
+void LossDetector::on_other_incarnation() { report_loss("meta is missing or of another incarnation"); }
 
-void LossDetector::conclude(const std::string& why) {
+void LossDetector::report_loss(const std::string& reason) {
   if (lost_) return;
   lost_ = true;
-  on_loss_(why);
+  on_loss_(reason);
 }
 
 }  // namespace mothslip::recovery
--- a/src/recovery/loss_detector.hpp
+++ b/src/recovery/loss_detector.hpp
@@ -18,11 +18,11 @@
 class LossDetector final : public StateMonitor {
  public:
   // Called once, from within whatever the node was doing: it must not destroy the node there.
-  using LossHandler = std::function<void(const std::string& why)>;
+  using LossHandler = std::function<void(const std::string& reason)>;
   // `newest`: the newest revision that is known to begin with.
   LossDetector(std::uint64_t newest, LossHandler on_loss);
 
-  [[nodiscard]] std::uint64_t newest() const override { return newest_; }
+  [[nodiscard]] std::uint64_t newest() const override { return newest_revision_; }
   [[nodiscard]] bool lost() const override { return lost_; }
   void on_revision(std::uint64_t newest_when_asked, std::uint64_t revision) override;
   void on_peer_revision(std::uint64_t revision) override;
@@ -30,9 +30,9 @@
   void on_other_incarnation() override;
 
  private:
-  void conclude(const std::string& why);
+  void report_loss(const std::string& reason);
 
-  std::uint64_t newest_;  // revision that anybody is known to have seen
+  std::uint64_t newest_revision_;  // revision that anybody is known to have seen
   bool lost_ = false;
   LossHandler on_loss_;
 };
--- a/src/recovery/messages.cpp
+++ b/src/recovery/messages.cpp
@@ -10,7 +10,7 @@
 
 struct DecisionName {
   const char* name;
-  HeldDecision what;
+  HeldDecision kind;
 };
 constexpr DecisionName kDecisions[] = {
     {"done", HeldDecision::kDone}, {"rerun", HeldDecision::kRerun}, {"cancelled", HeldDecision::kCancelled}};
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Json EvidenceRequest::to_json() const { return {{"begun", begun}, {"piece", chunk}}; }
+Json EvidenceRequest::to_json() const { return {{"begun", target_incarnation}, {"piece", chunk}}; }
 
 std::optional<EvidenceRequest> EvidenceRequest::from_json(const Json& value) {
   if (!value.is_object()) return std::nullopt;
@@ -50,12 +50,12 @@
   return out;
 }
 
-Json LeaderRecord::to_json() const { return {{"node", node}, {"begun", begun}}; }
+Json LeaderRecord::to_json() const { return {{"node", node}, {"begun", target_incarnation}}; }
 
 Json Decision::to_json() const {
   Json out = {{"job", ref}, {"relayed", relayed}};
   for (const DecisionName& each : kDecisions) {
-    if (each.what == what) out["as"] = each.name;
+    if (each.kind == kind) out["as"] = each.name;
   }
   return out;
 }
@@ -67,7 +67,7 @@
   out.relayed = value.value("relayed", false);
   for (const DecisionName& each : kDecisions) {
     if (value["as"] != each.name) continue;
-    out.what = each.what;
+    out.kind = each.kind;
     return is_valid_ref(out.ref) ? std::optional(out) : std::nullopt;
   }
   return std::nullopt;
--- a/src/recovery/messages.hpp
+++ b/src/recovery/messages.hpp
@@ -20,8 +20,8 @@
 // The question: one chunk of what the asked controller knows. Asked for a rebuilding that it has not heard
 // of, it stops serving before it answers, so that what it says stays true.
 struct EvidenceRequest {
-  int begun = 0;          // the incarnation that is being rebuilt
-  std::size_t chunk = 0;  // counted from 0
+  int target_incarnation = 0;  // the incarnation that is being rebuilt
+  std::size_t chunk = 0;       // counted from 0
   [[nodiscard]] Json to_json() const;
   static std::optional<EvidenceRequest> from_json(const Json& value);
 };
@@ -39,14 +39,14 @@
 // its revision count; what it says is for people.
 struct LeaderRecord {
   std::string node;
-  int begun = 0;  // the incarnation that is being rebuilt
+  int target_incarnation = 0;  // the incarnation that is being rebuilt
   [[nodiscard]] Json to_json() const;
 };
 
 // What an operator says about a job that could not be accounted for.
 struct Decision {
   std::string ref;
-  ShardLeader::HeldDecision what = ShardLeader::HeldDecision::kDone;
+  ShardLeader::HeldDecision kind = ShardLeader::HeldDecision::kDone;
   bool relayed = false;  // by another controller, to the owner of the job's shard
   [[nodiscard]] Json to_json() const;
   static std::optional<Decision> from_json(const Json& value);
--- a/src/recovery/operator_messages.cpp
+++ b/src/recovery/operator_messages.cpp
@@ -5,9 +5,9 @@
 namespace mothslip::recovery {
 
 Json RebuildStatus::to_json() const {
-  Json out = {{"phase", phase},    {"since_s", since_s},  {"not_heard", not_heard},
-              {"open", open_jobs}, {"ended", ended_jobs}, {"unaccounted", unaccounted_jobs}};
-  if (waits_s) out["waits_s"] = *waits_s;
+  Json out = {{"phase", phase},    {"since_s", elapsed_s}, {"not_heard", missing_controllers},
+              {"open", open_jobs}, {"ended", ended_jobs},  {"unaccounted", unaccounted_jobs}};
+  if (remaining_wait_s) out["waits_s"] = *remaining_wait_s;
   if (records) {
     out["records"] = records->total;
     out["written"] = records->written;
@@ -18,35 +18,39 @@
 RebuildStatus RebuildStatus::from_json(const Json& value) {
   RebuildStatus out;
   out.phase = value.value("phase", "");
-  out.since_s = value.value("since_s", 0.0);
-  const Json not_heard = value.value("not_heard", Json::array());
-  for (const Json& node : not_heard) out.not_heard.push_back(node.get<std::string>());
+  out.elapsed_s = value.value("since_s", 0.0);
+  const Json missing_controllers = value.value("not_heard", Json::array());
+  for (const Json& node : missing_controllers) out.missing_controllers.push_back(node.get<std::string>());
   out.open_jobs = value.value("open", 0);
   out.ended_jobs = value.value("ended", 0);
   out.unaccounted_jobs = value.value("unaccounted", 0);
-  if (value.contains("waits_s")) out.waits_s = value["waits_s"].get<double>();
+  if (value.contains("waits_s")) out.remaining_wait_s = value["waits_s"].get<double>();
   if (value.contains("records"))
     out.records = Records{value["records"].get<std::size_t>(), value.value("written", std::size_t{0})};
   return out;
 }
 
 Json RecoveryStatus::to_json() const {
-  Json out = {{"begun", begun}, {"leads", leads}};
+  Json out = {{"begun", target_incarnation}, {"leads", is_leader}};
   if (rebuild) out["rebuild"] = rebuild->to_json();
   return out;
 }
 
 RecoveryStatus RecoveryStatus::from_json(const Json& value) {
   RecoveryStatus out;
-  out.begun = value.value("begun", 0);
-  out.leads = value.value("leads", false);
+  out.target_incarnation = value.value("begun", 0);
+  out.is_leader = value.value("leads", false);
   if (value.contains("rebuild")) out.rebuild = RebuildStatus::from_json(value["rebuild"]);
   return out;
 }
 
 Json ControllerStatus::to_json() const {
-  Json out = {{"node", node},       {"incarnation", incarnation}, {"serving", serving},
-              {"doubt_s", doubt_s}, {"newest", newest_revision},  {"reason", reason}};
+  Json out = {{"node", node},
+              {"incarnation", incarnation},
+              {"serving", serving},
+              {"doubt_s", stale_risk_s},
+              {"newest", newest_revision},
+              {"reason", reason}};
   if (recovery) {
     out["recovery"] = recovery->to_json();
     out["suspended_s"] = suspended_s;
@@ -59,7 +63,7 @@
   out.node = value.value("node", "");
   out.incarnation = value.value("incarnation", 0);
   out.serving = value.value("serving", false);
-  out.doubt_s = value.value("doubt_s", 0.0);
+  out.stale_risk_s = value.value("doubt_s", 0.0);
   out.newest_revision = value.value("newest", std::uint64_t{0});
   out.reason = value.value("reason", "");
   if (value.contains("recovery")) out.recovery = RecoveryStatus::from_json(value["recovery"]);
@@ -69,11 +73,11 @@
 
 Json UnaccountedEntry::to_json() const {
   Json out = {{"job", job}, {"reason", reason}};
-  if (!readable) return out;
+  if (!is_readable) return out;
   out["team"] = team;
   out["class"] = job_class;
   out["may_have_ended"] = may_have_ended;
-  out["decided"] = decided;
+  out["decided"] = pending_decision;
   if (held_tasks) out["held_tasks"] = *held_tasks;
   return out;
 }
@@ -82,11 +86,11 @@
   UnaccountedEntry out;
   out.job = value.value("job", "");
   out.reason = value.value("reason", "");
-  out.readable = value.contains("team");
+  out.is_readable = value.contains("team");
   out.team = value.value("team", "");
   out.job_class = value.value("class", "");
   out.may_have_ended = value.value("may_have_ended", false);
-  out.decided = value.value("decided", "");
+  out.pending_decision = value.value("decided", "");
   if (value.contains("held_tasks")) out.held_tasks = value["held_tasks"].get<int>();
   return out;
 }
--- a/src/recovery/operator_messages.hpp
+++ b/src/recovery/operator_messages.hpp
@@ -23,14 +23,15 @@
 
 // How far a rebuilding is, as its leader knows.
 struct RebuildStatus {
-  std::string phase;                   // gathering, waiting, reading, writing or publishing
-  double since_s = 0;                  // since this controller took the lead
-  std::vector<std::string> not_heard;  // controllers that did not answer with their evidence in time
+  std::string phase;     // gathering, waiting, reading, writing or publishing
+  double elapsed_s = 0;  // since this controller took the lead
+  std::vector<std::string>
+      missing_controllers;  // controllers that did not answer with their evidence in time
   int open_jobs = 0;
   int ended_jobs = 0;
   int unaccounted_jobs = 0;
   // While waiting until nothing runs: so long yet.
-  std::optional<double> waits_s;
+  std::optional<double> remaining_wait_s;
   // From when on it is known how many records there are to write.
   struct Records {
     std::size_t total = 0;
@@ -44,8 +45,8 @@
 
 // What a controller that does not serve knows of the rebuilding.
 struct RecoveryStatus {
-  int begun = 0;                         // the incarnation that is being rebuilt
-  bool leads = false;                    // this controller leads the rebuilding
+  int target_incarnation = 0;            // the incarnation that is being rebuilt
+  bool is_leader = false;                // this controller leads the rebuilding
   std::optional<RebuildStatus> rebuild;  // of the leader only
 
   [[nodiscard]] Json to_json() const;
@@ -57,7 +58,7 @@
   int incarnation = 0;  // that it serves, or served last
   bool serving = false;
   // So long yet what this controller has read may prove to be older than what others saw before it began.
-  double doubt_s = 0;
+  double stale_risk_s = 0;
   std::uint64_t newest_revision = 0;  // that this controller has heard of; 0 while it does not serve
   std::string reason;                 // why records are, or were last, rebuilt
   // While records are being rebuilt.
@@ -73,11 +74,11 @@
   std::string job;
   std::string reason;
   // False: its record cannot be read, and nothing below is known.
-  bool readable = true;
+  bool is_readable = true;
   std::string team;
   std::string job_class;
   bool may_have_ended = false;
-  std::string decided;            // what an operator has decided without its being carried out yet
+  std::string pending_decision;   // what an operator has decided without its being carried out yet
   std::optional<int> held_tasks;  // nothing: all
 
   [[nodiscard]] Json to_json() const;
--- a/src/recovery/rebuild.cpp
+++ b/src/recovery/rebuild.cpp
@@ -58,12 +58,12 @@
 RebuildStatus Rebuild::status() const {
   RebuildStatus out;
   out.phase = phase_name(phase_);
-  out.since_s = env_.now() - began_;
-  out.not_heard = missing_;
+  out.elapsed_s = env_.now() - began_;
+  out.missing_controllers = missing_;
   out.open_jobs = counts_.open;
   out.ended_jobs = counts_.ended;
   out.unaccounted_jobs = counts_.unaccounted;
-  if (phase_ == RebuildPhase::kWaiting) out.waits_s = std::max(0.0, quiet_at() - env_.now());
+  if (phase_ == RebuildPhase::kWaiting) out.remaining_wait_s = std::max(0.0, quiet_at() - env_.now());
   if (writer_) out.records = RebuildStatus::Records{writer_->total(), writer_->written()};
   return out;
 }
--- a/src/recovery/rebuilding_mode.cpp
+++ b/src/recovery/rebuilding_mode.cpp
@@ -7,8 +7,8 @@
 RebuildingMode::RebuildingMode(Env& env, const Settings& settings, const Options& options,
                                const PublishedHandler& published)
     : outer_env_(env),
-      process_started_(options.process_started),
-      snapshot_(options.known, env.now()),
+      process_started_at_(options.process_started_at),
+      snapshot_(options.known_evidence, env.now()),
       service_(options.memory, env.now()),
       env_(env),
       recovery_(context(settings, options, published)) {}
@@ -20,7 +20,7 @@
   out.settings = &settings;
   out.last = options.last;
   out.shards = options.memory.shards;
-  out.process_started = options.process_started;
+  out.process_started_at = options.process_started_at;
   out.own_evidence = [this] { return own_evidence(); };
   // (The handler ends this object, so it is called from a timer, and by a copy of its own.)
   out.published = [this, published](const MetaRecord& meta) {
@@ -40,7 +40,7 @@
 EvidenceReply RebuildingMode::answer(const EvidenceRequest& request) const {
   EvidenceReply out;
   out.chunk_count = chunk_count();
-  out.uptime_s = outer_env_.now() - process_started_;
+  out.uptime_s = outer_env_.now() - process_started_at_;
   out.evidence = chunk(request.chunk);
   return out;
 }
--- a/src/recovery/rebuilding_mode.hpp
+++ b/src/recovery/rebuilding_mode.hpp
@@ -19,10 +19,10 @@
 class RebuildingMode final : public Mode {
  public:
   struct Options {
-    NodeMemory memory;           // of the node that served until now; empty: none did
-    Evidence known;              // all that this controller knows now
-    Incarnation last;            // that it served
-    double process_started = 0;  // by the clock of `env`
+    NodeMemory memory;              // of the node that served until now; empty: none did
+    Evidence known_evidence;        // all that this controller knows now
+    Incarnation last;               // that it served
+    double process_started_at = 0;  // by the clock of `env`
   };
   // A new incarnation is published. Called once, never from within this object.
   using PublishedHandler = std::function<void(const MetaRecord& meta)>;
@@ -50,7 +50,7 @@
   [[nodiscard]] Evidence own_evidence() const;
 
   Env& outer_env_;
-  double process_started_;
+  double process_started_at_;
   EvidenceSnapshot snapshot_;
   SuspendedService service_;
   ScopedEnv env_;  // what is under way ends with this object
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -23,7 +23,7 @@
     const Settings* settings = nullptr;
     Incarnation last;                        // that this controller served
     int shards = 0;                          // of the cluster; 0: not known
-    double process_started = 0;              // by the clock of `env`
+    double process_started_at = 0;           // by the clock of `env`
     std::function<Evidence()> own_evidence;  // all that this controller knows
     // A new incarnation is published. Must not destroy this object from within.
     std::function<void(const MetaRecord&)> published;
@@ -34,19 +34,19 @@
   [[nodiscard]] RecoveryStatus status() const;
 
  private:
-  void look();
-  void look_again();
+  void read_meta();
+  void read_meta_later();
   void on_meta(const StateReply& reply);
-  void look_for_leader(const MetaRecord& meta, std::uint64_t meta_revision);
+  void check_for_leader(const MetaRecord& meta, std::uint64_t meta_revision);
   void claim(const MetaRecord& meta, std::uint64_t meta_revision);
-  void claim_with(std::uint64_t lease, const MetaRecord& meta, std::uint64_t meta_revision);
-  void lead(std::uint64_t lease, const MetaRecord& meta, std::uint64_t revision);
+  void claim_with_lease(std::uint64_t lease, const MetaRecord& meta, std::uint64_t meta_revision);
+  void start_leading(std::uint64_t lease, const MetaRecord& meta, std::uint64_t revision);
   void renew(std::uint64_t lease);
   void stop_leading();
 
   Context ctx_;
   StateClient store_;
-  int begun_;                // the incarnation that is being rebuilt, as far as is known here
+  int target_incarnation_;   // the incarnation that is being rebuilt, as far as is known here
   std::uint64_t lease_ = 0;  // under which this controller leads; 0: it does not
   std::unique_ptr<Rebuild> rebuild_;
 };
--- a/src/recovery/serving_mode.cpp
+++ b/src/recovery/serving_mode.cpp
@@ -11,14 +11,14 @@
 // called from a timer, which is gone if this object is.)
 ServingMode::ServingMode(Env& env, const Settings& settings, const Options& options, LossHandler on_loss)
     : detector_(options.incarnation.token_offset,
-                [this, on_loss = std::move(on_loss)](const std::string& why) {
-                  env_.after(0, [on_loss, why] { on_loss(why); });
+                [this, on_loss = std::move(on_loss)](const std::string& reason) {
+                  env_.after(0, [on_loss, reason] { on_loss(reason); });
                 }),
       env_(env),
       node_(env_, settings, options.capabilities, options.incarnation, &detector_),
       unaccounted_(env_, settings, options.incarnation, node_) {
   for (const auto& [ref, status] : options.terminals) node_.note_terminal(ref, status);
-  const double hold_back = hold_back_s(settings, options.doubt_s);
+  const double hold_back = hold_back_s(settings, options.stale_risk_s);
   if (hold_back > 0) node_.hold_back(hold_back);
 }
 
--- a/src/recovery/serving_mode.hpp
+++ b/src/recovery/serving_mode.hpp
@@ -21,10 +21,10 @@
     Capabilities capabilities;
     Incarnation incarnation;                     // of the records
     std::map<std::string, JobStatus> terminals;  // known before, by job
-    double doubt_s = 0;                          // so long the records may prove not to be recent (doubt.hpp)
+    double stale_risk_s = 0;                     // so long the records may prove not to be recent (doubt.hpp)
   };
   // Called at most once, and never from within the node.
-  using LossHandler = std::function<void(const std::string& why)>;
+  using LossHandler = std::function<void(const std::string& reason)>;
   ServingMode(Env& env, const Settings& settings, const Options& options, LossHandler on_loss);
 
   void start() { node_.start(); }
--- a/src/recovery/start_up.cpp
+++ b/src/recovery/start_up.cpp
@@ -11,9 +11,9 @@
 namespace mothslip::recovery {
 
 namespace {
-constexpr double kRetrySeconds = 0.3;
+constexpr double kRetryDelaySeconds = 0.3;
 constexpr double kPeerTimeoutSeconds = 1.0;
-constexpr int kOk = 200;
+constexpr int kHttpOk = 200;
 }  // namespace
 
 StartUp::StartUp(Env& env, const Settings& settings, Handlers handlers)
@@ -24,28 +24,28 @@
       service_(NodeMemory{}, env.now()),
       store_(env_, settings) {}
 
-void StartUp::start() { look_at_meta(); }
+void StartUp::start() { read_meta(); }
 
-void StartUp::look_at_meta() {
+void StartUp::read_meta() {
   store_.get(RequestPriority::kLease, keys::kMeta, [this](const StateReply& reply) { on_meta(reply); });
 }
 
 void StartUp::on_meta(const StateReply& reply) {
   meta_ = meta_of(reply);
   if (meta_ && meta_->rebuilding()) {
-    conclude_loss("records are being rebuilt");
+    report_loss("records are being rebuilt");
   } else if (meta_ || reply.outcome == Outcome::kMissing) {
     ask_peers();
   } else {
-    env_.after(kRetrySeconds, [this] { look_at_meta(); });
+    env_.after(kRetryDelaySeconds, [this] { read_meta(); });
   }
 }
 
 // This process remembers nothing that could contradict the state service. Others may: controllers that serve,
 // or else workers with tokens and tasks.
 void StartUp::ask_peers() {
-  peers_asked_ = settings_.members.size();
-  if (peers_asked_ == 0) return listen_to_workers();
+  pending_peers_ = settings_.members.size();
+  if (pending_peers_ == 0) return wait_for_reports();
   for (const Member& member : settings_.members) {
     env_.call({member.address, "GET", kStatusPath, "", kPeerTimeoutSeconds},
               [this](const HttpReply& reply) { on_peer_status(reply); });
@@ -54,27 +54,28 @@
 
 void StartUp::on_peer_status(const HttpReply& reply) {
   const Json body = parse_json(reply.body);
-  if (reply.status == kOk && body.is_object()) {
+  if (reply.status == kHttpOk && body.is_object()) {
     const ControllerStatus peer = ControllerStatus::from_json(body);
-    if (peer.serving) least_doubt_s_ = std::min(least_doubt_s_.value_or(kDoubtSeconds), peer.doubt_s);
-    newest_of_peers_ = std::max(newest_of_peers_, peer.newest_revision);
+    if (peer.serving)
+      min_stale_risk_s_ = std::min(min_stale_risk_s_.value_or(kStaleRiskSeconds), peer.stale_risk_s);
+    newest_peer_revision_ = std::max(newest_peer_revision_, peer.newest_revision);
   }
-  if (--peers_asked_ > 0) return;
-  if (least_doubt_s_) {
-    look_for_loss();
+  if (--pending_peers_ > 0) return;
+  if (min_stale_risk_s_) {
+    check_for_loss();
   } else {
-    listen_to_workers();
+    wait_for_reports();
   }
 }
 
-void StartUp::listen_to_workers() {
-  env_.after(listening_s(settings_), [this] { look_for_loss(); });
+void StartUp::wait_for_reports() {
+  env_.after(report_wait_s(settings_), [this] { check_for_loss(); });
 }
 
-void StartUp::look_for_loss() {
+void StartUp::check_for_loss() {
   store_.get(RequestPriority::kLease, keys::kRevisionProbe, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
-      env_.after(kRetrySeconds, [this] { look_for_loss(); });
+      env_.after(kRetryDelaySeconds, [this] { check_for_loss(); });
     } else {
       compare_with_store(reply.revision());
     }
@@ -84,19 +85,20 @@
 // `stored_revision`: as the state service counts, without the incarnation's offset.
 void StartUp::compare_with_store(std::uint64_t stored_revision) {
   const Incarnation incarnation = meta_ ? meta_->incarnation : Incarnation{};
-  const std::uint64_t newest_known = std::max(reported().newest, newest_of_peers_);
+  const std::uint64_t newest_known = std::max(reported().newest, newest_peer_revision_);
   const bool service_is_behind = newest_known > KeySpace(incarnation).to_own(stored_revision);
   // (An empty service, at the very first start, has no workers with tasks.)
-  const bool emptied = !meta_ && !reported().jobs.empty();
-  if (service_is_behind || emptied)
-    return conclude_loss("workers or controllers know of what the state service does not");
+  const bool records_missing = !meta_ && !reported().jobs.empty();
+  if (service_is_behind || records_missing)
+    return report_loss("workers or controllers know of what the state service does not");
   // (Where there are no records, none can be misread.)
-  const double doubt_s = meta_ ? least_doubt_s_.value_or(kDoubtSeconds) : 0;
-  outer_env_.after(0, [serve = handlers_.serve, incarnation, doubt_s] { serve(incarnation, doubt_s); });
+  const double stale_risk_s = meta_ ? min_stale_risk_s_.value_or(kStaleRiskSeconds) : 0;
+  outer_env_.after(
+      0, [serve = handlers_.serve, incarnation, stale_risk_s] { serve(incarnation, stale_risk_s); });
 }
 
-void StartUp::conclude_loss(const std::string& why) {
-  outer_env_.after(0, [suspend = handlers_.suspend, why] { suspend(why); });
+void StartUp::report_loss(const std::string& reason) {
+  outer_env_.after(0, [suspend = handlers_.suspend, reason] { suspend(reason); });
 }
 
 void StartUp::on_client_request(const HttpRequest& request, const Responder& responder) {
--- a/src/recovery/start_up.hpp
+++ b/src/recovery/start_up.hpp
@@ -21,9 +21,9 @@
   // then, if the controller was asked for evidence meanwhile).
   struct Handlers {
     // Records are lost or being rebuilt.
-    std::function<void(const std::string& why)> suspend;
+    std::function<void(const std::string& reason)> suspend;
     // The records are those of this incarnation; for `doubt_s` more that may be proved wrong.
-    std::function<void(const Incarnation& incarnation, double doubt_s)> serve;
+    std::function<void(const Incarnation& incarnation, double stale_risk_s)> serve;
   };
   StartUp(Env& env, const Settings& settings, Handlers handlers);
 
@@ -34,14 +34,14 @@
   [[nodiscard]] const Evidence& reported() const { return service_.reported(); }
 
  private:
-  void look_at_meta();
+  void read_meta();
   void on_meta(const StateReply& reply);
   void ask_peers();
   void on_peer_status(const HttpReply& reply);
-  void listen_to_workers();
-  void look_for_loss();
+  void wait_for_reports();
+  void check_for_loss();
   void compare_with_store(std::uint64_t stored_revision);
-  void conclude_loss(const std::string& why);
+  void report_loss(const std::string& reason);
 
   Env& outer_env_;  // of the controller: what it calls outlives this object
   ScopedEnv env_;   // what is under way ends with this object
@@ -49,10 +49,10 @@
   Handlers handlers_;
   SuspendedService service_;
   StateClient store_;
-  std::optional<MetaRecord> meta_;       // as read; nothing: there is none
-  std::size_t peers_asked_ = 0;          // that have not answered yet
-  std::uint64_t newest_of_peers_ = 0;    // newest revision that a peer has heard of
-  std::optional<double> least_doubt_s_;  // of the peers that serve
+  std::optional<MetaRecord> meta_;          // as read; nothing: there is none
+  std::size_t pending_peers_ = 0;           // that have not answered yet
+  std::uint64_t newest_peer_revision_ = 0;  // newest revision that a peer has heard of
+  std::optional<double> min_stale_risk_s_;  // of the peers that serve
 };
 
 }  // namespace mothslip::recovery
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 constexpr int kRetryAfterSeconds = 2;
-constexpr int kRetrySoonSeconds = 1;  // for workers and those who ask whether the controller is ready
-constexpr std::string_view kUserApi = "/v2/";
-constexpr std::string_view kRuns = "/v2/runs";
-constexpr std::string_view kCancel = "/cancel";
+constexpr int kShortRetryAfterSeconds = 1;  // for workers and those who ask whether the controller is ready
+constexpr std::string_view kUserApiPrefix = "/v2/";
+constexpr std::string_view kJobs = "/v2/runs";
+constexpr std::string_view kCancelSuffix = "/cancel";
 
 void send_rebuilding(const Responder& responder, int retry_after_s) {
   responder.send(503, R"({"error":"records are being rebuilt"})", retry_after_s);
@@ -24,20 +24,20 @@
 }
 
 // What a user asks about: a job, and whether it is to be cancelled.
-struct UserQuestion {
+struct UserRequest {
   std::string ref;  // empty: none
-  bool cancellation = false;
+  bool is_cancellation = false;
 };
 
-UserQuestion question_of(const HttpRequest& request) {
-  UserQuestion out;
-  out.cancellation = ends_with(request.path, kCancel);
-  if (request.path == kRuns) {
+UserRequest user_request_of(const HttpRequest& request) {
+  UserRequest out;
+  out.is_cancellation = ends_with(request.path, kCancelSuffix);
+  if (request.path == kJobs) {
     const Json body = parse_json(request.body);
     if (body.is_object() && body.value("ref", Json("")).is_string()) out.ref = body.value("ref", "");
-  } else if (request.path.rfind(kRuns, 0) == 0 && request.path.size() > kRuns.size() + 1) {
-    out.ref = request.path.substr(kRuns.size() + 1);
-    if (out.cancellation) out.ref.resize(out.ref.size() - kCancel.size());
+  } else if (request.path.rfind(kJobs, 0) == 0 && request.path.size() > kJobs.size() + 1) {
+    out.ref = request.path.substr(kJobs.size() + 1);
+    if (out.is_cancellation) out.ref.resize(out.ref.size() - kCancelSuffix.size());
   }
   return out;
 }
@@ -52,32 +52,32 @@
 
 void SuspendedService::on_client_request(const HttpRequest& request, const Responder& responder, double now) {
   if (request.path == "/ready") {
-    responder.send(503, R"({"ready":false})", kRetrySoonSeconds);
+    responder.send(503, R"({"ready":false})", kShortRetryAfterSeconds);
   } else if (request.path == "/hello") {
     const auto report = parse_report(parse_json(request.body));
     if (!report) return responder.send(400, R"({"error":"malformed report"})");
     on_report(*report, responder, now);
   } else {
-    on_user(request, responder);
+    on_user_request(request, responder);
   }
 }
 
 void SuspendedService::on_peer_request(const HttpRequest& request, const Responder& responder, double now) {
-  const bool passed_on = request.path.rfind(kUserApi, 0) == 0;
-  if (passed_on) return on_client_request(request, responder, now);
-  send_rebuilding(responder, kRetrySoonSeconds);
+  const bool is_user_request = request.path.rfind(kUserApiPrefix, 0) == 0;
+  if (is_user_request) return on_client_request(request, responder, now);
+  send_rebuilding(responder, kShortRetryAfterSeconds);
 }
 
 void SuspendedService::on_report(const Report& report, const Responder& responder, double now) {
-  note_reported_tasks(report);
+  record_reported_tasks(report);
   if (const auto token = renewal_token(report, now)) {
     responder.send(200, orders_body(*token, std::nullopt, {}));
   } else {
-    send_rebuilding(responder, kRetrySoonSeconds);
+    send_rebuilding(responder, kShortRetryAfterSeconds);
   }
 }
 
-void SuspendedService::note_reported_tasks(const Report& report) {
+void SuspendedService::record_reported_tasks(const Report& report) {
   reported_.newest = std::max(reported_.newest, newest_reported_revision(report));
   for (const TaskReport& task : report.tasks) {
     const auto index = static_cast<std::uint32_t>(task.index);
@@ -94,18 +94,18 @@
   if (found == renewals_.end()) return std::nullopt;
   const Renewal& renewal = found->second;
   const bool later_owner_seen = report.fencing_token > renewal.token;
-  if (later_owner_seen || now >= renewal.until) return std::nullopt;
+  if (later_owner_seen || now >= renewal.expires_at) return std::nullopt;
   return renewal.token;
 }
 
 // A terminal state is final whatever was lost.
-void SuspendedService::on_user(const HttpRequest& request, const Responder& responder) const {
-  const UserQuestion question = question_of(request);
-  const auto known = terminals_.find(question.ref);
-  if (known == terminals_.end()) return send_rebuilding(responder, kRetryAfterSeconds);
-  const JobStatus& status = known->second;
-  responder.send(200, question.cancellation ? cancellation_body(question.ref, status.phase)
-                                            : status.to_body(question.ref));
+void SuspendedService::on_user_request(const HttpRequest& request, const Responder& responder) const {
+  const UserRequest user_request = user_request_of(request);
+  const auto terminal = terminals_.find(user_request.ref);
+  if (terminal == terminals_.end()) return send_rebuilding(responder, kRetryAfterSeconds);
+  const JobStatus& status = terminal->second;
+  responder.send(200, user_request.is_cancellation ? cancellation_body(user_request.ref, status.phase)
+                                                   : status.to_body(user_request.ref));
 }
 
 }  // namespace mothslip::recovery
--- a/src/recovery/suspended_service.hpp
+++ b/src/recovery/suspended_service.hpp
@@ -33,14 +33,14 @@
 
  private:
   void on_report(const Report& report, const Responder& responder, double now);
-  void note_reported_tasks(const Report& report);
+  void record_reported_tasks(const Report& report);
   [[nodiscard]] std::optional<std::uint64_t> renewal_token(const Report& report, double now) const;
-  void on_user(const HttpRequest& request, const Responder& responder) const;
+  void on_user_request(const HttpRequest& request, const Responder& responder) const;
 
   // The leases of the workers of a shard may be renewed with this fencing token until then.
   struct Renewal {
     std::uint64_t token = 0;
-    double until = 0;
+    double expires_at = 0;
   };
   int shards_;                       // of the cluster; 0: not known
   std::map<int, Renewal> renewals_;  // by shard that this controller owned
--- a/src/recovery/unaccounted_jobs.cpp
+++ b/src/recovery/unaccounted_jobs.cpp
@@ -12,20 +12,20 @@
 namespace {
 
 constexpr double kRelayTimeoutSeconds = 2.0;
-constexpr double kListShare = 0.1;  // of the state service's limits, at the most
+constexpr double kMaxStateServiceShare = 0.1;  // of the state service's limits, at the most
 constexpr int kRetryAfterSeconds = 1;
 
 UnaccountedEntry entry_of(const StateItem& item) {
   const auto record = UnaccountedRecord::from_json(item.data);
   UnaccountedEntry out;
   out.job = item.key.substr(item.key.rfind('/') + 1);
-  out.readable = record.has_value();
+  out.is_readable = record.has_value();
   out.reason = record ? record->reason : "its record cannot be read";
   if (!record) return out;
   out.team = record->team;
   out.job_class = record->job_class;
   out.may_have_ended = record->may_have_ended;
-  out.decided = record->rerun ? "rerun" : "";
+  out.pending_decision = record->rerun ? "rerun" : "";
   if (!record->all_held) out.held_tasks = record->held.size();
   return out;
 }
@@ -35,7 +35,7 @@
 UnaccountedJobs::UnaccountedJobs(Env& env, const Settings& settings, const Incarnation& incarnation,
                                  Node& node)
     : env_(env), store_(env, settings, incarnation), node_(node) {
-  store_.set_share(kListShare);
+  store_.set_share(kMaxStateServiceShare);
 }
 
 void UnaccountedJobs::list(const Responder& responder) {
@@ -57,7 +57,7 @@
   if (node_.shards() == 0) return responder.send(503, R"({"error":"starting"})", kRetryAfterSeconds);
   const int shard = shard_of(decision->ref, node_.shards());
   if (ShardLeader* leader = node_.owned_shard(shard); leader != nullptr) {
-    if (leader->resolve_held(decision->ref, decision->what)) {
+    if (leader->resolve_held(decision->ref, decision->kind)) {
       responder.send(202, dump_json({{"job", decision->ref}}));
     } else {
       responder.send(404, R"({"error":"the job is not unaccounted"})");
@@ -71,9 +71,9 @@
   const std::string address = node_.owner_address(shard);
   if (address.empty() || decision.relayed)
     return responder.send(503, R"({"error":"no owner of the job's shard is known"})", kRetryAfterSeconds);
-  Decision passed_on = decision;
-  passed_on.relayed = true;
-  env_.call({address, "POST", kResolvePath, dump_json(passed_on.to_json()), kRelayTimeoutSeconds},
+  Decision relayed_decision = decision;
+  relayed_decision.relayed = true;
+  env_.call({address, "POST", kResolvePath, dump_json(relayed_decision.to_json()), kRelayTimeoutSeconds},
             [responder](const HttpReply& reply) {
               if (reply.unanswered()) {
                 responder.send(503, R"({"error":"owner not reached"})", kRetryAfterSeconds);
