--- a/src/recovery/controller.cpp
+++ b/src/recovery/controller.cpp
@@ -10,7 +10,8 @@
 namespace mothslip::recovery {
 
 namespace {
-// So long after a rebuilding what was known before it is kept, should records be lost again.
+// The snapshot of the evidence from before a rebuild is kept for this long afterwards, in case records are
+// lost again.
 constexpr double kSnapshotRetentionSeconds = 120.0;
 }  // namespace
 
@@ -60,10 +61,11 @@
   serving_->start();
 }
 
-// Nothing is started, stopped or told from here on but what is final. (Never called from within a mode.)
+// From here on this controller starts and stops no tasks and answers only with final states. This function
+// destroys the current mode, so it must never be called from within a mode.
 void Controller::suspend(const std::string& reason) {
   if (rebuilding_) return;
-  spdlog::error("recovery: {}: this controller stops deciding", reason);
+  spdlog::error("recovery: {}: this controller stops serving until the records are rebuilt", reason);
   reason_ = reason;
   RebuildingMode::Options options;
   if (serving_) options.memory = serving_->memory();
@@ -78,11 +80,12 @@
 }
 
 void Controller::resume(const MetaRecord& meta) {
-  spdlog::warn("recovery: incarnation {} begins", meta.incarnation.number);
+  spdlog::warn("recovery: incarnation {} of the records is published: this controller serves it",
+               meta.incarnation.number);
   serve(meta.incarnation, 0);
 }
 
-// All that this controller knows at the moment when it stops serving. `memory`: of its node.
+// Everything that this controller knows at the moment when it stops serving. `memory` is that of its node.
 Evidence Controller::current_evidence(const NodeMemory& memory) const {
   Evidence out = evidence_of(memory);
   if (stale_risk_s() > 0) forget_owners(out);
@@ -116,8 +119,8 @@
   mode().on_peer_request(request, responder);
 }
 
-// Who asks leads a rebuilding. What is answered has to stay true, so this controller stops serving first. But
-// a request that comes late, when the rebuilding is over, changes nothing any more.
+// The sender leads a rebuild. The evidence in the answer must remain true, so this controller stops serving
+// before it answers. A late request, for a rebuild that is already over, is refused and changes nothing.
 void Controller::on_evidence_request(const HttpRequest& request, const Responder& responder) {
   const auto evidence_request = EvidenceRequest::from_json(parse_json(request.body));
   if (!evidence_request) return responder.send(400, R"({"error":"malformed"})");
--- a/src/recovery/controller.hpp
+++ b/src/recovery/controller.hpp
@@ -1,8 +1,10 @@
-// A controller of the cluster: the node that serves, and what takes its place while lost records are rebuilt.
+// A controller of the cluster: the node that serves requests, and its replacement while lost records are
+// rebuilt.
 //
-// Public header of the package. With recovery switched off (Tuning::recovery) a controller is its node and
-// nothing else. With it, it is in one of three modes (mode.hpp): it starts up, then serves; when state is
-// found to be lost it is suspended until a new incarnation of the records is published, and serves that.
+// This is the public header of the package. With recovery switched off (Tuning::recovery) a controller
+// consists of its node only. With recovery switched on it is in one of three modes (mode.hpp). It starts up,
+// then serves. When it detects that state is lost, it is suspended until a new incarnation of the records is
+// published, and then serves that incarnation.
 #pragma once
 
 #include <memory>
@@ -24,15 +26,15 @@
   Controller(const Controller&) = delete;
   Controller& operator=(const Controller&) = delete;
 
-  // To be called once, before any request is passed in.
+  // Must be called once, before the first request.
   void start();
   void on_client_request(const HttpRequest& request, const Responder& responder);
   void on_peer_request(const HttpRequest& request, const Responder& responder);
 
-  // The shard, if this controller owns it now and is serving.
+  // The leader of the shard; null unless this controller is serving and owns the shard.
   [[nodiscard]] const ShardLeader* shard(int index) const;
   [[nodiscard]] bool serving() const { return plain_node_ != nullptr || serving_ != nullptr; }
-  // That is served, or was last.
+  // The incarnation that this controller serves, or served last.
   [[nodiscard]] const Incarnation& incarnation() const { return incarnation_; }
 
  private:
@@ -50,14 +52,14 @@
   Capabilities capabilities_;
   double started_at_;  // by the clock of `env_`
   Incarnation incarnation_;
-  std::string reason_;  // why the records are, or were last, rebuilt
-  // Until then what this controller has read may prove to be older than what others saw before it began: it
-  // began when no controller served that could know.
+  std::string reason_;  // why the records are rebuilt now, or were rebuilt last
+  // Until this time the records that this controller has read may prove to be older than records that others
+  // saw before it started, because no controller that could know was serving when it started.
   double stale_risk_ends_at_ = 0;
-  double serving_started_at_ = 0;   // 0: it has not served yet
-  EvidenceSnapshot last_snapshot_;  // of the last rebuilding
+  double serving_started_at_ = 0;   // 0 if it has not served yet
+  EvidenceSnapshot last_snapshot_;  // from the last rebuild
 
-  // With recovery switched off; else one of the three modes.
+  // After start() one of these exists: `plain_node_` if recovery is switched off, otherwise one of the modes.
   std::unique_ptr<Node> plain_node_;
   std::unique_ptr<StartUp> start_up_;
   std::unique_ptr<ServingMode> serving_;
--- a/src/recovery/doubt.hpp
+++ b/src/recovery/doubt.hpp
@@ -1,7 +1,8 @@
-// How long a controller that has just begun cannot know whether the records it reads are recent.
+// How long a controller that has just started cannot know whether the records it reads are recent.
 //
-// It remembers nothing that could contradict the state service. Workers with fencing tokens and tasks may,
-// and controllers that have been serving do; until it has heard them for long enough, it is in doubt.
+// A new process has no memory that could contradict the state service. Workers may, through their fencing
+// tokens and tasks, and controllers that have been serving do. Until the new process has received their
+// messages for long enough, the records that it read may prove to be stale.
 #pragma once
 
 #include <algorithm>
@@ -10,18 +11,20 @@
 
 namespace mothslip::recovery {
 
-// So long a controller that began when no other served may be proved wrong, in seconds.
+// If no other controller was serving when a controller started, the records that it reads may prove to be
+// stale for this long.
 inline constexpr double kStaleRiskSeconds = 60.0;
 
-// So long a controller that begins listens to workers first, where no controller serves, in seconds: the
-// state service has lost nothing unless workers show otherwise within that.
+// How long a starting controller waits for reports of workers if no other controller serves. If no report
+// contradicts the state service within this time, the controller assumes that nothing was lost.
 [[nodiscard]] inline double report_wait_s(const Settings& settings) {
   constexpr double kReportPeriods = 2.0;
   constexpr double kMinWaitSeconds = 2.0;
   return std::max(kMinWaitSeconds, kReportPeriods * settings.report_s);
 }
 
-// So long a node that is in doubt for `doubt_s` more decides nothing; 0 or less: it decides at once.
+// How long a node whose records may prove stale for another `stale_risk_s` makes no decisions. A result of 0
+// or less means that it makes decisions at once.
 [[nodiscard]] inline double hold_back_s(const Settings& settings, double stale_risk_s) {
   return stale_risk_s - (kStaleRiskSeconds - report_wait_s(settings));
 }
--- a/src/recovery/loss_detector.hpp
+++ b/src/recovery/loss_detector.hpp
@@ -1,11 +1,12 @@
-// Notices that the state service has lost recent records.
+// Detects that the state service has lost recent records.
 //
-// What proves it, and nothing else does:
-//  * a revision lower than one that somebody had seen before the question was asked: revisions only rise;
-//  * a lease that ended before its time, or a segment of a shard's journal that somebody other than its owner
-//    has changed: what the service answered is no longer so;
-//  * a `meta` that is missing, or of another incarnation.
-// An outage, a lost or late answer and a watch that is too old are none of these.
+// Only the following observations prove a loss:
+//  * The service answers with a revision lower than one that was known before the request was sent. Revisions
+//    only increase.
+//  * A lease ended before its expiry, or a process other than the owner of a shard changed a segment of the
+//    shard's journal. Both contradict an earlier answer of the service.
+//  * The record `meta` is missing or belongs to another incarnation.
+// An outage, a lost or late answer or a watch whose start revision is too old does not prove a loss.
 #pragma once
 
 #include <functional>
@@ -17,9 +18,9 @@
 
 class LossDetector final : public StateMonitor {
  public:
-  // Called once, from within whatever the node was doing: it must not destroy the node there.
+  // Called once, from within a call of the node, so the handler must not destroy the node.
   using LossHandler = std::function<void(const std::string& reason)>;
-  // `newest`: the newest revision that is known to begin with.
+  // `newest` is the newest revision known at the start.
   LossDetector(std::uint64_t newest, LossHandler on_loss);
 
   [[nodiscard]] std::uint64_t newest() const override { return newest_revision_; }
@@ -32,7 +33,7 @@
  private:
   void report_loss(const std::string& reason);
 
-  std::uint64_t newest_revision_;  // revision that anybody is known to have seen
+  std::uint64_t newest_revision_;  // newest revision that any process is known to have seen
   bool lost_ = false;
   LossHandler on_loss_;
 };
--- a/src/recovery/messages.hpp
+++ b/src/recovery/messages.hpp
@@ -1,6 +1,5 @@
-// What controllers say to one another, and write for one another, while lost records are rebuilt: typed
-// messages and their JSON. (What operators read is in operator_messages.hpp; the form of Evidence itself is
-// in evidence_json.cpp.)
+// Messages and records that controllers exchange while lost records are rebuilt, with their JSON encoding.
+// Messages for operators are in operator_messages.hpp, and the encoding of Evidence is in evidence_json.cpp.
 #pragma once
 
 #include <optional>
@@ -11,43 +10,44 @@
 
 namespace mothslip::recovery {
 
-// POST between controllers: EvidenceRequest, answered by EvidenceReply; 409 when the rebuilding is over.
+// POST between controllers: the body is an EvidenceRequest, the answer an EvidenceReply, or 409 if the
+// rebuild is over.
 inline const std::string kEvidencePath = "/recovery/evidence";
 
-// Key of the LeaderRecord, without the prefix of any incarnation.
+// Key of the LeaderRecord. It has no incarnation prefix.
 inline const std::string kLeaderKey = "recovery/leader";
 
-// The question: one chunk of what the asked controller knows. Asked for a rebuilding that it has not heard
-// of, it stops serving before it answers, so that what it says stays true.
+// Requests one chunk of the evidence that the receiving controller has. If the receiver does not know of this
+// rebuild yet, it stops serving before it answers, so that its evidence remains true.
 struct EvidenceRequest {
   int target_incarnation = 0;  // the incarnation that is being rebuilt
-  std::size_t chunk = 0;       // counted from 0
+  std::size_t chunk = 0;       // index, counted from 0
   [[nodiscard]] Json to_json() const;
   static std::optional<EvidenceRequest> from_json(const Json& value);
 };
 
 struct EvidenceReply {
   std::size_t chunk_count = 0;
-  double uptime_s = 0;  // of the process
-  Evidence evidence;    // the chunk that was asked for
+  double uptime_s = 0;  // of the process that answers
+  Evidence evidence;    // the requested chunk
   [[nodiscard]] Json to_json() const;
   static std::optional<EvidenceReply> from_json(const Json& value);
 };
 
-// Which controller leads the rebuilding. Written under the leader's lease together with the change of `meta`
-// that begins the rebuilding; deleted with the write that publishes the new incarnation. Its existence and
-// its revision count; what it says is for people.
+// Names the controller that leads the rebuild. It is written under the leader's lease in the transaction that
+// marks `meta` as being rebuilt, and deleted in the transaction that publishes the new incarnation.
+// Controllers use only its existence and its revision; its content is for operators.
 struct LeaderRecord {
   std::string node;
   int target_incarnation = 0;  // the incarnation that is being rebuilt
   [[nodiscard]] Json to_json() const;
 };
 
-// What an operator says about a job that could not be accounted for.
+// An operator's decision about an unaccounted job.
 struct Decision {
   std::string ref;
   ShardLeader::HeldDecision kind = ShardLeader::HeldDecision::kDone;
-  bool relayed = false;  // by another controller, to the owner of the job's shard
+  bool relayed = false;  // another controller sent it to the owner of the job's shard
   [[nodiscard]] Json to_json() const;
   static std::optional<Decision> from_json(const Json& value);
 };
--- a/src/recovery/mode.hpp
+++ b/src/recovery/mode.hpp
@@ -1,5 +1,5 @@
-// What a controller is at one time: starting up, serving, or suspended while records are rebuilt. Each mode
-// has its own state and goes with it; Controller changes from one to the next.
+// Interface of the modes of a controller: starting up, serving, or suspended while records are rebuilt. A
+// mode object holds the state of its mode and is destroyed with it; Controller switches between the modes.
 #pragma once
 
 #include "transport/http.hpp"
@@ -13,10 +13,10 @@
   Mode& operator=(const Mode&) = delete;
   virtual ~Mode() = default;
 
-  // A request at the address for users and workers.
+  // Handles a request that arrived at the address for users and workers.
   virtual void on_client_request(const HttpRequest& request, const Responder& responder) = 0;
-  // A request at the address for other controllers and operators, other than those about the recovery itself
-  // that Controller answers in every mode.
+  // Handles a request that arrived at the address for other controllers and operators. Requests for evidence
+  // and for the status do not arrive here, because Controller answers them in every mode.
   virtual void on_peer_request(const HttpRequest& request, const Responder& responder) = 0;
 };
 
--- a/src/recovery/operator_messages.hpp
+++ b/src/recovery/operator_messages.hpp
@@ -1,8 +1,9 @@
-// What controllers answer to operators (and, of the status, to one another) about lost state: the JSON of
-// `/ops/recovery/*` as typed messages. mothslipctl reads them with the same code that writes them.
+// Answers of controllers to operators about lost state: the JSON of `/ops/recovery/*` as typed messages.
+// Controllers also request the status from one another. mothslipctl decodes the messages with the code that
+// encodes them.
 //
-// from_json() takes a field that is missing as its default, so that versions can be mixed; it throws
-// Json::exception where the body is no object or a field has another type.
+// from_json() uses the default of a field that is missing, so that versions can be mixed. It throws
+// Json::exception if the body is not an object or a field has another type.
 #pragma once
 
 #include <cstdint>
@@ -14,25 +15,25 @@
 
 namespace mothslip::recovery {
 
-// GET: ControllerStatus of the controller that is asked.
+// GET: returns the ControllerStatus of the controller that receives the request.
 inline const std::string kStatusPath = "/ops/recovery/status";
-// GET: UnaccountedList of the cluster.
+// GET: returns the UnaccountedList of the cluster.
 inline const std::string kUnaccountedPath = "/ops/recovery/unaccounted";
-// POST: an operator's decision about a job on that list.
+// POST: the body is an operator's decision about a job on that list (Decision in messages.hpp).
 inline const std::string kResolvePath = "/ops/recovery/resolve";
 
-// How far a rebuilding is, as its leader knows.
+// Progress of a rebuild, as reported by its leader.
 struct RebuildStatus {
   std::string phase;     // gathering, waiting, reading, writing or publishing
-  double elapsed_s = 0;  // since this controller took the lead
-  std::vector<std::string>
-      missing_controllers;  // controllers that did not answer with their evidence in time
+  double elapsed_s = 0;  // since this controller became the leader
+  // Controllers that did not answer with their evidence in time.
+  std::vector<std::string> missing_controllers;
   int open_jobs = 0;
   int ended_jobs = 0;
   int unaccounted_jobs = 0;
-  // While waiting until nothing runs: so long yet.
+  // Set in the phase "waiting": how much longer the leader waits until no task can be running.
   std::optional<double> remaining_wait_s;
-  // From when on it is known how many records there are to write.
+  // Set once the number of records to write is known.
   struct Records {
     std::size_t total = 0;
     std::size_t written = 0;
@@ -43,11 +44,11 @@
   static RebuildStatus from_json(const Json& value);
 };
 
-// What a controller that does not serve knows of the rebuilding.
+// The state of the rebuild as known to a controller that is suspended.
 struct RecoveryStatus {
   int target_incarnation = 0;            // the incarnation that is being rebuilt
-  bool is_leader = false;                // this controller leads the rebuilding
-  std::optional<RebuildStatus> rebuild;  // of the leader only
+  bool is_leader = false;                // whether this controller leads the rebuild
+  std::optional<RebuildStatus> rebuild;  // set by the leader only
 
   [[nodiscard]] Json to_json() const;
   static RecoveryStatus from_json(const Json& value);
@@ -55,31 +56,32 @@
 
 struct ControllerStatus {
   std::string node;
-  int incarnation = 0;  // that it serves, or served last
+  int incarnation = 0;  // the one that it serves, or served last
   bool serving = false;
-  // So long yet what this controller has read may prove to be older than what others saw before it began.
+  // How much longer the records that this controller has read may prove to be older than records that others
+  // saw before it started.
   double stale_risk_s = 0;
-  std::uint64_t newest_revision = 0;  // that this controller has heard of; 0 while it does not serve
-  std::string reason;                 // why records are, or were last, rebuilt
-  // While records are being rebuilt.
+  std::uint64_t newest_revision = 0;  // newest one that this controller knows; 0 while it does not serve
+  std::string reason;                 // why the records are rebuilt now, or were rebuilt last
+  // Set while records are being rebuilt.
   std::optional<RecoveryStatus> recovery;
-  double suspended_s = 0;  // with `recovery`: so long it has not been serving
+  double suspended_s = 0;  // set with `recovery`: how long it has not been serving
 
   [[nodiscard]] Json to_json() const;
   static ControllerStatus from_json(const Json& value);
 };
 
-// A job that could not be accounted for, as operators see it.
+// A job that a rebuild could not account for, as shown to operators.
 struct UnaccountedEntry {
   std::string job;
   std::string reason;
-  // False: its record cannot be read, and nothing below is known.
+  // If false, the record of the job cannot be read and the fields below are not set.
   bool is_readable = true;
   std::string team;
   std::string job_class;
   bool may_have_ended = false;
-  std::string pending_decision;   // what an operator has decided without its being carried out yet
-  std::optional<int> held_tasks;  // nothing: all
+  std::string pending_decision;   // an operator's decision that has not been carried out yet
+  std::optional<int> held_tasks;  // nullopt if all tasks are held
 
   [[nodiscard]] Json to_json() const;
   static UnaccountedEntry from_json(const Json& value);
--- a/src/recovery/rebuilding_mode.cpp
+++ b/src/recovery/rebuilding_mode.cpp
@@ -22,7 +22,7 @@
   out.shards = options.memory.shards;
   out.process_started_at = options.process_started_at;
   out.own_evidence = [this] { return own_evidence(); };
-  // (The handler ends this object, so it is called from a timer, and by a copy of its own.)
+  // The handler destroys this object, so a timer calls it, through a copy that the timer owns.
   out.published = [this, published](const MetaRecord& meta) {
     env_.after(0, [published, meta] { published(meta); });
   };
@@ -47,7 +47,7 @@
 
 double RebuildingMode::suspended_s() const { return snapshot_.age_s(outer_env_.now()); }
 
-// The chunks of what was known when this mode began, and last what workers have reported since.
+// The chunks of the snapshot come first; the last chunk is the evidence that workers have reported since.
 Evidence RebuildingMode::chunk(std::size_t number) const {
   if (number >= snapshot_.chunk_count()) return service_.reported();
   return snapshot_.chunk(number, outer_env_.now());
--- a/src/recovery/rebuilding_mode.hpp
+++ b/src/recovery/rebuilding_mode.hpp
@@ -1,5 +1,5 @@
-// The mode of a controller while lost records are rebuilt: it decides nothing, answers what is final, keeps
-// what it knew as evidence, and takes part in the rebuilding or leads it.
+// The mode of a controller while lost records are rebuilt. It makes no decisions, answers requests for final
+// states, keeps everything it knew as evidence, and takes part in the rebuild or leads it.
 #pragma once
 
 #include <functional>
@@ -19,12 +19,12 @@
 class RebuildingMode final : public Mode {
  public:
   struct Options {
-    NodeMemory memory;              // of the node that served until now; empty: none did
-    Evidence known_evidence;        // all that this controller knows now
-    Incarnation last;               // that it served
+    NodeMemory memory;              // of the node that was serving; empty if none was
+    Evidence known_evidence;        // everything that this controller knows now
+    Incarnation last;               // the incarnation that this controller served last
     double process_started_at = 0;  // by the clock of `env`
   };
-  // A new incarnation is published. Called once, never from within this object.
+  // Called once, when a new incarnation is published; never from within this object.
   using PublishedHandler = std::function<void(const MetaRecord& meta)>;
   RebuildingMode(Env& env, const Settings& settings, const Options& options,
                  const PublishedHandler& published);
@@ -35,9 +35,10 @@
   [[nodiscard]] EvidenceReply answer(const EvidenceRequest& request) const;
 
   [[nodiscard]] RecoveryStatus status() const { return recovery_.status(); }
-  // So long this mode has lasted, in seconds.
+  // How long this mode has lasted.
   [[nodiscard]] double suspended_s() const;
-  // What was known when this mode began. Leaves this object without it: for when the mode ends.
+  // Moves out the snapshot of everything that was known when this mode started. To be called when the mode
+  // ends, because this object has no snapshot afterwards.
   [[nodiscard]] EvidenceSnapshot take_snapshot() { return std::move(snapshot_); }
   // Terminal states of jobs, by job.
   [[nodiscard]] const std::map<std::string, JobStatus>& terminals() const { return service_.terminals(); }
@@ -53,7 +54,7 @@
   double process_started_at_;
   EvidenceSnapshot snapshot_;
   SuspendedService service_;
-  ScopedEnv env_;  // what is under way ends with this object
+  ScopedEnv env_;  // its callbacks are dropped when this object is destroyed
   Recovery recovery_;
 };
 
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -13,8 +13,8 @@
 namespace mothslip::recovery {
 
 namespace {
-constexpr double kMetaPollIntervalSeconds = 0.5;  // between looks at `meta`
-constexpr double kRenewalIntervalSeconds = 1.0;   // between renewals of the leader's lease
+constexpr double kMetaPollIntervalSeconds = 0.5;  // also the delay before a failed renewal is retried
+constexpr double kRenewalIntervalSeconds = 1.0;   // for the leader's lease
 constexpr double kRenewalTimeoutSeconds = kRenewalIntervalSeconds * 1.5;
 constexpr std::uint64_t kNonceLimit = 1'000'000'000;
 }  // namespace
@@ -48,7 +48,9 @@
   }
   const auto meta = meta_of(reply);
   if (!meta) {
-    if (reply.ok()) spdlog::error("recovery: the record meta cannot be read");
+    if (reply.ok())
+      spdlog::error(
+          "recovery: the record meta has a format that this version does not know; reading it again");
     return read_meta_later();
   }
   const std::uint64_t revision = stored_revision(reply);
@@ -77,8 +79,8 @@
   });
 }
 
-// One write takes the lead, makes `meta` say that records are being rebuilt, and takes the shards of the
-// incarnation before from their owners.
+// One transaction takes the leader key, marks `meta` as being rebuilt, and takes the shards of the previous
+// incarnation from their owners.
 void Recovery::claim_with_lease(std::uint64_t lease, const MetaRecord& meta, std::uint64_t meta_revision) {
   MetaRecord next = meta;
   next.begun = std::max({meta.begun, target_incarnation_, ctx_.last.number}) + 1;
@@ -94,7 +96,7 @@
     if (reply.ok()) {
       start_leading(lease, next, reply.revision());
     } else {
-      read_meta_later();  // somebody else was first, or nobody knows: the lease of a lost claim runs out
+      read_meta_later();  // another controller was first, or the outcome is unknown; the unused lease expires
     }
   });
 }
@@ -128,7 +130,7 @@
 }
 
 void Recovery::stop_leading() {
-  spdlog::warn("recovery: this controller leads no more");
+  spdlog::warn("recovery: this controller no longer leads the rebuild; reading meta to find the next leader");
   lease_ = 0;
   rebuild_.reset();
   read_meta();
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -1,8 +1,8 @@
-// What a controller does from the first sign of lost state until records are rebuilt: it watches `meta`,
-// leads the rebuilding where nobody else does, and tells when a new incarnation is published.
+// The work of a controller from the detection of lost state until the records are rebuilt. It polls `meta`,
+// leads the rebuild if no other controller does, and reports when a new incarnation is published.
 //
-// The lead is a key of the state service under a lease (kLeaderKey). Who takes it raises `meta.begun` in the
-// same transaction, so there is one leader for each incarnation that is begun.
+// The leader holds a key of the state service under a lease (kLeaderKey). A controller that takes the key
+// increases `meta.begun` in the same transaction, so every incarnation that is being rebuilt has one leader.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,11 @@
   struct Context {
     Env* env = nullptr;
     const Settings* settings = nullptr;
-    Incarnation last;                        // that this controller served
-    int shards = 0;                          // of the cluster; 0: not known
+    Incarnation last;                        // the incarnation that this controller served last
+    int shards = 0;                          // number of shards in the cluster; 0 if not known
     double process_started_at = 0;           // by the clock of `env`
-    std::function<Evidence()> own_evidence;  // all that this controller knows
-    // A new incarnation is published. Must not destroy this object from within.
+    std::function<Evidence()> own_evidence;  // returns everything that this controller knows
+    // Called when a new incarnation is published. It must not destroy this object during the call.
     std::function<void(const MetaRecord&)> published;
   };
   explicit Recovery(Context context);
@@ -46,8 +46,8 @@
 
   Context ctx_;
   StateClient store_;
-  int target_incarnation_;   // the incarnation that is being rebuilt, as far as is known here
-  std::uint64_t lease_ = 0;  // under which this controller leads; 0: it does not
+  int target_incarnation_;   // highest incarnation known to be in rebuild
+  std::uint64_t lease_ = 0;  // lease of the leader key; 0 while this controller does not lead
   std::unique_ptr<Rebuild> rebuild_;
 };
 
--- a/src/recovery/scoped_env.hpp
+++ b/src/recovery/scoped_env.hpp
@@ -1,5 +1,5 @@
-// An Env whose timers and answers end with it: what was started within its life finds nobody afterwards. With
-// it a process can end one life of its actors and begin another.
+// An Env that drops the callbacks of its timers and calls once it is destroyed. With it a process can destroy
+// a set of objects and create a new set while timers and calls of the old set are still pending.
 #pragma once
 
 #include <memory>
--- a/src/recovery/serving_mode.cpp
+++ b/src/recovery/serving_mode.cpp
@@ -7,8 +7,8 @@
 
 namespace mothslip::recovery {
 
-// (The node calls the detector from whatever it is doing, and must not be destroyed there: the handler is
-// called from a timer, which is gone if this object is.)
+// The node may call the detector at any point and must not be destroyed during that call. Therefore `on_loss`
+// is called from a timer, which is dropped if this object has been destroyed.
 ServingMode::ServingMode(Env& env, const Settings& settings, const Options& options, LossHandler on_loss)
     : detector_(options.incarnation.token_offset,
                 [this, on_loss = std::move(on_loss)](const std::string& reason) {
--- a/src/recovery/serving_mode.hpp
+++ b/src/recovery/serving_mode.hpp
@@ -1,5 +1,5 @@
-// The mode in which a controller serves: its node, who watches for lost state, and the operators' view of
-// jobs that could not be accounted for.
+// The mode in which a controller serves: its node, the detector of lost state, and the operators' view of
+// unaccounted jobs.
 #pragma once
 
 #include <cstdint>
@@ -19,11 +19,11 @@
  public:
   struct Options {
     Capabilities capabilities;
-    Incarnation incarnation;                     // of the records
-    std::map<std::string, JobStatus> terminals;  // known before, by job
-    double stale_risk_s = 0;                     // so long the records may prove not to be recent (doubt.hpp)
+    Incarnation incarnation;                     // of the records that are served
+    std::map<std::string, JobStatus> terminals;  // terminal states known before, by job
+    double stale_risk_s = 0;                     // how long the records may still prove stale (doubt.hpp)
   };
-  // Called at most once, and never from within the node.
+  // Called at most once, and never from within a call of the node.
   using LossHandler = std::function<void(const std::string& reason)>;
   ServingMode(Env& env, const Settings& settings, const Options& options, LossHandler on_loss);
 
@@ -31,15 +31,16 @@
   void on_client_request(const HttpRequest& request, const Responder& responder) override;
   void on_peer_request(const HttpRequest& request, const Responder& responder) override;
 
-  // The shard, if this controller owns it now.
+  // The leader of the shard; null unless this controller owns the shard.
   [[nodiscard]] const ShardLeader* shard(int index) const { return node_.shard(index); }
-  // All that the node knows and the state service may not.
+  // Everything that the node knows and that the state service may have lost.
   [[nodiscard]] NodeMemory memory() const { return node_.memory(); }
-  // The newest revision of the state service that was heard of.
+  // The newest revision of the state service that this controller knows of.
   [[nodiscard]] std::uint64_t newest_revision() const { return detector_.newest(); }
 
  private:
-  // In this order: the environment ends what the node has under way, and the detector outlives both.
+  // The order of these members matters: destroying `env_` drops the pending callbacks of the node, and
+  // `detector_` must outlive both.
   LossDetector detector_;
   ScopedEnv env_;
   Node node_;
--- a/src/recovery/start_up.cpp
+++ b/src/recovery/start_up.cpp
@@ -41,8 +41,8 @@
   }
 }
 
-// This process remembers nothing that could contradict the state service. Others may: controllers that serve,
-// or else workers with tokens and tasks.
+// This process has no memory that could contradict the state service. Controllers that serve may have, or
+// otherwise workers that hold fencing tokens and tasks.
 void StartUp::ask_peers() {
   pending_peers_ = settings_.members.size();
   if (pending_peers_ == 0) return wait_for_reports();
@@ -82,16 +82,16 @@
   });
 }
 
-// `stored_revision`: as the state service counts, without the incarnation's offset.
+// `stored_revision` is the state service's own revision, without the offset of the incarnation.
 void StartUp::compare_with_store(std::uint64_t stored_revision) {
   const Incarnation incarnation = meta_ ? meta_->incarnation : Incarnation{};
   const std::uint64_t newest_known = std::max(reported().newest, newest_peer_revision_);
   const bool service_is_behind = newest_known > KeySpace(incarnation).to_own(stored_revision);
-  // (An empty service, at the very first start, has no workers with tasks.)
+  // At the first start of a cluster the state service is empty too, but no worker has tasks then.
   const bool records_missing = !meta_ && !reported().jobs.empty();
   if (service_is_behind || records_missing)
-    return report_loss("workers or controllers know of what the state service does not");
-  // (Where there are no records, none can be misread.)
+    return report_loss("workers or controllers know of newer records than the state service holds");
+  // Without `meta` there are no records, so none of them can be stale.
   const double stale_risk_s = meta_ ? min_stale_risk_s_.value_or(kStaleRiskSeconds) : 0;
   outer_env_.after(
       0, [serve = handlers_.serve, incarnation, stale_risk_s] { serve(incarnation, stale_risk_s); });
--- a/src/recovery/start_up.hpp
+++ b/src/recovery/start_up.hpp
@@ -1,7 +1,7 @@
-// The mode of a controller that has just begun: it looks at `meta`, asks its peers and listens to workers,
-// and finds out whether it may serve the records that the state service holds.
+// The mode of a controller that has just started. It reads `meta`, asks its peers for their status and waits
+// for reports of workers, to find out whether it may serve the records that the state service holds.
 //
-// Users and workers are answered as during a rebuilding.
+// Users and workers get the same answers as during a rebuild.
 #pragma once
 
 #include <functional>
@@ -17,12 +17,12 @@
 
 class StartUp final : public Mode {
  public:
-  // What it ends with: exactly one of these, called once, never from within this object (which may be gone by
-  // then, if the controller was asked for evidence meanwhile).
+  // Exactly one of these is called, once, when the mode ends. It is never called from within this object,
+  // which may have been destroyed by then if another controller has requested evidence meanwhile.
   struct Handlers {
     // Records are lost or being rebuilt.
     std::function<void(const std::string& reason)> suspend;
-    // The records are those of this incarnation; for `doubt_s` more that may be proved wrong.
+    // The records of this incarnation may be served. They may prove to be stale for another `stale_risk_s`.
     std::function<void(const Incarnation& incarnation, double stale_risk_s)> serve;
   };
   StartUp(Env& env, const Settings& settings, Handlers handlers);
@@ -30,7 +30,7 @@
   void start();
   void on_client_request(const HttpRequest& request, const Responder& responder) override;
   void on_peer_request(const HttpRequest& request, const Responder& responder) override;
-  // What workers have reported until now.
+  // Evidence from the reports that workers have sent so far.
   [[nodiscard]] const Evidence& reported() const { return service_.reported(); }
 
  private:
@@ -43,16 +43,16 @@
   void compare_with_store(std::uint64_t stored_revision);
   void report_loss(const std::string& reason);
 
-  Env& outer_env_;  // of the controller: what it calls outlives this object
-  ScopedEnv env_;   // what is under way ends with this object
+  Env& outer_env_;  // of the controller: its callbacks still run after this object is destroyed
+  ScopedEnv env_;   // its callbacks are dropped when this object is destroyed
   const Settings& settings_;
   Handlers handlers_;
   SuspendedService service_;
   StateClient store_;
-  std::optional<MetaRecord> meta_;          // as read; nothing: there is none
-  std::size_t pending_peers_ = 0;           // that have not answered yet
-  std::uint64_t newest_peer_revision_ = 0;  // newest revision that a peer has heard of
-  std::optional<double> min_stale_risk_s_;  // of the peers that serve
+  std::optional<MetaRecord> meta_;          // as read; nullopt if the record does not exist
+  std::size_t pending_peers_ = 0;           // peers that have not answered yet
+  std::uint64_t newest_peer_revision_ = 0;  // newest revision that any peer knows
+  std::optional<double> min_stale_risk_s_;  // lowest value of the peers that serve
 };
 
 }  // namespace mothslip::recovery
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr int kRetryAfterSeconds = 2;
-constexpr int kShortRetryAfterSeconds = 1;  // for workers and those who ask whether the controller is ready
+constexpr int kShortRetryAfterSeconds = 1;  // for workers, other controllers and readiness checks
 constexpr std::string_view kUserApiPrefix = "/v2/";
 constexpr std::string_view kJobs = "/v2/runs";
 constexpr std::string_view kCancelSuffix = "/cancel";
@@ -23,9 +23,9 @@
   return text.size() >= end.size() && text.compare(text.size() - end.size(), end.size(), end) == 0;
 }
 
-// What a user asks about: a job, and whether it is to be cancelled.
+// The job that a user's request names, and whether the request is to cancel it.
 struct UserRequest {
-  std::string ref;  // empty: none
+  std::string ref;  // empty if the request names no job
   bool is_cancellation = false;
 };
 
@@ -87,7 +87,7 @@
   }
 }
 
-// The token with which this worker's lease may be renewed now; nothing: it may not be.
+// The fencing token with which this worker's lease may be renewed now; nullopt if it may not be renewed.
 std::optional<std::uint64_t> SuspendedService::renewal_token(const Report& report, double now) const {
   if (shards_ <= 0) return std::nullopt;
   const auto found = renewals_.find(shard_of(report.machine_name, shards_));
@@ -98,7 +98,7 @@
   return renewal.token;
 }
 
-// A terminal state is final whatever was lost.
+// Terminal states may be answered, because they are final whichever records were lost.
 void SuspendedService::on_user_request(const HttpRequest& request, const Responder& responder) const {
   const UserRequest user_request = user_request_of(request);
   const auto terminal = terminals_.find(user_request.ref);
--- a/src/recovery/suspended_service.hpp
+++ b/src/recovery/suspended_service.hpp
@@ -1,8 +1,9 @@
 // How a controller answers users and workers while records are being rebuilt.
 //
-// Nothing is decided: users hear what is known to be final and 503 otherwise. The leases of workers are
-// renewed for as long as the owner of their shard could have renewed them without the state service, so that
-// their tasks go on; they are told nothing else. What they report is kept as evidence.
+// The controller makes no decisions. Users get an answer if the state of their job is known to be final, and
+// 503 otherwise. The leases of workers are renewed for as long as the owner of their shard could have renewed
+// them without the state service, so that their tasks keep running. Workers get no orders. Their reports are
+// kept as evidence.
 #pragma once
 
 #include <cstdint>
@@ -19,16 +20,18 @@
 
 class SuspendedService {
  public:
-  // `now`: by the clock that all later calls use.
+  // All later calls must take `now` from the same clock.
   SuspendedService(const NodeMemory& memory, double now);
 
-  // A request of a user, a worker, or who asks whether this controller is ready.
+  // Handles a request of a user or a worker, or a readiness check.
   void on_client_request(const HttpRequest& request, const Responder& responder, double now);
-  // A request that came from another controller: those of users that it passes on are answered, no others.
+  // Handles a request from another controller. Only forwarded requests of users are served; all others get
+  // 503.
   void on_peer_request(const HttpRequest& request, const Responder& responder, double now);
-  // What workers have reported until now.
+  // Evidence from the reports that workers have sent so far.
   [[nodiscard]] const Evidence& reported() const { return reported_; }
-  // Terminal states that were known before, by job: final, whatever was lost.
+  // Terminal states that were known before the suspension, by job. They are final, whichever records were
+  // lost.
   [[nodiscard]] const std::map<std::string, JobStatus>& terminals() const { return terminals_; }
 
  private:
@@ -37,12 +40,12 @@
   [[nodiscard]] std::optional<std::uint64_t> renewal_token(const Report& report, double now) const;
   void on_user_request(const HttpRequest& request, const Responder& responder) const;
 
-  // The leases of the workers of a shard may be renewed with this fencing token until then.
+  // Until `expires_at` the leases of a shard's workers may be renewed with this fencing token.
   struct Renewal {
     std::uint64_t token = 0;
     double expires_at = 0;
   };
-  int shards_;                       // of the cluster; 0: not known
+  int shards_;                       // number of shards in the cluster; 0 if not known
   std::map<int, Renewal> renewals_;  // by shard that this controller owned
   std::map<std::string, JobStatus> terminals_;
   Evidence reported_;
--- a/src/recovery/unaccounted_jobs.cpp
+++ b/src/recovery/unaccounted_jobs.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double kRelayTimeoutSeconds = 2.0;
-constexpr double kMaxStateServiceShare = 0.1;  // of the state service's limits, at the most
+constexpr double kMaxStateServiceShare = 0.1;  // of the state service's rate limits
 constexpr int kRetryAfterSeconds = 1;
 
 UnaccountedEntry entry_of(const StateItem& item) {
--- a/src/recovery/unaccounted_jobs.hpp
+++ b/src/recovery/unaccounted_jobs.hpp
@@ -1,5 +1,5 @@
-// The operators' view of jobs that could not be accounted for: the list, and decisions about them. Served by
-// every controller; decisions are relayed to the owner of the job's shard.
+// The operators' interface to unaccounted jobs: the list of them, and decisions about them. Every controller
+// serves it and relays decisions to the owner of the job's shard.
 #pragma once
 
 #include <string>
@@ -15,10 +15,11 @@
  public:
   UnaccountedJobs(Env& env, const Settings& settings, const Incarnation& incarnation, Node& node);
 
-  // Answers with an UnaccountedList; 503 where the state service cannot be read.
+  // Answers with an UnaccountedList, or 503 if the state service cannot be read.
   void list(const Responder& responder);
-  // `body`: a Decision. Answers 202 once the job's owner has begun to act on it; the job leaves the list when
-  // that is durable. 404: it is not unaccounted. 400: malformed. 503: its owner is not known, or not reached.
+  // `body` is a Decision. Answers 202 once the owner of the job's shard has started to carry it out; the job
+  // leaves the list when the result is durable. Answers 404 if the job is not unaccounted, 400 if the body is
+  // malformed, and 503 if the owner is not known or cannot be reached.
   void resolve(const std::string& body, const Responder& responder);
 
  private:
