--- a/src/client/main.cpp
+++ b/src/client/main.cpp
@@ -1,5 +1,5 @@
-// mothslipctl, the operators' program: reads the command line, asks the controllers, prints their answer.
-// Exit codes are in exit_code.hpp.
+// mothslipctl, the command-line program for operators: it reads the command line, calls the controllers and
+// prints their answer. The exit codes are in exit_code.hpp.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <iostream>
@@ -41,7 +41,7 @@
   return exit_code_of(result.outcome);
 }
 
-// An answer as text for people.
+// Formats the body of an answer as text for people.
 using Render = std::string (*)(const Json&);
 
 std::string render_status(const Json& body) {
@@ -69,35 +69,34 @@
   return ExitCode::kSuccess;
 }
 
-// What the command line says.
+// The parsed command line.
 struct Command {
   std::vector<std::string> controllers;
   double timeout_s = kDefaultTimeoutSeconds;
   bool json = false;
   std::string job;       // of `resolve`
   std::string decision;  // of `resolve`
-  // That of the subcommands which was given.
+  // The subcommands; parsed() is true for the one that was given.
   CLI::App* status = nullptr;
   CLI::App* unaccounted = nullptr;
   CLI::App* resolve = nullptr;
 };
 
-// Declares options and subcommands; `command` is filled when `app` parses, and must outlive it.
+// Declares the options and subcommands. `app` fills `command` when it parses, so `command` must outlive it.
 void declare_options(CLI::App& app, Command& command) {
   app.set_version_flag("--version", "mothslipctl " MOTHSLIP_VERSION);
   app.require_subcommand(1);
-  app.add_option("--at", command.controllers,
-                 "a controller's address for other controllers; may be given several times")
+  app.add_option("--at", command.controllers, "peer address of a controller; may be given several times")
       ->required();
-  app.add_option("--timeout", command.timeout_s, "seconds after which to give up")
+  app.add_option("--timeout", command.timeout_s, "seconds after which a call gives up")
       ->check(CLI::PositiveNumber);
-  app.add_flag("--json", command.json, "print what the controller answers as JSON");
-  CLI::App* recovery = app.add_subcommand("recovery", "lost state and its rebuilding");
+  app.add_flag("--json", command.json, "print the controller's answer as JSON");
+  CLI::App* recovery = app.add_subcommand("recovery", "recovery from lost state");
   recovery->require_subcommand(1);
-  command.status =
-      recovery->add_subcommand("status", "whether records are being rebuilt, and how far that is");
+  command.status = recovery->add_subcommand(
+      "status", "whether records are being rebuilt, and how far the rebuild has got");
   command.unaccounted = recovery->add_subcommand("unaccounted", "jobs that could not be accounted for");
-  command.resolve = recovery->add_subcommand("resolve", "decide about such a job");
+  command.resolve = recovery->add_subcommand("resolve", "decide what happens to an unaccounted job");
   command.resolve->add_option("job", command.job, "the job's id")->required();
   command.resolve->add_option("--as", command.decision, "done, rerun or cancelled")
       ->required()
@@ -118,7 +117,7 @@
 
 int main(int argc, char** argv) {
   Command command;
-  CLI::App app{"mothslipctl, for those who operate a mothslip cluster"};
+  CLI::App app{"mothslipctl, the command line for operators of a mothslip cluster"};
   declare_options(app, command);
   try {
     app.parse(argc, argv);
@@ -126,7 +125,7 @@
     const ExitCode code = app.exit(error) == 0 ? ExitCode::kSuccess : ExitCode::kUsage;
     return static_cast<int>(code);
   }
-  // A controller that closed its end must not end this process.
+  // A write to a connection that a controller has closed must not kill this process.
   std::signal(SIGPIPE, SIG_IGN);
   return static_cast<int>(run(command));
 }
--- a/src/client/operator_client.cpp
+++ b/src/client/operator_client.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 constexpr double kCallTimeoutSeconds = 3.0;
-constexpr double kRetryDelaySeconds = 0.5;  // between rounds of all controllers
+constexpr double kRetryDelaySeconds = 0.5;  // between rounds over all controllers
 
-// Of an answer with this HTTP status.
+// The outcome of an answer with this HTTP status.
 CallOutcome outcome_of(int status) {
   constexpr int kSuccessClass = 2;
   constexpr int kClientErrorClass = 4;
@@ -19,7 +19,7 @@
   return CallOutcome::kUnavailable;
 }
 
-// The list does not show the job as waiting for a decision.
+// Whether the list does not show the job as waiting for a decision.
 bool is_decided(const recovery::UnaccountedList& list, const std::string& job) {
   return std::none_of(list.entries.begin(), list.entries.end(),
                       [&job](const recovery::UnaccountedEntry& entry) {
@@ -44,10 +44,11 @@
 CallResult OperatorClient::resolve(const std::string& job, const std::string& decision) {
   const double give_up_at = env_.now() + timeout_s_;
   const std::string body = dump_json({{"job", job}, {"as", decision}});
-  bool accepted = false;  // by a controller, once at least
+  bool accepted = false;  // at least once, by any controller
   while (true) {
     CallResult result = call("POST", recovery::kResolvePath, body);
-    // (A repeat of one that has become durable meanwhile finds nothing to decide.)
+    // After an accepted request a refusal is no error: the decision has become durable meanwhile, so the
+    // repeated request finds no unaccounted job.
     if (result.outcome == CallOutcome::kRefused && !accepted) return result;
     accepted |= result.ok();
     CallResult list = unaccounted();
--- a/src/client/operator_client.hpp
+++ b/src/client/operator_client.hpp
@@ -1,7 +1,8 @@
-// Calls to the operators' interface of the controllers. Public header of the package.
+// Client for the operators' interface of the controllers. This is the public header of the package.
 //
-// Every call ends within a bound: controllers are asked one after the other until one answers for good. One
-// that is starting, or whose request for another has failed, answers 503 and is no answer for good.
+// Every call ends within a bounded time. It tries the controllers one after the other until one gives a final
+// answer. A 503 is not final: a controller sends it while it starts, or when it could not relay the request
+// to another controller.
 #pragma once
 
 #include <string>
@@ -15,34 +16,34 @@
 
 enum class CallOutcome {
   kAnswered,     // 2xx
-  kRefused,      // 4xx: asking again changes nothing
-  kUnavailable,  // every controller answered that it can't now
+  kRefused,      // 4xx: a retry would give the same answer
+  kUnavailable,  // every controller that answered cannot serve the request now
   kUnreachable,  // no controller answered
 };
 
-// The answer of a controller, as it came.
+// The answer of a controller.
 struct CallResult {
   CallOutcome outcome = CallOutcome::kUnreachable;
-  std::string controller;  // that answered last; empty: none did
-  Json body;               // of its answer; null where that is no JSON
+  std::string controller;  // the one that answered last; empty if none did
+  Json body;               // of the answer; null if it is not JSON
   [[nodiscard]] bool ok() const { return outcome == CallOutcome::kAnswered; }
-  // What the controller said was wrong, for people.
+  // The error text of the controller, for people.
   [[nodiscard]] std::string error() const;
 };
 
 class OperatorClient {
  public:
-  // `controllers`: their addresses for other controllers, "10.0.0.1:8081". A call gives up after `timeout_s`
-  // (and at most one more round of the controllers).
+  // `controllers` are the peer addresses of the controllers, such as "10.0.0.1:8081". A call gives up after
+  // `timeout_s` and at most one more round over the controllers.
   OperatorClient(EventEnv& env, std::vector<std::string> controllers, double timeout_s);
 
-  // Answered with a recovery::ControllerStatus.
+  // The body of the answer is a recovery::ControllerStatus.
   CallResult status();
-  // Answered with a recovery::UnaccountedList.
+  // The body of the answer is a recovery::UnaccountedList.
   CallResult unaccounted();
-  // `decision`: done, rerun or cancelled. Returns when the decision is durable: the job is not listed any
-  // more, or listed as to run again; the result is then that of the list. Until the time is over it is
-  // repeated, which is safe.
+  // `decision` is done, rerun or cancelled. Returns when the decision is durable, which is when the job is no
+  // longer listed, or is listed as to be rerun; the result is then that of the list. Until then, or until the
+  // timeout, the request is repeated. A repeated request has no further effect.
   CallResult resolve(const std::string& job, const std::string& decision);
 
  private:
--- a/src/client/tables.cpp
+++ b/src/client/tables.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kColumns = 6;
 using Row = std::array<std::string, kColumns>;
 
-// Columns as wide as their longest entry, two blanks between them.
+// Makes each column as wide as its longest entry, with two blanks between columns.
 std::string render(const std::vector<Row>& rows) {
   std::array<std::size_t, kColumns> widths{};
   for (const Row& row : rows) {
--- a/src/client/tables.hpp
+++ b/src/client/tables.hpp
@@ -1,4 +1,4 @@
-// Answers of the controllers as text for people. (Scripts use --json: this text may change.)
+// Formats the answers of the controllers as text for people. Scripts use --json, so this text may change.
 #pragma once
 
 #include <string>
@@ -7,9 +7,10 @@
 
 namespace mothslip::client {
 
-// A few lines, each ended: whether the controller serves, and how far a rebuilding is.
+// A few lines that say whether the controller serves, and how far a rebuild has got. Each ends with a
+// newline.
 [[nodiscard]] std::string status_text(const recovery::ControllerStatus& status);
-// A table with a header line, or one line that says that there are none.
+// A table with a header line, or one line that says that there are no unaccounted jobs.
 [[nodiscard]] std::string unaccounted_table(const recovery::UnaccountedList& list);
 
 }  // namespace mothslip::client
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The program of one controller: reads its settings, and runs it (recovery::Controller).
+// The controller program: it reads the settings and runs a recovery::Controller.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -16,20 +16,21 @@
 
 namespace {
 
-// What the process ends with.
+// Exit codes of the process.
 constexpr int kSuccess = 0;
 constexpr int kFailure = 1;
-constexpr int kBadSettings = 2;  // also: a command line that is not understood
+constexpr int kBadSettings = 2;  // also for an invalid command line
 
 constexpr const char* kTuningFileName = "mothslip.ini";
 
 struct CommandLine {
   std::string config;  // path of the settings file
-  std::string tuning;  // path of the operators' file; empty: the one beside the settings file, if there
-  bool check = false;  // only check the settings
+  std::string tuning;  // operators' file; empty: kTuningFileName beside the settings file, if it exists
+  bool check = false;  // only check the settings and exit
 };
 
-// Logs go to standard error; the environment variable LOG_LEVEL sets the least level (default: info).
+// Writes logs to standard error. The environment variable LOG_LEVEL sets the lowest level that is logged; the
+// default is info.
 void set_up_log() {
   auto logger = spdlog::stderr_logger_st("mothslip");
   logger->set_pattern("%H:%M:%S.%e %l %v");
@@ -39,15 +40,15 @@
 }
 
 void add_options(CLI::App& app, CommandLine& command_line) {
-  app.add_option("--config", command_line.config, "settings file handed over by the platform (TOML)")
+  app.add_option("--config", command_line.config, "settings file provided by the platform (TOML)")
       ->required();
   app.add_option("--tuning", command_line.tuning,
                  "operators' own settings (INI); by default mothslip.ini beside the settings file");
-  app.add_flag("--check", command_line.check, "read the settings, say whether they are good, and end");
+  app.add_flag("--check", command_line.check, "read the settings, print whether they are valid, and exit");
   app.set_version_flag("--version", "mothslip " MOTHSLIP_VERSION);
 }
 
-// The path of the operators' file; empty where there is none.
+// The path of the operators' file; empty if there is none.
 std::string tuning_path(const CommandLine& command_line) {
   if (!command_line.tuning.empty()) return command_line.tuning;
   const auto beside = std::filesystem::path(command_line.config).parent_path() / kTuningFileName;
@@ -55,7 +56,7 @@
   return std::filesystem::exists(beside, ignored) ? beside.string() : "";
 }
 
-// Runs the controller until the process is ended. Throws std::exception where it cannot start.
+// Runs the controller until the process is killed. Throws std::exception if it cannot start.
 void run(const mothslip::Settings& settings) {
   mothslip::EventEnv env;
   mothslip::recovery::Controller controller(env, settings);
@@ -69,8 +70,8 @@
                                            [&controller](const auto& request, const auto& responder) {
                                              controller.on_peer_request(request, responder);
                                            });
-  spdlog::info("{} starts: client address {}, peer address {}", settings.node, settings.client_address,
-               settings.peer_address);
+  spdlog::info("{}: controller starts, with client address {} and peer address {}", settings.node,
+               settings.client_address, settings.peer_address);
   controller.start();
   env.run();
 }
@@ -97,13 +98,13 @@
     std::cout << command_line.config << ": good\n";
     return kSuccess;
   }
-  // A peer that closed its end must not end this process.
+  // A write to a connection that the other side has closed must not kill this process.
   std::signal(SIGPIPE, SIG_IGN);
   set_up_log();
   try {
     run(settings);
   } catch (const std::exception& error) {
-    spdlog::critical("{}", error.what());
+    spdlog::critical("controller exits because of an error: {}", error.what());
     return kFailure;
   }
   return kSuccess;
