--- a/src/recovery/rebuilding_mode.cpp
+++ b/src/recovery/rebuilding_mode.cpp
@@ -7,8 +7,8 @@
 RebuildingMode::RebuildingMode(Env& env, const Settings& settings, const Options& options,
                                const PublishedHandler& published)
     : outer_env_(env),
-      process_started_(options.process_started),
-      snapshot_(options.known, env.now()),
+      process_started_at_(options.process_started_at),
+      snapshot_(options.known_evidence, env.now()),
       service_(options.memory, env.now()),
       env_(env),
       recovery_(context(settings, options, published)) {}
@@ -20,9 +20,9 @@
   out.settings = &settings;
   out.last = options.last;
   out.shards = options.memory.shards;
-  out.process_started = options.process_started;
+  out.process_started_at = options.process_started_at;
   out.own_evidence = [this] { return own_evidence(); };
-  // (The handler ends this object, so it is called from a timer, and by a copy of its own.)
+  // The handler destroys this object, so a timer calls it, through a copy that the timer owns.
   out.published = [this, published](const MetaRecord& meta) {
     env_.after(0, [published, meta] { published(meta); });
   };
@@ -40,14 +40,14 @@
 EvidenceReply RebuildingMode::answer(const EvidenceRequest& request) const {
   EvidenceReply out;
   out.chunk_count = chunk_count();
-  out.uptime_s = outer_env_.now() - process_started_;
+  out.uptime_s = outer_env_.now() - process_started_at_;
   out.evidence = chunk(request.chunk);
   return out;
 }
 
 double RebuildingMode::suspended_s() const { return snapshot_.age_s(outer_env_.now()); }
 
-// The chunks of what was known when this mode began, and last what workers have reported since.
+// The chunks of the snapshot come first; the last chunk is the evidence that workers have reported since.
 Evidence RebuildingMode::chunk(std::size_t number) const {
   if (number >= snapshot_.chunk_count()) return service_.reported();
   return snapshot_.chunk(number, outer_env_.now());
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -1,8 +1,8 @@
-// What a controller does from the first sign of lost state until records are rebuilt: it watches `meta`,
-// leads the rebuilding where nobody else does, and tells when a new incarnation is published.
+// The work of a controller from the detection of lost state until the records are rebuilt. It polls `meta`,
+// leads the rebuild if no other controller does, and reports when a new incarnation is published.
 //
-// The lead is a key of the state service under a lease (kLeaderKey). Who takes it raises `meta.begun` in the
-// same transaction, so there is one leader for each incarnation that is begun.
+// The leader holds a key of the state service under a lease (kLeaderKey). A controller that takes the key
+// increases `meta.begun` in the same transaction, so every incarnation that is being rebuilt has one leader.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,11 @@
   struct Context {
     Env* env = nullptr;
     const Settings* settings = nullptr;
-    Incarnation last;                        // that this controller served
-    int shards = 0;                          // of the cluster; 0: not known
-    double process_started = 0;              // by the clock of `env`
-    std::function<Evidence()> own_evidence;  // all that this controller knows
-    // A new incarnation is published. Must not destroy this object from within.
+    Incarnation last;                        // the incarnation that this controller served last
+    int shards = 0;                          // number of shards in the cluster; 0 if not known
+    double process_started_at = 0;           // by the clock of `env`
+    std::function<Evidence()> own_evidence;  // returns everything that this controller knows
+    // Called when a new incarnation is published. It must not destroy this object during the call.
     std::function<void(const MetaRecord&)> published;
   };
   explicit Recovery(Context context);
@@ -34,20 +34,20 @@
   [[nodiscard]] RecoveryStatus status() const;
 
  private:
-  void look();
-  void look_again();
+  void read_meta();
+  void read_meta_later();
   void on_meta(const StateReply& reply);
-  void look_for_leader(const MetaRecord& meta, std::uint64_t meta_revision);
+  void check_for_leader(const MetaRecord& meta, std::uint64_t meta_revision);
   void claim(const MetaRecord& meta, std::uint64_t meta_revision);
-  void claim_with(std::uint64_t lease, const MetaRecord& meta, std::uint64_t meta_revision);
-  void lead(std::uint64_t lease, const MetaRecord& meta, std::uint64_t revision);
+  void claim_with_lease(std::uint64_t lease, const MetaRecord& meta, std::uint64_t meta_revision);
+  void start_leading(std::uint64_t lease, const MetaRecord& meta, std::uint64_t revision);
   void renew(std::uint64_t lease);
   void stop_leading();
 
   Context ctx_;
   StateClient store_;
-  int begun_;                // the incarnation that is being rebuilt, as far as is known here
-  std::uint64_t lease_ = 0;  // under which this controller leads; 0: it does not
+  int target_incarnation_;   // highest incarnation known to be in rebuild
+  std::uint64_t lease_ = 0;  // lease of the leader key; 0 while this controller does not lead
   std::unique_ptr<Rebuild> rebuild_;
 };
 
--- a/src/recovery/serving_mode.cpp
+++ b/src/recovery/serving_mode.cpp
@@ -7,19 +7,19 @@
 
 namespace mothslip::recovery {
 
-// (The node calls the detector from whatever it is doing, and must not be destroyed there: the handler is
-// called from a timer, which is gone if this object is.)
+// The node may call the detector at any point and must not be destroyed during that call. Therefore `on_loss`
+// is called from a timer, which is dropped if this object has been destroyed.
 ServingMode::ServingMode(Env& env, const Settings& settings, const Options& options, LossHandler on_loss)
     : detector_(options.incarnation.token_offset,
-                [this, on_loss = std::move(on_loss)](const std::string& why) {
-                  env_.after(0, [on_loss, why] { on_loss(why); });
+                [this, on_loss = std::move(on_loss)](const std::string& reason) {
+                  env_.after(0, [on_loss, reason] { on_loss(reason); });
                 }),
       env_(env),
       node_(env_, settings, options.capabilities, options.incarnation, &detector_),
       unaccounted_(env_, settings, options.incarnation, node_) {
   for (const auto& [ref, status] : options.terminals) node_.note_terminal(ref, status);
-  const double hold_back = hold_back_s(settings, options.doubt_s);
-  if (hold_back > 0) node_.hold_back(hold_back);
+  const double hold_s = hold_back_s(settings, options.stale_risk_s);
+  if (hold_s > 0) node_.hold_back(hold_s);
 }
 
 void ServingMode::on_client_request(const HttpRequest& request, const Responder& responder) {
