--- a/src/recovery/controller.cpp
+++ b/src/recovery/controller.cpp
@@ -82,11 +82,11 @@
 
 // All that this controller knows at the moment when it stops serving. `memory`: of its node.
 Evidence Controller::evidence_at_hand(const NodeMemory& memory) const {
-  Evidence out = evidence_of(memory);
-  if (doubt_s() > 0) forget_owners(out);
+  Evidence out = to_evidence(memory);
+  if (doubt_s() > 0) remove_owner_evidence(out);
   const bool just_rebuilt = serving_since_ > 0 && env_.now() - serving_since_ < kKeepSnapshotSeconds;
   if (just_rebuilt) out.merge(last_snapshot_.as_surviving_records());
-  if (serving_) out.newest = std::max(out.newest, serving_->newest_revision());
+  if (serving_) out.highest_revision = std::max(out.highest_revision, serving_->newest_revision());
   if (start_up_) out.merge(start_up_->reported());
   return out;
 }
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -48,19 +48,19 @@
 void JobEvidence::merge(const JobEvidence& other) {
   merge_job_record(record, other.record);
   merge_ending(ending, other.ending);
-  in_store |= other.in_store;
-  accepted |= other.accepted;
-  owner_knows_it |= other.owner_knows_it;
+  has_stored_record |= other.has_stored_record;
+  recently_accepted |= other.recently_accepted;
+  open_at_owner |= other.open_at_owner;
   without_description |= other.without_description;
   may_have_ended |= other.may_have_ended;
   done |= other.done;
   held |= other.held;
-  seen |= other.seen;
+  reported_by_worker |= other.reported_by_worker;
   for (const auto& [shard, tasks] : other.delegated) delegated[shard] |= tasks;
   for (const auto& [task, placement] : other.placements) {
-    PlacementEvidence& known = placements[task];
-    if (std::pair(placement.attempt, placement.machine) > std::pair(known.attempt, known.machine))
-      known = placement;
+    PlacementEvidence& existing = placements[task];
+    if (std::pair(placement.attempt, placement.machine) > std::pair(existing.attempt, existing.machine))
+      existing = placement;
   }
 }
 
@@ -68,44 +68,45 @@
   const auto text = [](const std::optional<JobRecord>& job_record) {
     return job_record ? dump_json(job_record->to_json()) : std::string();
   };
-  return text(a.record) == text(b.record) && a.ending == b.ending && a.in_store == b.in_store &&
-         a.accepted == b.accepted && a.owner_knows_it == b.owner_knows_it && a.done == b.done &&
+  return text(a.record) == text(b.record) && a.ending == b.ending &&
+         a.has_stored_record == b.has_stored_record && a.recently_accepted == b.recently_accepted &&
+         a.open_at_owner == b.open_at_owner && a.done == b.done &&
          a.without_description == b.without_description && a.held == b.held &&
-         a.may_have_ended == b.may_have_ended && a.seen == b.seen && a.delegated == b.delegated &&
-         a.placements == b.placements;
+         a.may_have_ended == b.may_have_ended && a.reported_by_worker == b.reported_by_worker &&
+         a.delegated == b.delegated && a.placements == b.placements;
 }
 
 void Evidence::merge(const Evidence& other) {
   shards = std::max(shards, other.shards);
-  newest = std::max(newest, other.newest);
+  highest_revision = std::max(highest_revision, other.highest_revision);
   for (const auto& [shard, owner] : other.owners) owners[shard] = std::max(owners[shard], owner);
   for (const auto& [name, machine] : other.machines) {
-    const auto [known, fresh] = machines.emplace(name, machine);
-    if (!fresh) merge_machine(known->second, machine);
+    const auto [existing, inserted] = machines.emplace(name, machine);
+    if (!inserted) merge_machine(existing->second, machine);
   }
   for (const auto& [ref, job] : other.jobs) jobs[ref].merge(job);
 }
 
-Evidence evidence_of(const NodeMemory& memory) {
+Evidence to_evidence(const NodeMemory& memory) {
   Evidence out;
   out.shards = memory.shards;
   for (const JobRecord& job_record : memory.accepted) {
     JobEvidence& job = out.jobs[job_record.spec.ref];
     merge_job_record(job.record, job_record);
-    job.accepted = true;
+    job.recently_accepted = true;
   }
   for (const auto& [ref, status] : memory.terminals) merge_ending(out.jobs[ref].ending, status.phase);
   for (const ShardMemory& shard : memory.owned) {
-    out.newest = std::max(out.newest, shard.token);
+    out.highest_revision = std::max(out.highest_revision, shard.token);
     out.owners[shard.shard] = {shard.token, shard.loaded, shard.lease_left_s > 0, shard.lease_left_s};
-    for (const JobMemory& known : shard.jobs) {
-      JobEvidence& job = out.jobs[known.record.spec.ref];
-      merge_job_record(job.record, known.record);
-      job.owner_knows_it |= !known.delegated_here;
-      job.done |= to_task_set(known.done);
-      job.held |= to_task_set(known.held);
-      job.may_have_ended |= known.may_have_ended;
-      for (const auto& [to, tasks] : known.delegated) job.delegated[to] |= to_task_set(tasks);
+    for (const JobMemory& job_memory : shard.jobs) {
+      JobEvidence& job = out.jobs[job_memory.record.spec.ref];
+      merge_job_record(job.record, job_memory.record);
+      job.open_at_owner |= !job_memory.delegated_here;
+      job.done |= to_task_set(job_memory.done);
+      job.held |= to_task_set(job_memory.held);
+      job.may_have_ended |= job_memory.may_have_ended;
+      for (const auto& [to, tasks] : job_memory.delegated) job.delegated[to] |= to_task_set(tasks);
     }
     for (const std::string& ref : shard.without_description) out.jobs[ref].without_description = true;
     for (const auto& [name, machine] : shard.machines) {
@@ -119,13 +120,13 @@
   return out;
 }
 
-std::vector<Evidence> cut(const Evidence& evidence, std::size_t entries) {
+std::vector<Evidence> split_into_chunks(const Evidence& evidence, std::size_t max_entries) {
   std::vector<Evidence> out(1);
   out.front().shards = evidence.shards;
-  out.front().newest = evidence.newest;
+  out.front().highest_revision = evidence.highest_revision;
   out.front().owners = evidence.owners;
-  const auto next = [&out, entries]() -> Evidence& {
-    if (out.back().jobs.size() + out.back().machines.size() >= entries) out.emplace_back();
+  const auto next = [&out, max_entries]() -> Evidence& {
+    if (out.back().jobs.size() + out.back().machines.size() >= max_entries) out.emplace_back();
     return out.back();
   };
   for (const auto& [name, machine] : evidence.machines) next().machines.emplace(name, machine);
@@ -133,9 +134,9 @@
   return out;
 }
 
-bool RebuildScope::complete() const {
-  return static_cast<int>(owner_heard.size()) == shards &&
-         std::all_of(owner_heard.begin(), owner_heard.end(), [](bool heard) { return heard; });
+bool RebuildScope::covers_all_owners() const {
+  return static_cast<int>(owner_covered.size()) == shards &&
+         std::all_of(owner_covered.begin(), owner_covered.end(), [](bool covered) { return covered; });
 }
 
 namespace {
@@ -149,17 +150,17 @@
 // The owner of its shard was heard and knows the job as open, or the job is so new that its owner did not
 // know it yet: then it has not begun. Of any other job nobody can say whether it has ended since the
 // surviving records were written.
-bool open_for_certain(const JobEvidence& job, bool home_heard) {
-  return home_heard && (job.owner_knows_it || job.accepted) && !job.may_have_ended;
+bool is_certainly_open(const JobEvidence& job, bool home_owner_covered) {
+  return home_owner_covered && (job.open_at_owner || job.recently_accepted) && !job.may_have_ended;
 }
 
 // Tasks that were delegated to shards whose owner was not heard.
-TaskSet delegated_unheard(const JobEvidence& job, const RebuildScope& scope) {
+TaskSet delegated_to_uncovered_shards(const JobEvidence& job, const RebuildScope& scope) {
   TaskSet out;
   for (const auto& [shard, tasks] : job.delegated) {
-    const bool heard =
-        shard >= 0 && shard < scope.shards && scope.owner_heard[static_cast<std::size_t>(shard)];
-    if (!heard) out |= tasks;
+    const bool covered =
+        shard >= 0 && shard < scope.shards && scope.owner_covered[static_cast<std::size_t>(shard)];
+    if (!covered) out |= tasks;
   }
   return out;
 }
@@ -192,8 +193,9 @@
     return out;
   }
   const auto shard = static_cast<std::size_t>(shard_of(ref, scope.shards));
-  out.may_have_ended = !open_for_certain(job, scope.owner_heard[shard]);
-  out.held = out.may_have_ended ? all_tasks(*job.record) : delegated_unheard(job, scope) | job.held;
+  out.may_have_ended = !is_certainly_open(job, scope.owner_covered[shard]);
+  out.held =
+      out.may_have_ended ? all_tasks(*job.record) : delegated_to_uncovered_shards(job, scope) | job.held;
   out.held -= out.done;
   for (const auto& [task, placement] : out.placements) out.held.remove(static_cast<std::uint32_t>(task));
   if (job.record->spec.is_gang && !out.held.isEmpty()) {
--- a/src/recovery/evidence.hpp
+++ b/src/recovery/evidence.hpp
@@ -39,14 +39,14 @@
 struct JobEvidence {
   std::optional<JobRecord> record;   // the description; nothing: only its name is known
   std::optional<JobPhase> ending;    // kDone or kCancelled
-  bool in_store = false;             // the surviving records list it as open
-  bool accepted = false;             // a controller accepted it a short while ago
-  bool owner_knows_it = false;       // open, by the memory of its shard's owner
+  bool has_stored_record = false;    // the surviving records list it as open
+  bool recently_accepted = false;    // a controller accepted it a short while ago
+  bool open_at_owner = false;        // open, by the memory of its shard's owner
   bool without_description = false;  // held whole by an earlier rebuilding
   bool may_have_ended = false;       // by an earlier rebuilding
   TaskSet done;                      // completed
   TaskSet held;                      // by an earlier rebuilding, and not decided since
-  TaskSet seen;                      // reported by a worker, in whatever state
+  TaskSet reported_by_worker;        // reported by a worker, in whatever state
   std::map<int, TaskSet> delegated;  // by the shard to which they were delegated, as its home knows
   std::map<int, PlacementEvidence> placements;
 
@@ -69,7 +69,7 @@
 
 struct Evidence {
   int shards = 0;                                 // of the cluster; 0: not known
-  std::uint64_t newest = 0;                       // token or revision that anybody has seen
+  std::uint64_t highest_revision = 0;             // token or revision that anybody has seen
   std::map<int, OwnerEvidence> owners;            // by shard
   std::map<std::string, MachineRecord> machines;  // by name; their placements are with the jobs
   std::map<std::string, JobEvidence> jobs;        // by job id
@@ -80,21 +80,21 @@
 };
 
 // The memory of a controller as evidence.
-[[nodiscard]] Evidence evidence_of(const NodeMemory& memory);
+[[nodiscard]] Evidence to_evidence(const NodeMemory& memory);
 
 // Cuts evidence into chunks of about so many jobs and machines, for messages of bounded size. Merged, they
 // are the whole.
-[[nodiscard]] std::vector<Evidence> cut(const Evidence& evidence, std::size_t entries);
+[[nodiscard]] std::vector<Evidence> split_into_chunks(const Evidence& evidence, std::size_t max_entries);
 
 // What the evidence of a rebuilding covers.
 struct RebuildScope {
-  int shards = 0;                 // of the cluster
-  std::vector<bool> owner_heard;  // by shard: all that its owner knew is among the evidence
+  int shards = 0;                   // of the cluster
+  std::vector<bool> owner_covered;  // by shard: all that its owner knew is among the evidence
   // Whatever ran is known to be gone: no placement counts.
   bool nothing_runs = false;
 
   // The owners of all shards were heard.
-  [[nodiscard]] bool complete() const;
+  [[nodiscard]] bool covers_all_owners() const;
 };
 
 // What becomes of a job.
--- a/src/recovery/evidence_json.cpp
+++ b/src/recovery/evidence_json.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-std::string text_of(const TaskSet& tasks) { return to_ranges(tasks).to_text(); }
+std::string to_text(const TaskSet& tasks) { return to_ranges(tasks).to_text(); }
 
-std::optional<TaskSet> task_set_of(const Json& value) {
+std::optional<TaskSet> parse_task_set(const Json& value) {
   if (!value.is_string()) return std::nullopt;
   const auto ranges = RangeSet::from_text(value.get<std::string>(), kMaxTasksPerJob);
   if (!ranges) return std::nullopt;
@@ -28,19 +28,19 @@
 constexpr const char* kDelegated = "lent";  // by shard
 constexpr const char* kPlaced = "placed";   // each: index, machine, attempt
 
-Json job_json(const JobEvidence& job) {
+Json job_to_json(const JobEvidence& job) {
   Json out = Json::object();
   if (job.record) out[kRecord] = job.record->to_json();
   if (job.ending) out[kEnding] = wire_name(*job.ending);
-  if (job.in_store) out[kInStore] = true;
-  if (job.accepted) out[kAccepted] = true;
-  if (job.owner_knows_it) out[kOwned] = true;
+  if (job.has_stored_record) out[kInStore] = true;
+  if (job.recently_accepted) out[kAccepted] = true;
+  if (job.open_at_owner) out[kOwned] = true;
   if (job.without_description) out[kUndescribed] = true;
   if (job.may_have_ended) out[kMayHaveEnded] = true;
-  if (!job.held.isEmpty()) out[kHeld] = text_of(job.held);
-  if (!job.done.isEmpty()) out[kDone] = text_of(job.done);
-  if (!job.seen.isEmpty()) out[kSeen] = text_of(job.seen);
-  for (const auto& [shard, tasks] : job.delegated) out[kDelegated][std::to_string(shard)] = text_of(tasks);
+  if (!job.held.isEmpty()) out[kHeld] = to_text(job.held);
+  if (!job.done.isEmpty()) out[kDone] = to_text(job.done);
+  if (!job.reported_by_worker.isEmpty()) out[kSeen] = to_text(job.reported_by_worker);
+  for (const auto& [shard, tasks] : job.delegated) out[kDelegated][std::to_string(shard)] = to_text(tasks);
   for (const auto& [task, placement] : job.placements)
     out[kPlaced].push_back({task, placement.machine, placement.attempt});
   return out;
@@ -48,7 +48,7 @@
 
 // Throws Json::exception, or std::exception of std::stoi, where a field has another type or a shard is no
 // number.
-std::optional<JobEvidence> job_of(const Json& value) {
+std::optional<JobEvidence> parse_job(const Json& value) {
   JobEvidence out;
   if (value.contains(kRecord)) {
     out.record = JobRecord::from_json(value[kRecord]);
@@ -59,21 +59,21 @@
     if (!status) return std::nullopt;
     out.ending = status->phase;
   }
-  out.in_store = value.value(kInStore, false);
-  out.accepted = value.value(kAccepted, false);
-  out.owner_knows_it = value.value(kOwned, false);
-  const auto done = task_set_of(value.value(kDone, Json("")));
-  const auto seen = task_set_of(value.value(kSeen, Json("")));
-  const auto held = task_set_of(value.value(kHeld, Json("")));
-  if (!done || !seen || !held) return std::nullopt;
+  out.has_stored_record = value.value(kInStore, false);
+  out.recently_accepted = value.value(kAccepted, false);
+  out.open_at_owner = value.value(kOwned, false);
+  const auto done = parse_task_set(value.value(kDone, Json("")));
+  const auto reported_by_worker = parse_task_set(value.value(kSeen, Json("")));
+  const auto held = parse_task_set(value.value(kHeld, Json("")));
+  if (!done || !reported_by_worker || !held) return std::nullopt;
   out.without_description = value.value(kUndescribed, false);
   out.held = *held;
   out.may_have_ended = value.value(kMayHaveEnded, false);
   out.done = *done;
-  out.seen = *seen;
+  out.reported_by_worker = *reported_by_worker;
   const Json delegated = value.value(kDelegated, Json::object());
   for (const auto& [shard, tasks] : delegated.items()) {
-    const auto set = task_set_of(tasks);
+    const auto set = parse_task_set(tasks);
     if (!set) return std::nullopt;
     out.delegated[std::stoi(shard)] = *set;
   }
@@ -88,11 +88,11 @@
 
 // (Each of the owners: shard, token, loaded, had the lease, seconds left of it.)
 Json Evidence::to_json() const {
-  Json out = {{"shards", shards}, {"newest", newest}};
+  Json out = {{"shards", shards}, {"newest", highest_revision}};
   for (const auto& [shard, owner] : owners)
     out["owners"].push_back({shard, owner.token, owner.loaded, owner.had_lease, owner.lease_left_s});
   for (const auto& [name, machine] : machines) out["machines"][name] = machine.to_json();
-  for (const auto& [ref, job] : jobs) out["jobs"][ref] = job_json(job);
+  for (const auto& [ref, job] : jobs) out["jobs"][ref] = job_to_json(job);
   return out;
 }
 
@@ -101,7 +101,7 @@
   Evidence out;
   try {
     out.shards = value.at("shards").get<int>();
-    out.newest = value.at("newest").get<std::uint64_t>();
+    out.highest_revision = value.at("newest").get<std::uint64_t>();
     const Json owner_list = value.value("owners", Json::array());
     for (const Json& owner : owner_list)
       out.owners[owner.at(0).get<int>()] = {owner.at(1).get<std::uint64_t>(), owner.at(2).get<bool>(),
@@ -114,7 +114,7 @@
     }
     const Json job_map = value.value("jobs", Json::object());
     for (const auto& [ref, job] : job_map.items()) {
-      auto evidence = job_of(job);
+      auto evidence = parse_job(job);
       if (!evidence || !is_valid_ref(ref)) return std::nullopt;
       out.jobs.emplace(ref, std::move(*evidence));
     }
--- a/src/recovery/evidence_snapshot.cpp
+++ b/src/recovery/evidence_snapshot.cpp
@@ -4,16 +4,16 @@
 
 namespace {
 // Jobs and machines in one chunk: a few hundred KiB as a message.
-constexpr std::size_t kChunkEntries = 400;
+constexpr std::size_t kMaxEntriesPerChunk = 400;
 }  // namespace
 
-void forget_owners(Evidence& evidence) {
+void remove_owner_evidence(Evidence& evidence) {
   evidence.owners.clear();
-  for (auto& [ref, job] : evidence.jobs) job.owner_knows_it = false;
+  for (auto& [ref, job] : evidence.jobs) job.open_at_owner = false;
 }
 
-EvidenceSnapshot::EvidenceSnapshot(const Evidence& known, double taken_at)
-    : chunks_(cut(known, kChunkEntries)), taken_at_(taken_at) {}
+EvidenceSnapshot::EvidenceSnapshot(const Evidence& evidence, double taken_at)
+    : chunks_(split_into_chunks(evidence, kMaxEntriesPerChunk)), taken_at_(taken_at) {}
 
 Evidence EvidenceSnapshot::chunk(std::size_t number, double now) const {
   Evidence out = chunks_[number];
@@ -24,12 +24,12 @@
 Evidence EvidenceSnapshot::as_surviving_records() const {
   Evidence out;
   for (const Evidence& chunk : chunks_) out.merge(chunk);
-  forget_owners(out);
+  remove_owner_evidence(out);
   out.machines.clear();
   for (auto& [ref, job] : out.jobs) {
     job.placements.clear();
-    job.accepted = false;
-    job.in_store = true;
+    job.recently_accepted = false;
+    job.has_stored_record = true;
   }
   return out;
 }
--- a/src/recovery/evidence_snapshot.hpp
+++ b/src/recovery/evidence_snapshot.hpp
@@ -10,14 +10,14 @@
 
 // Leaves out what the memories of shard owners say of their shards: what remains is known no better than by
 // the records themselves. For an owner that may have read records which were not recent.
-void forget_owners(Evidence& evidence);
+void remove_owner_evidence(Evidence& evidence);
 
 class EvidenceSnapshot {
  public:
   // Of a controller that has not stopped serving yet: nothing is known.
   EvidenceSnapshot() = default;
   // `taken_at`: by the clock that chunk() uses.
-  EvidenceSnapshot(const Evidence& known, double taken_at);
+  EvidenceSnapshot(const Evidence& evidence, double taken_at);
 
   [[nodiscard]] std::size_t chunk_count() const { return chunks_.size(); }
   // One chunk, as it is true at `now`: what was left of an owner's lease then is less by the time since.
--- a/src/recovery/rebuild.cpp
+++ b/src/recovery/rebuild.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 // A controller that has just ended is back within some seconds and answers that it knows nothing.
-constexpr double kMemoryPatienceSeconds = 15.0;
-constexpr double kReportPatienceSeconds = 3.0;
-constexpr double kRetrySeconds = 0.5;
-constexpr double kStoreShare = 0.8;     // nobody else asks much of the state service meanwhile
-constexpr double kMarginSeconds = 2.0;  // for messages under way and what clocks differ
+constexpr double kMemoryCollectionTimeoutSeconds = 15.0;
+constexpr double kReportCollectionTimeoutSeconds = 3.0;
+constexpr double kRetryDelaySeconds = 0.5;
+constexpr double kStoreRateFraction = 0.8;    // nobody else asks much of the state service meanwhile
+constexpr double kSafetyMarginSeconds = 2.0;  // for messages under way and what clocks differ
 // By which two steady clocks may drift apart, as a share of the time: twice what the protocol allows. Must be
 // no less than what Ownership takes for it.
-constexpr double kClockDrift = 0.001;
+constexpr double kMaxClockDriftFraction = 0.001;
 // Above every token that is known: what an unknown owner may have given out meanwhile is far less.
 constexpr std::uint64_t kTokenGap = std::uint64_t{1} << 30U;
 }  // namespace
@@ -45,9 +45,9 @@
       settings_(settings),
       plan_(std::move(plan)),
       handlers_(std::move(handlers)),
-      began_(env.now()),
+      started_at_(env.now()),
       collector_(env_, settings, plan_.meta.begun) {
-  store_.set_share(kStoreShare);
+  store_.set_share(kStoreRateFraction);
 }
 
 void Rebuild::start() {
@@ -58,35 +58,35 @@
 RebuildStatus Rebuild::status() const {
   RebuildStatus out;
   out.phase = phase_name(phase_);
-  out.since_s = env_.now() - began_;
-  out.not_heard = missing_;
-  out.open_jobs = counts_.open;
-  out.ended_jobs = counts_.ended;
-  out.unaccounted_jobs = counts_.unaccounted;
-  if (phase_ == RebuildPhase::kWaiting) out.waits_s = std::max(0.0, quiet_at() - env_.now());
-  if (writer_) out.records = RebuildStatus::Records{writer_->total(), writer_->written()};
+  out.since_s = env_.now() - started_at_;
+  out.not_heard = unresponsive_;
+  out.open_jobs = counts_.open_jobs;
+  out.ended_jobs = counts_.ended_jobs;
+  out.unaccounted_jobs = counts_.unaccounted_jobs;
+  if (phase_ == RebuildPhase::kWaiting) out.waits_s = std::max(0.0, all_tasks_stopped_at() - env_.now());
+  if (writer_) out.records = RebuildStatus::Records{writer_->total_records(), writer_->written_records()};
   return out;
 }
 
 void Rebuild::gather() {
   phase_ = RebuildPhase::kGathering;
-  collector_.collect(kMemoryPatienceSeconds,
+  collector_.collect(kMemoryCollectionTimeoutSeconds,
                      [this](const EvidenceCollector::Result& result) { on_gathered(result); });
 }
 
-void Rebuild::merge_evidence(const Evidence& of_others) {
-  evidence_.merge(of_others);
+void Rebuild::merge_evidence(const Evidence& peer_evidence) {
+  evidence_.merge(peer_evidence);
   evidence_.merge(plan_.own_evidence());
   evidence_.shards = plan_.meta.shards;
 }
 
 void Rebuild::on_gathered(const EvidenceCollector::Result& result) {
   merge_evidence(result.evidence);
-  missing_ = result.missing;
-  scope_ = scope_of(result);
-  if (scope_.complete()) {
+  unresponsive_ = result.unresponsive;
+  scope_ = make_scope(result);
+  if (scope_.covers_all_owners()) {
     spdlog::info("recovery: the owners of all {} shards were heard", scope_.shards);
-    read();
+    read_records();
   } else {
     wait_until_nothing_runs();
   }
@@ -95,16 +95,17 @@
 // An owner's memory is all there is to know of its shard unless a later owner existed that is not among those
 // heard. None can have: while the lease of the owner held; or while every process that could have claimed the
 // shard runs without a break since before that lease ended, and has not.
-RebuildScope Rebuild::scope_of(const EvidenceCollector::Result& result) const {
+RebuildScope Rebuild::make_scope(const EvidenceCollector::Result& result) const {
   RebuildScope out;
   out.shards = plan_.meta.shards;
-  out.owner_heard.assign(static_cast<std::size_t>(out.shards), false);
-  double youngest_s = plan_.process_uptime_s;
-  for (const double uptime_s : result.uptimes_s) youngest_s = std::min(youngest_s, uptime_s);
+  out.owner_covered.assign(static_cast<std::size_t>(out.shards), false);
+  double shortest_uptime_s = plan_.process_uptime_s;
+  for (const double uptime_s : result.uptimes_s) shortest_uptime_s = std::min(shortest_uptime_s, uptime_s);
   for (const auto& [shard, owner] : evidence_.owners) {
     if (shard < 0 || shard >= out.shards || !owner.loaded) continue;
-    const bool unbroken = result.missing.empty() && youngest_s > kMarginSeconds - owner.lease_left_s;
-    out.owner_heard[static_cast<std::size_t>(shard)] = owner.had_lease || unbroken;
+    const bool no_later_owner_possible =
+        result.unresponsive.empty() && shortest_uptime_s > kSafetyMarginSeconds - owner.lease_left_s;
+    out.owner_covered[static_cast<std::size_t>(shard)] = owner.had_lease || no_later_owner_possible;
   }
   return out;
 }
@@ -112,65 +113,69 @@
 // No controller decides anything after its lease, which ends `kLeaseSeconds` after this rebuilding was
 // recorded at the latest; and none renews a worker's lease so that it would last for longer than `cancel_s`
 // after that. By then whatever ran has ended, and every machine is in a new incarnation or gone.
-double Rebuild::quiet_at() const {
-  return began_ + (Ownership::kLeaseSeconds + settings_.cancel_s) * (1 + kClockDrift) + kMarginSeconds;
+double Rebuild::all_tasks_stopped_at() const {
+  return started_at_ + (Ownership::kLeaseSeconds + settings_.cancel_s) * (1 + kMaxClockDriftFraction) +
+         kSafetyMarginSeconds;
 }
 
 void Rebuild::wait_until_nothing_runs() {
   phase_ = RebuildPhase::kWaiting;
-  const double wait_s = std::max(0.0, quiet_at() - env_.now());
+  const double wait_s = std::max(0.0, all_tasks_stopped_at() - env_.now());
   spdlog::warn("recovery: not all owners were heard: waiting {:.0f} s until nothing runs that is not known",
                wait_s);
   scope_.nothing_runs = true;
   env_.after(wait_s, [this] {
     // What workers have reported meanwhile.
-    collector_.collect(kReportPatienceSeconds, [this](const EvidenceCollector::Result& result) {
+    collector_.collect(kReportCollectionTimeoutSeconds, [this](const EvidenceCollector::Result& result) {
       merge_evidence(result.evidence);
-      read();
+      read_records();
     });
   });
 }
 
-void Rebuild::read() {
+void Rebuild::read_records() {
   phase_ = RebuildPhase::kReading;
-  read_surviving_records(store_, plan_.meta.incarnation, evidence_,
-                         [this](std::optional<SurvivingRecords> read) { on_read(std::move(read)); });
+  read_surviving_records(
+      store_, plan_.meta.incarnation, evidence_,
+      [this](std::optional<SurvivingRecords> surviving) { on_records_read(std::move(surviving)); });
 }
 
-void Rebuild::on_read(std::optional<SurvivingRecords> surviving) {
+void Rebuild::on_records_read(std::optional<SurvivingRecords> surviving) {
   if (!surviving) {
-    env_.after(kRetrySeconds, [this] { read(); });
+    env_.after(kRetryDelaySeconds, [this] { read_records(); });
     return;
   }
-  write(*surviving);
+  write_records(*surviving);
 }
 
-Incarnation Rebuild::next_incarnation(std::uint64_t newest) const {
+Incarnation Rebuild::make_incarnation(std::uint64_t highest_revision) const {
   Incarnation out;
   out.number = plan_.meta.begun;
   out.prefix = "r/" + std::to_string(out.number) + "-" + plan_.nonce + "/";
-  out.token_offset = newest + kTokenGap;
+  out.token_offset = highest_revision + kTokenGap;
   const auto add = [&out](const std::string& prefix) {
     std::vector<std::string>& all = out.earlier_prefixes;
     if (std::find(all.begin(), all.end(), prefix) == all.end()) all.push_back(prefix);
   };
-  for (const Incarnation* before : {&plan_.meta.incarnation, &std::as_const(plan_.last)}) {
-    for (const std::string& prefix : before->earlier_prefixes) add(prefix);
-    add(before->prefix);
+  for (const Incarnation* previous : {&plan_.meta.incarnation, &std::as_const(plan_.last_incarnation)}) {
+    for (const std::string& prefix : previous->earlier_prefixes) add(prefix);
+    add(previous->prefix);
   }
   return out;
 }
 
-void Rebuild::write(const SurvivingRecords& surviving) {
+void Rebuild::write_records(const SurvivingRecords& surviving) {
   phase_ = RebuildPhase::kWriting;
-  const std::uint64_t newest = std::max({surviving.evidence.newest, surviving.revision,
-                                         plan_.last.token_offset, plan_.meta.incarnation.token_offset});
+  const std::uint64_t highest_revision =
+      std::max({surviving.evidence.highest_revision, surviving.revision, plan_.last_incarnation.token_offset,
+                plan_.meta.incarnation.token_offset});
   RebuiltRecords records = rebuild_records(surviving.evidence, scope_, surviving.endings, settings_);
   counts_ = records.counts;
   next_meta_ = plan_.meta;
-  next_meta_.incarnation = next_incarnation(newest);
+  next_meta_.incarnation = make_incarnation(highest_revision);
   spdlog::warn("recovery: {} open jobs, {} tasks placed, {} jobs unaccounted with {} tasks held, {} ended",
-               counts_.open, counts_.placed_tasks, counts_.unaccounted, counts_.held_tasks, counts_.ended);
+               counts_.open_jobs, counts_.placed_tasks, counts_.unaccounted_jobs, counts_.held_tasks,
+               counts_.ended_jobs);
   writer_ = std::make_unique<RecordWriter>(
       env_, store_, settings_, RecordWriter::Target{next_meta_.incarnation, plan_.leader_revision},
       std::move(records));
@@ -197,10 +202,10 @@
 void Rebuild::on_publish_reply(const StateReply& reply) {
   if (reply.ok()) {
     spdlog::warn("recovery: incarnation {} is published, {:.1f} s after it was begun",
-                 next_meta_.incarnation.number, env_.now() - began_);
+                 next_meta_.incarnation.number, env_.now() - started_at_);
     handlers_.published(next_meta_);
   } else if (reply.outcome == Outcome::kRefused) {
-    env_.after(kRetrySeconds, [this] { publish(); });
+    env_.after(kRetryDelaySeconds, [this] { publish(); });
   } else {
     handlers_.deposed();  // or published, by a copy that went unanswered: what `meta` says decides
   }
--- a/src/recovery/rebuild.hpp
+++ b/src/recovery/rebuild.hpp
@@ -27,7 +27,7 @@
     std::uint64_t meta_revision = 0;
     std::uint64_t leader_revision = 0;       // of the key that names this controller the leader
     std::string nonce;                       // makes the prefix of the keys unique
-    Incarnation last;                        // that the controllers served before, where known
+    Incarnation last_incarnation;            // that the controllers served before, where known
     double process_uptime_s = 0;             // of this controller
     std::function<Evidence()> own_evidence;  // all that this controller knows
   };
@@ -43,15 +43,15 @@
 
  private:
   void gather();
-  void merge_evidence(const Evidence& of_others);
+  void merge_evidence(const Evidence& peer_evidence);
   void on_gathered(const EvidenceCollector::Result& result);
-  [[nodiscard]] RebuildScope scope_of(const EvidenceCollector::Result& result) const;
-  [[nodiscard]] double quiet_at() const;
+  [[nodiscard]] RebuildScope make_scope(const EvidenceCollector::Result& result) const;
+  [[nodiscard]] double all_tasks_stopped_at() const;
   void wait_until_nothing_runs();
-  void read();
-  void on_read(std::optional<SurvivingRecords> read);
-  void write(const SurvivingRecords& read);
-  [[nodiscard]] Incarnation next_incarnation(std::uint64_t newest) const;
+  void read_records();
+  void on_records_read(std::optional<SurvivingRecords> surviving);
+  void write_records(const SurvivingRecords& surviving);
+  [[nodiscard]] Incarnation make_incarnation(std::uint64_t highest_revision) const;
   void publish();
   void on_publish_reply(const StateReply& reply);
 
@@ -60,10 +60,10 @@
   const Settings& settings_;
   Plan plan_;
   Handlers handlers_;
-  double began_;
+  double started_at_;
   RebuildPhase phase_ = RebuildPhase::kGathering;
   EvidenceCollector collector_;
-  std::vector<std::string> missing_;  // controllers not heard
+  std::vector<std::string> unresponsive_;  // controllers not heard
   Evidence evidence_;
   RebuildScope scope_;
   MetaRecord next_meta_;
--- a/src/recovery/rebuilt_records.cpp
+++ b/src/recovery/rebuilt_records.cpp
@@ -10,10 +10,11 @@
 
 namespace {
 
-constexpr double kFill = 0.8;        // of the largest value: owners add to these records
-constexpr double kCoreGrain = 0.25;  // even shares of a team's limit are multiples of it, cores or GPUs
+constexpr double kMaxFillFraction = 0.8;  // of the largest value: owners add to these records
+constexpr double kQuotaStepCoresOrGpus =
+    0.25;  // even shares of a team's limit are multiples of it, cores or GPUs
 // What a machine takes in a segment besides its name and its record.
-constexpr std::size_t kMachineFrameBytes = 8;
+constexpr std::size_t kMachineOverheadBytes = 8;
 
 class RecordBuilder {
  public:
@@ -23,7 +24,7 @@
         scope_(scope),
         stored_endings_(stored_endings),
         settings_(settings),
-        value_bytes_(static_cast<std::size_t>(kFill * settings.value_kb * 1024)) {}
+        max_record_bytes_(static_cast<std::size_t>(kMaxFillFraction * settings.value_kb * 1024)) {}
 
   RebuiltRecords build() {
     for (const auto& [ref, job] : evidence_.jobs) add_job(ref, job);
@@ -33,14 +34,14 @@
   }
 
  private:
-  struct ShardUse {
+  struct ShardUsage {
     double cores = 0;
     double gpus = 0;
   };
 
   void add_job(const std::string& ref, const JobEvidence& job) {
     JobOutcome outcome = derive_outcome(ref, job, scope_);
-    hold_on_unknown_machines(outcome);
+    hold_tasks_on_unknown_machines(outcome);
     const int shard = shard_of(ref, scope_.shards);
     switch (outcome.kind) {
       case JobOutcome::Kind::kEnded:
@@ -57,7 +58,7 @@
 
   // (Who knows of a placement knows the machine; should it be missing all the same, the task must not start
   // again.)
-  void hold_on_unknown_machines(JobOutcome& outcome) const {
+  void hold_tasks_on_unknown_machines(JobOutcome& outcome) const {
     std::erase_if(outcome.placements, [this, &outcome](const auto& item) {
       const bool unknown = evidence_.machines.count(item.second.machine) == 0;
       if (unknown) outcome.held.add(static_cast<std::uint32_t>(item.first));
@@ -66,27 +67,29 @@
   }
 
   void add_ending(const std::string& ref, int shard, const JobEvidence& job, const JobOutcome& outcome) {
-    out_.counts.ended++;
+    out_.counts.ended_jobs++;
     const auto number = job_number(ref);
     if (number && stored_endings_.contains(*number)) return;
     const int task_count = job.record ? job.record->spec.task_count : 0;
-    out_.others.push_back({keys::ending(shard, ref), ending_json(wire_name(outcome.ending), task_count)});
+    out_.other_records.push_back(
+        {keys::ending(shard, ref), ending_json(wire_name(outcome.ending), task_count)});
   }
 
   void add_without_description(const std::string& ref, int shard, const JobEvidence& job) {
     // (A worker shows what nobody submitted only if it was told to start it: the job was accepted once.)
-    if (job.seen.isEmpty() && job.done.isEmpty() && !job.without_description) return;
-    out_.counts.unaccounted++;
+    if (job.reported_by_worker.isEmpty() && job.done.isEmpty() && !job.without_description) return;
+    out_.counts.unaccounted_jobs++;
     UnaccountedRecord record;
     record.all_held = true;
     record.may_have_ended = true;
     record.reason = "known from workers only: its description is lost";
-    out_.others.push_back({keys::unaccounted(shard, ref), record.to_json()});
+    out_.other_records.push_back({keys::unaccounted(shard, ref), record.to_json()});
   }
 
-  void add_open(const std::string& ref, int shard, const JobRecord& known, const JobOutcome& outcome) {
-    out_.counts.open++;
-    JobRecord job_record = known;
+  void add_open(const std::string& ref, int shard, const JobRecord& source_record,
+                const JobOutcome& outcome) {
+    out_.counts.open_jobs++;
+    JobRecord job_record = source_record;
     job_record.cancelled = outcome.cancelled;
     job_record.cancelled_while_delegated =
         outcome.cancelled;  // (its new owner tells users once all have taken note)
@@ -97,26 +100,26 @@
   }
 
   void add_held(const JobSpec& spec, int shard, const JobOutcome& outcome) {
-    out_.counts.unaccounted++;
+    out_.counts.unaccounted_jobs++;
     out_.counts.held_tasks += static_cast<int>(outcome.held.cardinality());
     UnaccountedRecord record;
     record.held = to_ranges(outcome.held);
     record.may_have_ended = outcome.may_have_ended;
     // (Too many ranges for one record: all that neither ran nor is done is held then.)
-    if (record.held.text_bytes() > value_bytes_ / 2) {
+    if (record.held.text_bytes() > max_record_bytes_ / 2) {
       record.held.clear();
       record.all_held = true;
     }
     record.team = spec.team;
     record.job_class = spec.job_class;
     record.reason = "its tasks may have completed before records were lost";
-    out_.others.push_back({keys::unaccounted(shard, spec.ref), record.to_json()});
+    out_.other_records.push_back({keys::unaccounted(shard, spec.ref), record.to_json()});
   }
 
   void add_progress(const std::string& ref, int shard, const RangeSet& done) {
     if (done.empty()) return;
-    if (done.text_bytes() <= value_bytes_) {
-      out_.others.push_back({keys::progress_record(shard, ref), ProgressRecord{done}.to_json()});
+    if (done.text_bytes() <= max_record_bytes_) {
+      out_.other_records.push_back({keys::progress_record(shard, ref), ProgressRecord{done}.to_json()});
       return;
     }
     const int end = done.ranges().rbegin()->second;
@@ -124,7 +127,8 @@
       const int first = number * kTasksPerProgressChunk;
       const RangeSet slice = done.slice(first, first + kTasksPerProgressChunk);
       if (slice.empty()) continue;
-      out_.others.push_back({keys::progress_chunk(shard, ref, number), ProgressRecord{slice}.to_json()});
+      out_.other_records.push_back(
+          {keys::progress_chunk(shard, ref, number), ProgressRecord{slice}.to_json()});
     }
   }
 
@@ -136,16 +140,16 @@
     const int team = settings_.team_index(job_record.spec.team);
     for (const auto& [task, placement] : outcome.placements) {
       const int shard = shard_of(placement.machine, scope_.shards);
-      placed_[placement.machine].push_back({ref, task, placement.attempt});
+      placements_by_machine_[placement.machine].push_back({ref, task, placement.attempt});
       out_.counts.placed_tasks++;
-      ShardUse& use = use_[{team, shard}];
-      use.cores += job_record.spec.cores;
-      use.gpus += job_record.spec.accelerators;
+      ShardUsage& usage = usage_[{team, shard}];
+      usage.cores += job_record.spec.cores;
+      usage.gpus += job_record.spec.accelerators;
       if (shard != home) delegated_here[shard].insert(task);
     }
     for (auto& [shard, tasks] : delegated_here) {
       if (job_record.spec.is_gang || job_record.spec.must_share_zone || job_record.spec.must_spread_zones)
-        tasks = undone(job_record, outcome);
+        tasks = tasks_not_done_or_held(job_record, outcome);
       DelegationRecord record;
       record.home_shard = home;
       record.job = job_record;
@@ -156,7 +160,7 @@
   }
 
   // Tasks that may not be placed without regard to each other are delegated whole.
-  static RangeSet undone(const JobRecord& job_record, const JobOutcome& outcome) {
+  static RangeSet tasks_not_done_or_held(const JobRecord& job_record, const JobOutcome& outcome) {
     RangeSet out;
     out.insert(0, job_record.spec.task_count);
     out.erase(to_ranges(outcome.done | outcome.held));
@@ -165,73 +169,76 @@
 
   void add_segments() {
     std::map<int, SegmentRecord> segments;  // by shard: the one that is being filled
-    std::map<int, int> numbers;
-    std::map<int, std::size_t> bytes;
-    for (auto& [name, placements] : placed_) {
-      const auto known = evidence_.machines.find(name);
-      if (known == evidence_.machines.end()) continue;
-      MachineRecord machine = known->second;
+    std::map<int, int> segment_numbers;
+    std::map<int, std::size_t> segment_bytes;
+    for (auto& [name, placements] : placements_by_machine_) {
+      const auto machine_item = evidence_.machines.find(name);
+      if (machine_item == evidence_.machines.end()) continue;
+      MachineRecord machine = machine_item->second;
       machine.placements = std::move(placements);
       const int shard = shard_of(name, scope_.shards);
-      const std::size_t needs = name.size() + dump_json(machine.to_json()).size() + kMachineFrameBytes;
-      if (bytes[shard] + needs > value_bytes_ && !segments[shard].machines.empty()) {
-        out_.others.push_back({keys::segment(shard, ++numbers[shard]), segments[shard].to_json()});
+      const std::size_t needed_bytes =
+          name.size() + dump_json(machine.to_json()).size() + kMachineOverheadBytes;
+      if (segment_bytes[shard] + needed_bytes > max_record_bytes_ && !segments[shard].machines.empty()) {
+        out_.other_records.push_back(
+            {keys::segment(shard, ++segment_numbers[shard]), segments[shard].to_json()});
         segments[shard] = {};
-        bytes[shard] = 0;
+        segment_bytes[shard] = 0;
       }
       segments[shard].machines.emplace(name, std::move(machine));
-      bytes[shard] += needs;
+      segment_bytes[shard] += needed_bytes;
     }
     for (const auto& [shard, segment] : segments)
-      out_.others.push_back({keys::segment(shard, numbers[shard] + 1), segment.to_json()});
+      out_.other_records.push_back({keys::segment(shard, segment_numbers[shard] + 1), segment.to_json()});
   }
 
   // Every shard may use what it uses now, and an even part of what is left. A team of which nothing runs
   // needs no record: its limit is split evenly.
   void add_team_limits() {
     for (int team = 0; team < static_cast<int>(settings_.teams.size()); team++) {
-      const std::vector<ShardUse> by_shard = use_of_team(team);
-      ShardUse total;
-      for (const ShardUse& each : by_shard) {
+      const std::vector<ShardUsage> shard_usages = usage_by_shard(team);
+      ShardUsage total;
+      for (const ShardUsage& each : shard_usages) {
         total.cores += each.cores;
         total.gpus += each.gpus;
       }
       if (total.cores == 0 && total.gpus == 0) continue;
       const Team& limits = settings_.teams[static_cast<std::size_t>(team)];
-      const QuotaSplitRecord record = split(limits, by_shard, total);
-      out_.others.push_back({keys::quota_split(team), record.to_json()});
+      const QuotaSplitRecord record = make_quota_split(limits, shard_usages, total);
+      out_.other_records.push_back({keys::quota_split(team), record.to_json()});
     }
   }
 
-  [[nodiscard]] std::vector<ShardUse> use_of_team(int team) {
-    std::vector<ShardUse> out;
+  [[nodiscard]] std::vector<ShardUsage> usage_by_shard(int team) {
+    std::vector<ShardUsage> out;
     out.reserve(static_cast<std::size_t>(scope_.shards));
-    for (int shard = 0; shard < scope_.shards; shard++) out.push_back(use_[{team, shard}]);
+    for (int shard = 0; shard < scope_.shards; shard++) out.push_back(usage_[{team, shard}]);
     return out;
   }
 
-  [[nodiscard]] QuotaSplitRecord split(const Team& limits, const std::vector<ShardUse>& by_shard,
-                                       const ShardUse& total) const {
-    const double spare_cores = even_share(limits.cpus_max - total.cores);
-    const double spare_gpus = even_share(limits.gpus_max - total.gpus);
+  [[nodiscard]] QuotaSplitRecord make_quota_split(const Team& limits,
+                                                  const std::vector<ShardUsage>& shard_usages,
+                                                  const ShardUsage& total) const {
+    const double even_cores = even_share(limits.cpus_max - total.cores);
+    const double even_gpus = even_share(limits.gpus_max - total.gpus);
     QuotaSplitRecord out;
-    for (const ShardUse& each : by_shard) {
-      out.cores.push_back(each.cores + spare_cores);
-      out.gpus.push_back(each.gpus + spare_gpus);
+    for (const ShardUsage& each : shard_usages) {
+      out.cores.push_back(each.cores + even_cores);
+      out.gpus.push_back(each.gpus + even_gpus);
     }
     // (What an even part rounds away must not be lost to the team.)
-    const ShardUse& first = by_shard.front();
-    out.cores.front() = first.cores + rest_of(limits.cpus_max, total.cores, spare_cores);
-    out.gpus.front() = first.gpus + rest_of(limits.gpus_max, total.gpus, spare_gpus);
+    const ShardUsage& first = shard_usages.front();
+    out.cores.front() = first.cores + remainder_of(limits.cpus_max, total.cores, even_cores);
+    out.gpus.front() = first.gpus + remainder_of(limits.gpus_max, total.gpus, even_gpus);
     return out;
   }
 
-  [[nodiscard]] double even_share(double amount) const {
-    return std::max(0.0, std::floor(amount / scope_.shards / kCoreGrain) * kCoreGrain);
+  [[nodiscard]] double even_share(double unused) const {
+    return std::max(0.0, std::floor(unused / scope_.shards / kQuotaStepCoresOrGpus) * kQuotaStepCoresOrGpus);
   }
 
   // What is left of a limit for the first shard when all others have their even part.
-  [[nodiscard]] double rest_of(double limit, double used, double even) const {
+  [[nodiscard]] double remainder_of(double limit, double used, double even) const {
     return std::max(0.0, limit - used - even * (scope_.shards - 1));
   }
 
@@ -239,20 +246,20 @@
   const RebuildScope& scope_;
   const TaskSet& stored_endings_;
   const Settings& settings_;
-  std::size_t value_bytes_;
+  std::size_t max_record_bytes_;
   RebuiltRecords out_;
-  std::map<std::string, std::vector<PlacementRecord>> placed_;  // by machine
-  std::map<std::pair<int, int>, ShardUse> use_;                 // by team and shard
+  std::map<std::string, std::vector<PlacementRecord>> placements_by_machine_;  // by machine
+  std::map<std::pair<int, int>, ShardUsage> usage_;                            // by team and shard
 };
 
 }  // namespace
 
 std::optional<std::uint32_t> job_number(const std::string& ref) {
-  constexpr std::size_t kPrefix = 4;  // "job-"
+  constexpr std::size_t kPrefixBytes = 4;  // "job-"
   std::uint32_t out = 0;
   const char* end = ref.data() + ref.size();
-  if (ref.size() <= kPrefix) return std::nullopt;
-  const auto [last, error] = std::from_chars(ref.data() + kPrefix, end, out);
+  if (ref.size() <= kPrefixBytes) return std::nullopt;
+  const auto [last, error] = std::from_chars(ref.data() + kPrefixBytes, end, out);
   if (error != std::errc() || last != end) return std::nullopt;
   return out;
 }
--- a/src/recovery/rebuilt_records.hpp
+++ b/src/recovery/rebuilt_records.hpp
@@ -18,7 +18,7 @@
 // records are written first.
 struct RebuiltRecords {
   std::vector<RecordWrite> job_records;
-  std::vector<RecordWrite> others;  // everything but job records and delegations
+  std::vector<RecordWrite> other_records;  // everything but job records and delegations
   struct Delegation {
     std::string key;
     std::string job_key;
@@ -27,9 +27,9 @@
   std::vector<Delegation> delegations;
 
   struct Counts {
-    int open = 0;
-    int ended = 0;
-    int unaccounted = 0;  // jobs of which tasks are held
+    int open_jobs = 0;
+    int ended_jobs = 0;
+    int unaccounted_jobs = 0;  // jobs of which tasks are held
     int held_tasks = 0;
     int placed_tasks = 0;
   };
--- a/src/recovery/record_writer.cpp
+++ b/src/recovery/record_writer.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 // A transaction may have so many bytes, or as many as the largest value if that is more.
-constexpr std::size_t kTransactionBytes = std::size_t{48} * 1024;
+constexpr std::size_t kMinBatchLimitBytes = std::size_t{48} * 1024;
 // What a change takes in the body of a transaction besides its value and, in the guard and the put, its key.
-constexpr std::size_t kFrameBytes = 100;
-constexpr double kRetrySeconds = 0.3;
+constexpr std::size_t kChangeOverheadBytes = 100;
+constexpr double kRetryDelaySeconds = 0.3;
 }  // namespace
 
 RecordWriter::RecordWriter(Env& env, StateClient& store, const Settings& settings, Target target,
@@ -21,17 +21,17 @@
       store_(store),
       key_space_(std::move(target.incarnation)),
       leader_revision_(target.leader_revision),
-      batch_bytes_(std::max(static_cast<std::size_t>(settings.value_kb * 1024), kTransactionBytes)),
-      queue_(std::move(records.others)),
+      max_batch_bytes_(std::max(static_cast<std::size_t>(settings.value_kb * 1024), kMinBatchLimitBytes)),
+      queue_(std::move(records.other_records)),
       delegations_(std::move(records.delegations)) {
   // Job records first: delegations, which are added when all else is written, name their revisions.
   std::move(records.job_records.begin(), records.job_records.end(), std::back_inserter(queue_));
-  total_ = queue_.size() + delegations_.size();
+  total_records_ = queue_.size() + delegations_.size();
 }
 
 void RecordWriter::write(Handler handler) {
   handler_ = std::move(handler);
-  next();
+  write_next_batch();
 }
 
 void RecordWriter::add_delegations() {
@@ -44,20 +44,20 @@
 
 std::vector<RecordWrite> RecordWriter::take_batch() {
   std::vector<RecordWrite> batch;
-  std::size_t bytes = 0;
-  const auto most = static_cast<std::size_t>(store_.writes_per_txn());
-  while (!queue_.empty() && batch.size() < most) {
-    const std::size_t needs =
-        queue_.back().key.size() * 2 + dump_json(queue_.back().data).size() + kFrameBytes;
-    if (!batch.empty() && bytes + needs > batch_bytes_) break;
-    bytes += needs;
+  std::size_t batch_bytes = 0;
+  const auto max_writes = static_cast<std::size_t>(store_.writes_per_txn());
+  while (!queue_.empty() && batch.size() < max_writes) {
+    const std::size_t needed_bytes =
+        queue_.back().key.size() * 2 + dump_json(queue_.back().data).size() + kChangeOverheadBytes;
+    if (!batch.empty() && batch_bytes + needed_bytes > max_batch_bytes_) break;
+    batch_bytes += needed_bytes;
     batch.push_back(std::move(queue_.back()));
     queue_.pop_back();
   }
   return batch;
 }
 
-void RecordWriter::next() {
+void RecordWriter::write_next_batch() {
   if (queue_.empty()) add_delegations();
   if (queue_.empty()) {
     handler_(true);
@@ -70,42 +70,42 @@
     transaction.guard(key_space_.stored_key(record.key), 0);
     transaction.put(key_space_.stored_key(record.key), record.data);
   }
-  send(batch, transaction.body());
+  send_batch(batch, transaction.body());
 }
 
-void RecordWriter::send(const std::vector<RecordWrite>& batch, const std::string& body) {
+void RecordWriter::send_batch(const std::vector<RecordWrite>& batch, const std::string& body) {
   store_.commit_body(RequestPriority::kLaunch, body, static_cast<int>(batch.size()),
                      [this, batch, body](const StateReply& reply) {
                        if (reply.ok()) {
-                         settle(batch, reply.revision());
+                         on_batch_written(batch, reply.revision());
                        } else if (reply.outcome == Outcome::kRefused || reply.outcome == Outcome::kUnknown) {
-                         env_.after(kRetrySeconds, [this, batch, body] { send(batch, body); });
+                         env_.after(kRetryDelaySeconds, [this, batch, body] { send_batch(batch, body); });
                        } else {
-                         look_for(batch, body);
+                         check_batch_written(batch, body);
                        }
                      });
 }
 
 // Refused: a copy that went unanswered was carried out before, or the leader has been deposed.
-void RecordWriter::look_for(const std::vector<RecordWrite>& batch, const std::string& body) {
+void RecordWriter::check_batch_written(const std::vector<RecordWrite>& batch, const std::string& body) {
   store_.get(RequestPriority::kLaunch, key_space_.stored_key(batch.front().key),
              [this, batch, body](const StateReply& reply) {
                if (reply.ok()) {
-                 settle(batch, stored_revision(reply));
+                 on_batch_written(batch, stored_revision(reply));
                } else if (reply.outcome == Outcome::kMissing) {
                  handler_(false);
                } else {
-                 env_.after(kRetrySeconds, [this, batch, body] { look_for(batch, body); });
+                 env_.after(kRetryDelaySeconds, [this, batch, body] { check_batch_written(batch, body); });
                }
              });
 }
 
-void RecordWriter::settle(const std::vector<RecordWrite>& batch, std::uint64_t revision) {
-  written_ += batch.size();
+void RecordWriter::on_batch_written(const std::vector<RecordWrite>& batch, std::uint64_t revision) {
+  written_records_ += batch.size();
   for (const RecordWrite& record : batch) {
     if (record.key.rfind(keys::kJobRecords, 0) == 0) job_revisions_[record.key] = key_space_.to_own(revision);
   }
-  next();
+  write_next_batch();
 }
 
 }  // namespace mothslip::recovery
--- a/src/recovery/record_writer.hpp
+++ b/src/recovery/record_writer.hpp
@@ -30,14 +30,14 @@
 
   void write(Handler handler);
   // Records to be written in all, and those that are durable.
-  [[nodiscard]] std::size_t total() const { return total_; }
-  [[nodiscard]] std::size_t written() const { return written_; }
+  [[nodiscard]] std::size_t total_records() const { return total_records_; }
+  [[nodiscard]] std::size_t written_records() const { return written_records_; }
 
  private:
-  void next();
-  void send(const std::vector<RecordWrite>& batch, const std::string& body);
-  void settle(const std::vector<RecordWrite>& batch, std::uint64_t revision);
-  void look_for(const std::vector<RecordWrite>& batch, const std::string& body);
+  void write_next_batch();
+  void send_batch(const std::vector<RecordWrite>& batch, const std::string& body);
+  void on_batch_written(const std::vector<RecordWrite>& batch, std::uint64_t revision);
+  void check_batch_written(const std::vector<RecordWrite>& batch, const std::string& body);
   [[nodiscard]] std::vector<RecordWrite> take_batch();
   void add_delegations();
 
@@ -45,12 +45,12 @@
   StateClient& store_;
   KeySpace key_space_;
   std::uint64_t leader_revision_;
-  std::size_t batch_bytes_;
+  std::size_t max_batch_bytes_;
   std::vector<RecordWrite> queue_;  // those to be written next stand last
   std::vector<RebuiltRecords::Delegation> delegations_;
   std::map<std::string, std::uint64_t> job_revisions_;  // as the new incarnation sees them
-  std::size_t total_;
-  std::size_t written_ = 0;
+  std::size_t total_records_;
+  std::size_t written_records_ = 0;
   Handler handler_;
 };
 
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -107,7 +107,7 @@
   plan.meta_revision = revision;
   plan.leader_revision = revision;
   plan.nonce = std::to_string(ctx_.env->random() % kNonces);
-  plan.last = ctx_.last;
+  plan.last_incarnation = ctx_.last;
   plan.process_uptime_s = ctx_.env->now() - ctx_.process_started;
   plan.own_evidence = ctx_.own_evidence;
   const auto deposed = [this] { ctx_.env->after(0, [this] { stop_leading(); }); };
--- a/src/recovery/start_up.cpp
+++ b/src/recovery/start_up.cpp
@@ -84,7 +84,7 @@
 // `stored_revision`: as the state service counts, without the incarnation's offset.
 void StartUp::compare_with_store(std::uint64_t stored_revision) {
   const Incarnation incarnation = meta_ ? meta_->incarnation : Incarnation{};
-  const std::uint64_t newest_known = std::max(reported().newest, newest_of_peers_);
+  const std::uint64_t newest_known = std::max(reported().highest_revision, newest_of_peers_);
   const bool service_is_behind = newest_known > KeySpace(incarnation).to_own(stored_revision);
   // (An empty service, at the very first start, has no workers with tasks.)
   const bool emptied = !meta_ && !reported().jobs.empty();
--- a/src/recovery/surviving_records.cpp
+++ b/src/recovery/surviving_records.cpp
@@ -15,32 +15,35 @@
 // their machines' owners tell, or nothing runs any more.)
 class Reader : public std::enable_shared_from_this<Reader> {
  public:
-  Reader(StateClient& store, const Incarnation& incarnation, Evidence known, SurvivingHandler handler)
-      : store_(store), current_(incarnation.prefix), handler_(std::move(handler)) {
-    out_.evidence = std::move(known);
-    using Take = void (Reader::*)(const StateItem&);
-    const auto plan = [this](const std::string& prefix, Take take) { steps_.push_back({prefix, take}); };
-    plan(current_ + keys::kJobRecords, &Reader::take_job_record);
-    plan(current_ + keys::kProgress, &Reader::take_progress);
-    plan(current_ + keys::kDelegations, &Reader::take_delegation);
-    plan(current_ + keys::kSegments, &Reader::take_segment);
-    plan(current_ + keys::kUnaccounted, &Reader::take_unaccounted);
-    plan(current_ + keys::kEndings, &Reader::take_ending);
-    for (const std::string& earlier : incarnation.earlier_prefixes)
-      plan(earlier + keys::kEndings, &Reader::take_ending);
+  Reader(StateClient& store, const Incarnation& incarnation, Evidence known_evidence,
+         SurvivingRecordsHandler handler)
+      : store_(store), current_prefix_(incarnation.prefix), handler_(std::move(handler)) {
+    out_.evidence = std::move(known_evidence);
+    using ItemHandler = void (Reader::*)(const StateItem&);
+    const auto add_step = [this](const std::string& prefix, ItemHandler handle_item) {
+      steps_.push_back({prefix, handle_item});
+    };
+    add_step(current_prefix_ + keys::kJobRecords, &Reader::add_job_record);
+    add_step(current_prefix_ + keys::kProgress, &Reader::add_progress);
+    add_step(current_prefix_ + keys::kDelegations, &Reader::add_delegation);
+    add_step(current_prefix_ + keys::kSegments, &Reader::add_segment);
+    add_step(current_prefix_ + keys::kUnaccounted, &Reader::add_unaccounted);
+    add_step(current_prefix_ + keys::kEndings, &Reader::add_ending);
+    for (const std::string& earlier_prefix : incarnation.earlier_prefixes)
+      add_step(earlier_prefix + keys::kEndings, &Reader::add_ending);
   }
 
-  void next() {
-    if (at_ == steps_.size()) {
+  void read_next_prefix() {
+    if (step_index_ == steps_.size()) {
       handler_(std::move(out_));
       return;
     }
-    const Step step = steps_[at_];
+    const Step step = steps_[step_index_];
     const auto self = shared_from_this();
     store_.scan(
         RequestPriority::kLease, "/" + step.prefix,
         [self, step](const std::vector<StateItem>& items) {
-          for (const StateItem& item : items) (self.get()->*step.take)(item);
+          for (const StateItem& item : items) (self.get()->*step.handle_item)(item);
         },
         [self](Outcome outcome, std::uint64_t revision) {
           if (outcome != Outcome::kOk) {
@@ -48,19 +51,19 @@
             return;
           }
           self->out_.revision = std::max(self->out_.revision, revision);
-          self->at_++;
-          self->next();
+          self->step_index_++;
+          self->read_next_prefix();
         });
   }
 
  private:
   struct Step {
     std::string prefix;
-    void (Reader::*take)(const StateItem&);
+    void (Reader::*handle_item)(const StateItem&);
   };
 
   // The job that a key belongs to: what stands behind the last slash, and before a tilde.
-  static std::string job_of(const std::string& key) {
+  static std::string job_id_of_key(const std::string& key) {
     const std::string name = key.substr(key.rfind('/') + 1);
     return name.substr(0, name.find('~'));
   }
@@ -70,61 +73,61 @@
   }
 
   // The job, if it is open by what was read before.
-  JobEvidence* open_job(const std::string& ref) {
+  JobEvidence* find_job(const std::string& ref) {
     const auto found = out_.evidence.jobs.find(ref);
     return found == out_.evidence.jobs.end() ? nullptr : &found->second;
   }
 
   void add_done(const std::string& ref, const RangeSet& done) {
-    JobEvidence* job = open_job(ref);
+    JobEvidence* job = find_job(ref);
     if (job != nullptr) job->done |= to_task_set(done);
   }
 
-  void take_job_record(const StateItem& item) {
+  void add_job_record(const StateItem& item) {
     RecordError error;
     auto job_record = JobRecord::from_json(item.data, &error);
     if (!job_record) return log_unreadable(item, error);
     JobEvidence job;
-    job.in_store = true;
+    job.has_stored_record = true;
     const std::string ref = job_record->spec.ref;
     job.record = std::move(job_record);
     out_.evidence.jobs[ref].merge(job);
   }
 
-  void take_progress(const StateItem& item) {
+  void add_progress(const StateItem& item) {
     const auto progress = ProgressRecord::from_json(item.data, kMaxTasksPerJob);
-    if (progress) add_done(job_of(item.key), progress->done);
+    if (progress) add_done(job_id_of_key(item.key), progress->done);
   }
 
-  void take_delegation(const StateItem& item) {
+  void add_delegation(const StateItem& item) {
     RecordError error;
     const auto delegation = DelegationRecord::from_json(item.data, &error);
     if (!delegation) return log_unreadable(item, error);
     add_done(delegation->job.spec.ref, delegation->done);
   }
 
-  void take_segment(const StateItem& item) {
+  void add_segment(const StateItem& item) {
     RecordError error;
     const auto segment = SegmentRecord::from_json(item.data, &error);
     if (!segment) return log_unreadable(item, error);
     for (const auto& [name, text] : segment->done) {
-      if (const auto done = RangeSet::from_text(text, kMaxTasksPerJob)) add_done(job_of(name), *done);
+      if (const auto done = RangeSet::from_text(text, kMaxTasksPerJob)) add_done(job_id_of_key(name), *done);
     }
   }
 
-  void take_unaccounted(const StateItem& item) {
+  void add_unaccounted(const StateItem& item) {
     // (An operator may have decided since; what the owner's memory says counts, and otherwise it is held
     // again.)
     const auto record = UnaccountedRecord::from_json(item.data);
     if (record && record->all_held && !record->rerun)
-      out_.evidence.jobs[job_of(item.key)].without_description = true;
+      out_.evidence.jobs[job_id_of_key(item.key)].without_description = true;
   }
 
-  void take_ending(const StateItem& item) {
-    const std::string ref = job_of(item.key);
+  void add_ending(const StateItem& item) {
+    const std::string ref = job_id_of_key(item.key);
     if (const auto number = job_number(ref)) out_.endings.add(*number);
     // Only those that somebody takes for open matter beyond that.
-    JobEvidence* job = open_job(ref);
+    JobEvidence* job = find_job(ref);
     if (job == nullptr || !item.data.is_object()) return;
     if (const auto status = terminal_status(item.data.value("phase", ""), 0)) {
       JobEvidence ended;
@@ -134,18 +137,19 @@
   }
 
   StateClient& store_;
-  std::string current_;
-  SurvivingHandler handler_;
+  std::string current_prefix_;
+  SurvivingRecordsHandler handler_;
   std::vector<Step> steps_;
-  std::size_t at_ = 0;
+  std::size_t step_index_ = 0;
   SurvivingRecords out_;
 };
 
 }  // namespace
 
-void read_surviving_records(StateClient& store, const Incarnation& incarnation, Evidence known,
-                            SurvivingHandler handler) {
-  std::make_shared<Reader>(store, incarnation, std::move(known), std::move(handler))->next();
+void read_surviving_records(StateClient& store, const Incarnation& incarnation, Evidence known_evidence,
+                            SurvivingRecordsHandler handler) {
+  std::make_shared<Reader>(store, incarnation, std::move(known_evidence), std::move(handler))
+      ->read_next_prefix();
 }
 
 }  // namespace mothslip::recovery
--- a/src/recovery/surviving_records.hpp
+++ b/src/recovery/surviving_records.hpp
@@ -20,8 +20,8 @@
 // `incarnation`: of the records that are read. `known`: what other sources say; records of jobs that are over
 // matter only where one of those, or another record, takes the job for open. The handler gets nothing where
 // the service could not be read; it may be asked again.
-using SurvivingHandler = std::function<void(std::optional<SurvivingRecords>)>;
-void read_surviving_records(StateClient& store, const Incarnation& incarnation, Evidence known,
-                            SurvivingHandler handler);
+using SurvivingRecordsHandler = std::function<void(std::optional<SurvivingRecords>)>;
+void read_surviving_records(StateClient& store, const Incarnation& incarnation, Evidence known_evidence,
+                            SurvivingRecordsHandler handler);
 
 }  // namespace mothslip::recovery
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -78,11 +78,11 @@
 }
 
 void SuspendedService::note_reported_tasks(const Report& report) {
-  reported_.newest = std::max(reported_.newest, newest_reported_revision(report));
+  reported_.highest_revision = std::max(reported_.highest_revision, newest_reported_revision(report));
   for (const TaskReport& task : report.tasks) {
     const auto index = static_cast<std::uint32_t>(task.index);
     JobEvidence& job = reported_.jobs[task.ref];
-    job.seen.add(index);
+    job.reported_by_worker.add(index);
     if (task.phase == TaskPhase::kExited && task.cause == ExitCause::kDone) job.done.add(index);
   }
 }
--- a/tests/recovery_merge_test.cpp
+++ b/tests/recovery_merge_test.cpp
@@ -39,9 +39,9 @@
   }
   // A job ends in one way only.
   if (*rc::gen::inRange(0, 4) == 0) out.ending = number % 2 == 0 ? JobPhase::kDone : JobPhase::kCancelled;
-  out.in_store = *rc::gen::arbitrary<bool>();
-  out.accepted = *rc::gen::arbitrary<bool>();
-  out.owner_knows_it = *rc::gen::arbitrary<bool>();
+  out.has_stored_record = *rc::gen::arbitrary<bool>();
+  out.recently_accepted = *rc::gen::arbitrary<bool>();
+  out.open_at_owner = *rc::gen::arbitrary<bool>();
   out.may_have_ended = *rc::gen::inRange(0, 5) == 0;
   for (std::uint32_t task = 0; task < kTaskCount; task++) {
     const int state = *rc::gen::inRange(0, 5);
@@ -52,7 +52,7 @@
       out.placements[static_cast<int>(task)] = {"host-" + std::to_string(attempt),
                                                 static_cast<std::uint64_t>(attempt)};
     }
-    if (state == 3) out.seen.add(task);
+    if (state == 3) out.reported_by_worker.add(task);
   }
   return out;
 }
@@ -60,7 +60,7 @@
 Evidence draw_evidence() {
   Evidence out;
   out.shards = kShards;
-  out.newest = *rc::gen::inRange<std::uint64_t>(0, 1000);
+  out.highest_revision = *rc::gen::inRange<std::uint64_t>(0, 1000);
   for (int shard = 0; shard < kShards; shard++) {
     if (*rc::gen::arbitrary<bool>())
       out.owners[shard] = {*rc::gen::inRange<std::uint64_t>(1, 9), *rc::gen::arbitrary<bool>(),
@@ -91,8 +91,8 @@
 RebuildScope draw_scope() {
   RebuildScope out;
   out.shards = kShards;
-  for (int shard = 0; shard < kShards; shard++) out.owner_heard.push_back(*rc::gen::arbitrary<bool>());
-  out.nothing_runs = !out.complete();
+  for (int shard = 0; shard < kShards; shard++) out.owner_covered.push_back(*rc::gen::arbitrary<bool>());
+  out.nothing_runs = !out.covers_all_owners();
   return out;
 }
 
@@ -110,7 +110,8 @@
 
 RC_GTEST_PROP(MergedEvidence, SurvivesTheWireInPieces, ()) {
   const Evidence whole = draw_evidence();
-  const std::vector<Evidence> task_count = cut(whole, static_cast<std::size_t>(*rc::gen::inRange(1, 5)));
+  const std::vector<Evidence> task_count =
+      split_into_chunks(whole, static_cast<std::size_t>(*rc::gen::inRange(1, 5)));
   Evidence joined;
   for (const Evidence& task : task_count) {
     const auto read = Evidence::from_json(parse_json(text_of(task)));
@@ -148,7 +149,7 @@
   for (const auto& [ref, job] : all.jobs) {
     const JobOutcome outcome = derive_outcome(ref, job, scope);
     if (outcome.kind != JobOutcome::Kind::kOpen || outcome.cancelled) continue;
-    const bool home_heard = scope.owner_heard[static_cast<std::size_t>(shard_of(ref, kShards))];
+    const bool home_owner_covered = scope.owner_covered[static_cast<std::size_t>(shard_of(ref, kShards))];
     for (std::uint32_t task = 0; task < kTaskCount; task++) {
       const bool placed = outcome.placements.count(static_cast<int>(task)) > 0;
       const int ways =
@@ -156,12 +157,12 @@
       RC_ASSERT(ways <= 1);
       const bool starts = ways == 0;
       if (!starts) continue;
-      RC_ASSERT(home_heard);
+      RC_ASSERT(home_owner_covered);
       RC_ASSERT(!job.may_have_ended);
-      RC_ASSERT(job.owner_knows_it || job.accepted);
+      RC_ASSERT(job.open_at_owner || job.recently_accepted);
       RC_ASSERT(scope.nothing_runs || job.placements.count(static_cast<int>(task)) == 0);
       for (const auto& [shard, tasks] : job.delegated)
-        RC_ASSERT(!tasks.contains(task) || scope.owner_heard[static_cast<std::size_t>(shard)]);
+        RC_ASSERT(!tasks.contains(task) || scope.owner_covered[static_cast<std::size_t>(shard)]);
     }
   }
 }
@@ -174,11 +175,11 @@
   const Evidence all = merged({draw_evidence(), draw_evidence()});
   RebuildScope scope;
   scope.shards = kShards;
-  scope.owner_heard.assign(kShards, true);
+  scope.owner_covered.assign(kShards, true);
   const RebuiltRecords records = rebuild_records(all, scope, {}, settings);
   int placed = 0;
   double shared_out = 0;
-  for (const RecordWrite& record : records.others) {
+  for (const RecordWrite& record : records.other_records) {
     RC_ASSERT(dump_json(record.data).size() <= 1024);
     if (record.key.rfind(keys::kQuotaSplits, 0) == 0) {
       for (const Json& cores : record.data["c"]) shared_out += cores.get<double>();
