--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Of two descriptions of one job: they differ in the cancellation alone, and a cancellation stands.
+// Merges two descriptions of one job. They differ only in the cancellation and the submission time, and a
+// cancellation is never undone.
 void merge_job_record(std::optional<JobRecord>& job_record, const std::optional<JobRecord>& other) {
   if (!other) return;
   if (!job_record) {
@@ -18,7 +19,8 @@
   job_record->submitted_at = std::max(job_record->submitted_at, other->submitted_at);
 }
 
-// A job is done once only: should sources disagree, which none can, done is what cannot be taken back.
+// A job ends only once, so sources cannot disagree. If they did, kDone would win because a completion cannot
+// be undone.
 void merge_ending(std::optional<JobPhase>& ending, const std::optional<JobPhase>& other) {
   if (!other) return;
   if (!ending || *other == JobPhase::kDone) ending = other;
@@ -147,14 +149,14 @@
   return out;
 }
 
-// The owner of its shard was heard and knows the job as open, or the job is so new that its owner did not
-// know it yet: then it has not begun. Of any other job nobody can say whether it has ended since the
-// surviving records were written.
+// A job is certainly open if the evidence covers the owner of its home shard and that owner had it as open,
+// or if the job was accepted so recently that the owner had not read it yet and no task has started. Any
+// other job may have ended after the surviving records were written.
 bool is_certainly_open(const JobEvidence& job, bool home_owner_covered) {
   return home_owner_covered && (job.open_at_owner || job.recently_accepted) && !job.may_have_ended;
 }
 
-// Tasks that were delegated to shards whose owner was not heard.
+// Returns the tasks that were delegated to shards whose owners the evidence does not cover.
 TaskSet delegated_to_uncovered_shards(const JobEvidence& job, const RebuildScope& scope) {
   TaskSet out;
   for (const auto& [shard, tasks] : job.delegated) {
@@ -181,7 +183,7 @@
     return out;
   }
   if (cancelled) {
-    // What is placed of it has to be stopped first; its description is what the owner needs for that.
+    // The owner has to stop the placed tasks first, and it needs the job's description to do so.
     const bool ended = out.placements.empty() || !job.record;
     out.kind = ended ? JobOutcome::Kind::kEnded : JobOutcome::Kind::kOpen;
     out.ending = JobPhase::kCancelled;
@@ -199,7 +201,7 @@
   out.held -= out.done;
   for (const auto& [task, placement] : out.placements) out.held.remove(static_cast<std::uint32_t>(task));
   if (job.record->spec.is_gang && !out.held.isEmpty()) {
-    // The tasks of a gang complete together, or none does.
+    // The tasks of a gang complete together or not at all.
     out.held = all_tasks(*job.record);
     out.placements.clear();
   }
--- a/src/recovery/evidence.hpp
+++ b/src/recovery/evidence.hpp
@@ -1,12 +1,13 @@
-// What is known about jobs, tasks and shards after the state service has lost records, from whatever source:
-// the surviving records, the memories of controllers, the reports of workers.
+// Evidence about jobs, tasks and shards, collected after the state service has lost records. The sources are
+// the surviving records, the memory of the controllers and the reports of the workers.
 //
-// Evidence of several sources is merged by union, so that order and repetition do not matter:
-//  * an ending that any source knows of stands;
-//  * a task that any source saw completed is done;
-//  * of several placements of a task the one with the highest attempt number counts;
-//  * a job that any source knows to be cancelled is cancelled.
-// derive_outcome() decides what follows for a job.
+// Evidence from several sources is merged by union, so that the result depends neither on the order of the
+// sources nor on duplicates:
+//  * a job has ended if any source has its ending;
+//  * a task is done if any source has its completion;
+//  * of several placements of a task, the one with the highest attempt number wins;
+//  * a job is cancelled if any source has its cancellation.
+// derive_outcome() decides from the merged evidence how a job continues.
 #pragma once
 
 #include <cstdint>
@@ -23,43 +24,44 @@
 
 namespace mothslip::recovery {
 
-// Indices of tasks, as a compressed bit set: unions of large sets are what merging consists of.
+// Task indices as a compressed bit set, because merging evidence mostly computes unions of large sets.
 using TaskSet = Roaring;
 [[nodiscard]] TaskSet to_task_set(const RangeSet& ranges);
 [[nodiscard]] RangeSet to_ranges(const TaskSet& tasks);
 
-// A task was placed on this machine, by this attempt.
+// The machine on which a task was placed, and the attempt that placed it.
 struct PlacementEvidence {
   std::string machine;
   std::uint64_t attempt = 0;
   friend bool operator==(const PlacementEvidence&, const PlacementEvidence&) = default;
 };
 
-// All that is known of one job. The sets are indices of its tasks; the placements are by task index.
+// The evidence about one job. The sets contain indices of its tasks, and the placements are keyed by task
+// index.
 struct JobEvidence {
-  std::optional<JobRecord> record;   // the description; nothing: only its name is known
+  std::optional<JobRecord> record;   // the description; without it, only the job id is known
   std::optional<JobPhase> ending;    // kDone or kCancelled
-  bool has_stored_record = false;    // the surviving records list it as open
-  bool recently_accepted = false;    // a controller accepted it a short while ago
-  bool open_at_owner = false;        // open, by the memory of its shard's owner
-  bool without_description = false;  // held whole by an earlier rebuilding
-  bool may_have_ended = false;       // by an earlier rebuilding
-  TaskSet done;                      // completed
-  TaskSet held;                      // by an earlier rebuilding, and not decided since
-  TaskSet reported_by_worker;        // reported by a worker, in whatever state
-  std::map<int, TaskSet> delegated;  // by the shard to which they were delegated, as its home knows
+  bool has_stored_record = false;    // the surviving records contain it as open
+  bool recently_accepted = false;    // a controller has accepted it recently
+  bool open_at_owner = false;        // the owner of its home shard had it as open
+  bool without_description = false;  // an earlier rebuild held all its tasks for lack of a description
+  bool may_have_ended = false;       // an earlier rebuild could not tell whether it had ended
+  TaskSet done;                      // completed tasks
+  TaskSet held;                      // held by an earlier rebuild and not resolved since
+  TaskSet reported_by_worker;        // tasks that a worker has reported in any state
+  std::map<int, TaskSet> delegated;  // tasks that the home shard has delegated, by target shard
   std::map<int, PlacementEvidence> placements;
 
   void merge(const JobEvidence& other);
   friend bool operator==(const JobEvidence&, const JobEvidence&);
 };
 
-// The memory of a shard's owner. Of two, that with the higher token counts.
+// What is known about the owner of a shard. Of two owners of one shard, the one with the higher token wins.
 struct OwnerEvidence {
   std::uint64_t token = 0;
-  bool loaded = false;      // it knew all its records
-  bool had_lease = false;   // nobody can have replaced it before the loss was noticed
-  double lease_left_s = 0;  // below 0: its lease ended so long ago
+  bool loaded = false;      // it had read all records of the shard
+  bool had_lease = false;   // no other owner can have replaced it before the loss was detected
+  double lease_left_s = 0;  // negative: the time since its lease ended
   friend bool operator<(const OwnerEvidence& a, const OwnerEvidence& b) {
     return std::tie(a.token, a.loaded, a.had_lease, a.lease_left_s) <
            std::tie(b.token, b.loaded, b.had_lease, b.lease_left_s);
@@ -68,10 +70,10 @@
 };
 
 struct Evidence {
-  int shards = 0;                                 // of the cluster; 0: not known
-  std::uint64_t highest_revision = 0;             // token or revision that anybody has seen
-  std::map<int, OwnerEvidence> owners;            // by shard
-  std::map<std::string, MachineRecord> machines;  // by name; their placements are with the jobs
+  int shards = 0;                       // number of shards in the cluster; 0: unknown
+  std::uint64_t highest_revision = 0;   // highest revision or fencing token that any source has seen
+  std::map<int, OwnerEvidence> owners;  // by shard
+  std::map<std::string, MachineRecord> machines;  // by name, without placements, which `jobs` contains
   std::map<std::string, JobEvidence> jobs;        // by job id
 
   void merge(const Evidence& other);
@@ -79,41 +81,41 @@
   static std::optional<Evidence> from_json(const Json& value);
 };
 
-// The memory of a controller as evidence.
+// Converts the memory of a controller to evidence.
 [[nodiscard]] Evidence to_evidence(const NodeMemory& memory);
 
-// Cuts evidence into chunks of about so many jobs and machines, for messages of bounded size. Merged, they
-// are the whole.
+// Splits evidence into chunks of at most `max_entries` jobs and machines, which bounds the size of messages.
+// Merging all chunks restores the evidence.
 [[nodiscard]] std::vector<Evidence> split_into_chunks(const Evidence& evidence, std::size_t max_entries);
 
-// What the evidence of a rebuilding covers.
+// Which shards the evidence of a rebuild covers.
 struct RebuildScope {
-  int shards = 0;                   // of the cluster
-  std::vector<bool> owner_covered;  // by shard: all that its owner knew is among the evidence
-  // Whatever ran is known to be gone: no placement counts.
+  int shards = 0;                   // number of shards in the cluster
+  std::vector<bool> owner_covered;  // by shard: the evidence includes all that its last owner had in memory
+  // Every task that was running is known to have stopped, so placements are ignored.
   bool nothing_runs = false;
 
-  // The owners of all shards were heard.
+  // True if the evidence covers the owners of all shards.
   [[nodiscard]] bool covers_all_owners() const;
 };
 
-// What becomes of a job.
+// What the rebuilt records say about a job.
 struct JobOutcome {
   enum class Kind {
-    kEnded,              // `ending` stands
-    kOpen,               // goes on: its tasks are done, placed, held or waiting
-    kWithoutDescription  // held whole until its user submits it again or an operator decides
+    kEnded,              // the job has ended with `ending`
+    kOpen,               // the job continues: its tasks are done, placed, held or queued
+    kWithoutDescription  // all tasks are held until the user submits the job again or an operator resolves it
   };
   Kind kind = Kind::kOpen;
   JobPhase ending = JobPhase::kDone;
-  bool may_have_ended = false;  // open as far as is known: nothing may be told of it
-  bool cancelled = false;       // open, and cancelled: what is placed of it is to be stopped
+  bool may_have_ended = false;  // open by the evidence, but not certainly: its status must not be reported
+  bool cancelled = false;       // its placed tasks still have to be stopped if the job is open
   TaskSet done;
-  TaskSet held;  // may have completed unseen: not started, not forgotten
+  TaskSet held;  // tasks that may have completed unobserved: they are neither restarted nor dropped
   std::map<int, PlacementEvidence> placements;
 };
 
-// `ref`: the job's id, which says what its home shard is. Pure.
+// Derives the outcome of the job with id `ref`, which determines its home shard. Has no side effects.
 [[nodiscard]] JobOutcome derive_outcome(const std::string& ref, const JobEvidence& job,
                                         const RebuildScope& scope);
 
--- a/src/recovery/evidence_collector.cpp
+++ b/src/recovery/evidence_collector.cpp
@@ -17,7 +17,7 @@
   deadline_ = env_.now() + timeout_s;
   pending_count_ = settings_.members.size();
   for (const Member& member : settings_.members) request_chunk(member, 0);
-  // (There may be no other controller; the caller is not called back from within.)
+  // Without other controllers the collection is complete now, but the handler must not be called from within.
   env_.after(0, [this] { finish_if_complete(); });
 }
 
@@ -34,7 +34,10 @@
       env_.after(kRetryDelaySeconds, [this, &member, chunk] { request_chunk(member, chunk); });
       return;
     }
-    spdlog::warn("recovery: {} has not answered, last with {}", member.node, reply.status);
+    spdlog::warn(
+        "recovery: controller {} did not send its evidence in time (last HTTP status {}, 0 if none); "
+        "continuing without it",
+        member.node, reply.status);
     result_.unresponsive.push_back(member.node);
     pending_count_--;
     finish_if_complete();
--- a/src/recovery/evidence_collector.hpp
+++ b/src/recovery/evidence_collector.hpp
@@ -1,5 +1,5 @@
-// Asks all other controllers for what they know, chunk by chunk, and merges the answers. A controller that
-// does not answer is asked again until the patience of the caller is over.
+// Requests the evidence of all other controllers, chunk by chunk, and merges the replies. A request that
+// fails is repeated until the caller's timeout has expired.
 #pragma once
 
 #include <functional>
@@ -16,16 +16,17 @@
  public:
   struct Result {
     Evidence evidence;
-    std::vector<std::string> unresponsive;  // controllers that have not answered in time
-    std::vector<double> uptimes_s;          // of the processes that have
+    std::vector<std::string> unresponsive;  // controllers that did not reply in time
+    std::vector<double> uptimes_s;          // process uptimes of the controllers that replied
   };
   using Handler = std::function<void(Result)>;
-  // `begun`: the incarnation that is being rebuilt.
+  // `incarnation`: the number of the incarnation that the rebuild writes.
   EvidenceCollector(Env& env, const Settings& settings, int incarnation)
       : env_(env), settings_(settings), incarnation_(incarnation) {}
 
-  // Ends when all have answered in full, or after `patience_s` (and at most one call's timeout): then the
-  // handler is called, never from within this call. Not to be called again before.
+  // Calls the handler once all controllers have replied in full, or after `timeout_s` plus at most the
+  // timeout of one call. Never calls the handler from within this function. Must not be called again before
+  // the handler has been called.
   void collect(double timeout_s, Handler handler);
 
  private:
@@ -37,7 +38,7 @@
   const Settings& settings_;
   int incarnation_;
   double deadline_ = 0;
-  std::size_t pending_count_ = 0;  // controllers that are still to be heard
+  std::size_t pending_count_ = 0;  // controllers whose evidence is incomplete
   Result result_;
   Handler handler_;
 };
--- a/src/recovery/evidence_json.cpp
+++ b/src/recovery/evidence_json.cpp
@@ -1,4 +1,4 @@
-// The form in which controllers send evidence to one another.
+// The JSON format in which controllers send evidence to one another.
 #include "recovery/evidence.hpp"
 
 namespace mothslip::recovery {
@@ -14,7 +14,7 @@
   return to_task_set(*ranges);
 }
 
-// Fields of a job's evidence as controllers send it.
+// Field names of a job's evidence in JSON.
 constexpr const char* kRecord = "head";
 constexpr const char* kEnding = "ending";
 constexpr const char* kInStore = "in_store";
@@ -25,8 +25,8 @@
 constexpr const char* kHeld = "held";
 constexpr const char* kDone = "done";
 constexpr const char* kSeen = "seen";
-constexpr const char* kDelegated = "lent";  // by shard
-constexpr const char* kPlaced = "placed";   // each: index, machine, attempt
+constexpr const char* kDelegated = "lent";  // object of task ranges by shard
+constexpr const char* kPlaced = "placed";   // array of [task index, machine, attempt]
 
 Json job_to_json(const JobEvidence& job) {
   Json out = Json::object();
@@ -46,8 +46,8 @@
   return out;
 }
 
-// Throws Json::exception, or std::exception of std::stoi, where a field has another type or a shard is no
-// number.
+// Throws Json::exception if a field has an unexpected type, and the std::exception of std::stoi if a shard is
+// not a number.
 std::optional<JobEvidence> parse_job(const Json& value) {
   JobEvidence out;
   if (value.contains(kRecord)) {
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-// (Each of the owners: shard, token, loaded, had the lease, seconds left of it.)
+// Each owner is an array: shard, token, loaded, had_lease, lease_left_s.
 Json Evidence::to_json() const {
   Json out = {{"shards", shards}, {"newest", highest_revision}};
   for (const auto& [shard, owner] : owners)
@@ -118,7 +118,8 @@
       if (!evidence || !is_valid_ref(ref)) return std::nullopt;
       out.jobs.emplace(ref, std::move(*evidence));
     }
-  } catch (const std::exception&) {  // of the JSON library, or a shard that is no number
+  } catch (const std::exception&) {  // thrown by the JSON library, or by std::stoi for a shard that is not a
+                                     // number
     return std::nullopt;
   }
   return out;
--- a/src/recovery/evidence_snapshot.cpp
+++ b/src/recovery/evidence_snapshot.cpp
@@ -3,7 +3,7 @@
 namespace mothslip::recovery {
 
 namespace {
-// Jobs and machines in one chunk: a few hundred KiB as a message.
+// Jobs and machines in one chunk. A message of this size has a few hundred KiB.
 constexpr std::size_t kMaxEntriesPerChunk = 400;
 }  // namespace
 
--- a/src/recovery/evidence_snapshot.hpp
+++ b/src/recovery/evidence_snapshot.hpp
@@ -1,4 +1,4 @@
-// What a controller knew at the moment when it stopped serving, in chunks that fit into messages.
+// The evidence that a controller had when it stopped serving, in chunks that fit into messages.
 #pragma once
 
 #include <cstddef>
@@ -8,22 +8,22 @@
 
 namespace mothslip::recovery {
 
-// Leaves out what the memories of shard owners say of their shards: what remains is known no better than by
-// the records themselves. For an owner that may have read records which were not recent.
+// Removes what the evidence says about shard owners and the jobs that they had as open. The rest is no more
+// reliable than the records themselves. Used for an owner that may have read outdated records.
 void remove_owner_evidence(Evidence& evidence);
 
 class EvidenceSnapshot {
  public:
-  // Of a controller that has not stopped serving yet: nothing is known.
+  // An empty snapshot, for a controller that has not stopped serving yet.
   EvidenceSnapshot() = default;
-  // `taken_at`: by the clock that chunk() uses.
+  // `taken_at`: the current time on the clock that is passed to chunk().
   EvidenceSnapshot(const Evidence& evidence, double taken_at);
 
   [[nodiscard]] std::size_t chunk_count() const { return chunks_.size(); }
-  // One chunk, as it is true at `now`: what was left of an owner's lease then is less by the time since.
+  // Returns one chunk as of `now`: the time left of each owner's lease is reduced by the age of the snapshot.
   [[nodiscard]] Evidence chunk(std::size_t number, double now) const;
-  // The whole as evidence for a later rebuilding, should records be lost again before all shards of the new
-  // incarnation were read: as good as surviving records.
+  // Returns the whole snapshot as evidence for a later rebuild, which needs it if records are lost again
+  // before all shards of the new incarnation have been read. It counts as much as surviving records do.
   [[nodiscard]] Evidence as_surviving_records() const;
   [[nodiscard]] double age_s(double now) const { return now - taken_at_; }
 
--- a/src/recovery/rebuild.cpp
+++ b/src/recovery/rebuild.cpp
@@ -10,16 +10,18 @@
 namespace mothslip::recovery {
 
 namespace {
-// A controller that has just ended is back within some seconds and answers that it knows nothing.
+// A controller that has just terminated restarts within a few seconds and then replies with empty evidence.
 constexpr double kMemoryCollectionTimeoutSeconds = 15.0;
 constexpr double kReportCollectionTimeoutSeconds = 3.0;
 constexpr double kRetryDelaySeconds = 0.5;
-constexpr double kStoreRateFraction = 0.8;    // nobody else asks much of the state service meanwhile
-constexpr double kSafetyMarginSeconds = 2.0;  // for messages under way and what clocks differ
-// By which two steady clocks may drift apart, as a share of the time: twice what the protocol allows. Must be
-// no less than what Ownership takes for it.
+// Fraction of the state service's request limits, of which other controllers use little during a rebuild.
+constexpr double kStoreRateFraction = 0.8;
+constexpr double kSafetyMarginSeconds = 2.0;  // for messages in transit and clock differences
+// Maximum drift between two steady clocks, as a fraction of the elapsed time. It is twice the drift that the
+// protocol allows and must be no less than the drift that Ownership assumes.
 constexpr double kMaxClockDriftFraction = 0.001;
-// Above every token that is known: what an unknown owner may have given out meanwhile is far less.
+// Distance of the new tokens from the highest known one. An unknown owner can have issued far fewer in the
+// meantime.
 constexpr std::uint64_t kTokenGap = std::uint64_t{1} << 30U;
 }  // namespace
 
@@ -51,7 +53,8 @@
 }
 
 void Rebuild::start() {
-  spdlog::warn("recovery: this controller rebuilds the records, as incarnation {}", plan_.meta.begun);
+  spdlog::warn("recovery: this controller leads the rebuild of the records as incarnation {}",
+               plan_.meta.begun);
   gather();
 }
 
@@ -85,16 +88,18 @@
   unresponsive_ = result.unresponsive;
   scope_ = make_scope(result);
   if (scope_.covers_all_owners()) {
-    spdlog::info("recovery: the owners of all {} shards were heard", scope_.shards);
+    spdlog::info(
+        "recovery: received the evidence of the owners of all {} shards; reading the surviving records",
+        scope_.shards);
     read_records();
   } else {
     wait_until_nothing_runs();
   }
 }
 
-// An owner's memory is all there is to know of its shard unless a later owner existed that is not among those
-// heard. None can have: while the lease of the owner held; or while every process that could have claimed the
-// shard runs without a break since before that lease ended, and has not.
+// The memory of an owner is complete for its shard unless a later owner existed whose evidence is missing.
+// There cannot have been one if the owner's lease was still valid, or if every process that could have
+// claimed the shard has been running since before that lease ended and has not claimed it.
 RebuildScope Rebuild::make_scope(const EvidenceCollector::Result& result) const {
   RebuildScope out;
   out.shards = plan_.meta.shards;
@@ -110,9 +115,9 @@
   return out;
 }
 
-// No controller decides anything after its lease, which ends `kLeaseSeconds` after this rebuilding was
-// recorded at the latest; and none renews a worker's lease so that it would last for longer than `cancel_s`
-// after that. By then whatever ran has ended, and every machine is in a new incarnation or gone.
+// No controller makes decisions after the end of its lease, which is at most `kLeaseSeconds` after this
+// rebuild was recorded. No controller renews a worker's lease beyond `cancel_s` after the end of its own. By
+// then every task has stopped, and every machine has a new worker incarnation or no longer exists.
 double Rebuild::all_tasks_stopped_at() const {
   return started_at_ + (Ownership::kLeaseSeconds + settings_.cancel_s) * (1 + kMaxClockDriftFraction) +
          kSafetyMarginSeconds;
@@ -121,11 +126,13 @@
 void Rebuild::wait_until_nothing_runs() {
   phase_ = RebuildPhase::kWaiting;
   const double wait_s = std::max(0.0, all_tasks_stopped_at() - env_.now());
-  spdlog::warn("recovery: not all owners were heard: waiting {:.0f} s until nothing runs that is not known",
-               wait_s);
+  spdlog::warn(
+      "recovery: the evidence of some shard owners is missing; waiting {:.0f} s until every task that may "
+      "still run has stopped",
+      wait_s);
   scope_.nothing_runs = true;
   env_.after(wait_s, [this] {
-    // What workers have reported meanwhile.
+    // Collects what workers have reported in the meantime.
     collector_.collect(kReportCollectionTimeoutSeconds, [this](const EvidenceCollector::Result& result) {
       merge_evidence(result.evidence);
       read_records();
@@ -173,9 +180,11 @@
   counts_ = records.counts;
   next_meta_ = plan_.meta;
   next_meta_.incarnation = make_incarnation(highest_revision);
-  spdlog::warn("recovery: {} open jobs, {} tasks placed, {} jobs unaccounted with {} tasks held, {} ended",
-               counts_.open_jobs, counts_.placed_tasks, counts_.unaccounted_jobs, counts_.held_tasks,
-               counts_.ended_jobs);
+  spdlog::warn(
+      "recovery: writing the rebuilt records: {} open jobs, {} tasks placed, {} jobs unaccounted with {} "
+      "tasks held, {} ended jobs",
+      counts_.open_jobs, counts_.placed_tasks, counts_.unaccounted_jobs, counts_.held_tasks,
+      counts_.ended_jobs);
   writer_ = std::make_unique<RecordWriter>(
       env_, store_, settings_, RecordWriter::Target{next_meta_.incarnation, plan_.leader_revision},
       std::move(records));
@@ -201,13 +210,13 @@
 
 void Rebuild::on_publish_reply(const StateReply& reply) {
   if (reply.ok()) {
-    spdlog::warn("recovery: incarnation {} is published, {:.1f} s after it was begun",
+    spdlog::warn("recovery: published incarnation {}, {:.1f} s after the rebuild started",
                  next_meta_.incarnation.number, env_.now() - started_at_);
     handlers_.published(next_meta_);
   } else if (reply.outcome == Outcome::kRefused) {
     env_.after(kRetryDelaySeconds, [this] { publish(); });
   } else {
-    handlers_.deposed();  // or published, by a copy that went unanswered: what `meta` says decides
+    handlers_.deposed();  // or published by an earlier attempt without a reply; `meta` shows which
   }
 }
 
--- a/src/recovery/rebuild.hpp
+++ b/src/recovery/rebuild.hpp
@@ -1,7 +1,8 @@
-// One rebuilding of the records, by the controller that leads it: gather what is known, wait for what may
-// still run, read what survived, write the records of a new incarnation, publish it.
+// One rebuild of the records, run by the controller that leads it. It collects the evidence of all
+// controllers, waits until unaccounted tasks have stopped if necessary, reads the surviving records, writes
+// the records of a new incarnation and publishes that incarnation.
 //
-// It keeps nothing that another leader would need: whoever leads next begins anew, under another incarnation.
+// It stores no state for a successor: the next leader starts over with another incarnation.
 #pragma once
 
 #include <functional>
@@ -23,18 +24,18 @@
 class Rebuild {
  public:
   struct Plan {
-    MetaRecord meta;  // as it is now: `begun` is the incarnation to be written
+    MetaRecord meta;  // current value; `begun` is the incarnation to write
     std::uint64_t meta_revision = 0;
-    std::uint64_t leader_revision = 0;       // of the key that names this controller the leader
-    std::string nonce;                       // makes the prefix of the keys unique
-    Incarnation last_incarnation;            // that the controllers served before, where known
-    double process_uptime_s = 0;             // of this controller
-    std::function<Evidence()> own_evidence;  // all that this controller knows
+    std::uint64_t leader_revision = 0;       // revision of the key that names this controller as leader
+    std::string nonce;                       // makes the key prefix of the incarnation unique
+    Incarnation last_incarnation;            // incarnation that the controllers served before, if known
+    double process_uptime_s = 0;             // uptime of this controller's process
+    std::function<Evidence()> own_evidence;  // returns all evidence of this controller
   };
-  // One of them is called, once, and must not destroy this object from within.
+  // Exactly one of them is called, once. It must not destroy this object before it returns.
   struct Handlers {
     std::function<void(const MetaRecord&)> published;  // the new incarnation
-    std::function<void()> deposed;                     // another controller leads, or has published
+    std::function<void()> deposed;  // another controller leads or has published an incarnation
   };
   Rebuild(Env& env, const Settings& settings, Plan plan, Handlers handlers);
 
@@ -55,7 +56,7 @@
   void publish();
   void on_publish_reply(const StateReply& reply);
 
-  ScopedEnv env_;  // what is under way ends with this object
+  ScopedEnv env_;  // cancels pending timers and calls when this object is destroyed
   StateClient store_;
   const Settings& settings_;
   Plan plan_;
@@ -63,7 +64,7 @@
   double started_at_;
   RebuildPhase phase_ = RebuildPhase::kGathering;
   EvidenceCollector collector_;
-  std::vector<std::string> unresponsive_;  // controllers not heard
+  std::vector<std::string> unresponsive_;  // controllers whose evidence is missing
   Evidence evidence_;
   RebuildScope scope_;
   MetaRecord next_meta_;
--- a/src/recovery/rebuilt_records.cpp
+++ b/src/recovery/rebuilt_records.cpp
@@ -10,10 +10,9 @@
 
 namespace {
 
-constexpr double kMaxFillFraction = 0.8;  // of the largest value: owners add to these records
-constexpr double kQuotaStepCoresOrGpus =
-    0.25;  // even shares of a team's limit are multiples of it, cores or GPUs
-// What a machine takes in a segment besides its name and its record.
+constexpr double kMaxFillFraction = 0.8;  // of the value size limit; leaves room for the owners' updates
+constexpr double kQuotaStepCoresOrGpus = 0.25;  // even shares of a team's limit are multiples of this
+// Bytes that a machine takes in a segment in addition to its name and its record.
 constexpr std::size_t kMachineOverheadBytes = 8;
 
 class RecordBuilder {
@@ -56,8 +55,8 @@
     }
   }
 
-  // (Who knows of a placement knows the machine; should it be missing all the same, the task must not start
-  // again.)
+  // A source that has a placement also has its machine. If the machine is missing nevertheless, the task must
+  // not be restarted, so it is held.
   void hold_tasks_on_unknown_machines(JobOutcome& outcome) const {
     std::erase_if(outcome.placements, [this, &outcome](const auto& item) {
       const bool unknown = evidence_.machines.count(item.second.machine) == 0;
@@ -76,7 +75,8 @@
   }
 
   void add_without_description(const std::string& ref, int shard, const JobEvidence& job) {
-    // (A worker shows what nobody submitted only if it was told to start it: the job was accepted once.)
+    // Evidence from a worker proves that the job was accepted, because a worker only runs tasks that a
+    // controller has ordered it to start. Without such evidence the job is dropped.
     if (job.reported_by_worker.isEmpty() && job.done.isEmpty() && !job.without_description) return;
     out_.counts.unaccounted_jobs++;
     UnaccountedRecord record;
@@ -92,7 +92,7 @@
     JobRecord job_record = source_record;
     job_record.cancelled = outcome.cancelled;
     job_record.cancelled_while_delegated =
-        outcome.cancelled;  // (its new owner tells users once all have taken note)
+        outcome.cancelled;  // its new owner reports it once all delegates have acknowledged it
     out_.job_records.push_back({keys::job_record(shard, ref), job_record.to_json()});
     add_progress(ref, shard, to_ranges(outcome.done));
     if (!outcome.held.isEmpty() || outcome.may_have_ended) add_held(job_record.spec, shard, outcome);
@@ -105,7 +105,7 @@
     UnaccountedRecord record;
     record.held = to_ranges(outcome.held);
     record.may_have_ended = outcome.may_have_ended;
-    // (Too many ranges for one record: all that neither ran nor is done is held then.)
+    // If the ranges do not fit into one record, all tasks that are neither placed nor done are held.
     if (record.held.text_bytes() > max_record_bytes_ / 2) {
       record.held.clear();
       record.all_held = true;
@@ -132,8 +132,8 @@
     }
   }
 
-  // A task is recorded by the shard of its machine; where that is not its home shard, as part of a delegation
-  // to it.
+  // A placement is recorded by the shard of its machine. If that is not the home shard of the job, the task
+  // becomes part of a delegation to it.
   void add_placements(const std::string& ref, int home, const JobRecord& job_record,
                       const JobOutcome& outcome) {
     std::map<int, RangeSet> delegated_here;
@@ -159,7 +159,7 @@
     }
   }
 
-  // Tasks that may not be placed without regard to each other are delegated whole.
+  // Jobs whose tasks must be placed jointly are delegated as a whole.
   static RangeSet tasks_not_done_or_held(const JobRecord& job_record, const JobOutcome& outcome) {
     RangeSet out;
     out.insert(0, job_record.spec.task_count);
@@ -168,7 +168,7 @@
   }
 
   void add_segments() {
-    std::map<int, SegmentRecord> segments;  // by shard: the one that is being filled
+    std::map<int, SegmentRecord> segments;  // by shard: the segment that is being filled
     std::map<int, int> segment_numbers;
     std::map<int, std::size_t> segment_bytes;
     for (auto& [name, placements] : placements_by_machine_) {
@@ -192,8 +192,8 @@
       out_.other_records.push_back({keys::segment(shard, segment_numbers[shard] + 1), segment.to_json()});
   }
 
-  // Every shard may use what it uses now, and an even part of what is left. A team of which nothing runs
-  // needs no record: its limit is split evenly.
+  // Each shard gets its current usage plus an even share of the rest of the team's limit. A team without
+  // placed tasks needs no record, because its limit is split evenly.
   void add_team_limits() {
     for (int team = 0; team < static_cast<int>(settings_.teams.size()); team++) {
       const std::vector<ShardUsage> shard_usages = usage_by_shard(team);
@@ -226,7 +226,7 @@
       out.cores.push_back(each.cores + even_cores);
       out.gpus.push_back(each.gpus + even_gpus);
     }
-    // (What an even part rounds away must not be lost to the team.)
+    // The first shard gets the rounding remainder, so that the team keeps its full limit.
     const ShardUsage& first = shard_usages.front();
     out.cores.front() = first.cores + remainder_of(limits.cpus_max, total.cores, even_cores);
     out.gpus.front() = first.gpus + remainder_of(limits.gpus_max, total.gpus, even_gpus);
@@ -237,7 +237,7 @@
     return std::max(0.0, std::floor(unused / scope_.shards / kQuotaStepCoresOrGpus) * kQuotaStepCoresOrGpus);
   }
 
-  // What is left of a limit for the first shard when all others have their even part.
+  // Returns how much of a limit is left for the first shard once all others have their even share.
   [[nodiscard]] double remainder_of(double limit, double used, double even) const {
     return std::max(0.0, limit - used - even * (scope_.shards - 1));
   }
--- a/src/recovery/rebuilt_records.hpp
+++ b/src/recovery/rebuilt_records.hpp
@@ -1,4 +1,5 @@
-// The records of a new incarnation, made from merged evidence. Pure: nothing is read or written here.
+// Builds the records of a new incarnation from merged evidence. Has no side effects: it neither reads nor
+// writes the state service.
 #pragma once
 
 #include <string>
@@ -14,33 +15,35 @@
   Json data;
 };
 
-// All records of the new incarnation but `meta`. Delegations name the revision of their job record, so job
-// records are written first.
+// All records of the new incarnation except `meta`. A delegation contains the revision of its job record, so
+// the job records have to be written first.
 struct RebuiltRecords {
   std::vector<RecordWrite> job_records;
   std::vector<RecordWrite> other_records;  // everything but job records and delegations
   struct Delegation {
     std::string key;
     std::string job_key;
-    DelegationRecord record;  // without the job record's revision
+    DelegationRecord record;  // without `job_revision`, which is not known yet
   };
   std::vector<Delegation> delegations;
 
   struct Counts {
     int open_jobs = 0;
     int ended_jobs = 0;
-    int unaccounted_jobs = 0;  // jobs of which tasks are held
+    int unaccounted_jobs = 0;  // jobs that have held tasks or may have ended
     int held_tasks = 0;
     int placed_tasks = 0;
   };
   Counts counts;
 };
 
-// `stored_endings`: jobs whose ending the surviving records hold; it is not written again.
+// `stored_endings`: numbers of the jobs whose ending the surviving records contain. Those endings are not
+// written again.
 [[nodiscard]] RebuiltRecords rebuild_records(const Evidence& evidence, const RebuildScope& scope,
                                              const TaskSet& stored_endings, const Settings& settings);
 
-// The number in a job's id, by which sets of jobs are kept; nothing where it is too large for that.
+// Returns the number in a job's id, which represents the job in sets; nullopt if the number is too large for
+// that.
 [[nodiscard]] std::optional<std::uint32_t> job_number(const std::string& ref);
 
 }  // namespace mothslip::recovery
--- a/src/recovery/record_writer.cpp
+++ b/src/recovery/record_writer.cpp
@@ -8,9 +8,10 @@
 namespace mothslip::recovery {
 
 namespace {
-// A transaction may have so many bytes, or as many as the largest value if that is more.
+// The byte limit of a transaction is this or the value size limit, whichever is larger.
 constexpr std::size_t kMinBatchLimitBytes = std::size_t{48} * 1024;
-// What a change takes in the body of a transaction besides its value and, in the guard and the put, its key.
+// Bytes of a change in the body of a transaction in addition to its value and its key, which occurs in both
+// the guard and the put.
 constexpr std::size_t kChangeOverheadBytes = 100;
 constexpr double kRetryDelaySeconds = 0.3;
 }  // namespace
@@ -24,7 +25,8 @@
       max_batch_bytes_(std::max(static_cast<std::size_t>(settings.value_kb * 1024), kMinBatchLimitBytes)),
       queue_(std::move(records.other_records)),
       delegations_(std::move(records.delegations)) {
-  // Job records first: delegations, which are added when all else is written, name their revisions.
+  // Job records are written first. Delegations contain their revisions and are added once all else is
+  // written.
   std::move(records.job_records.begin(), records.job_records.end(), std::back_inserter(queue_));
   total_records_ = queue_.size() + delegations_.size();
 }
@@ -86,7 +88,8 @@
                      });
 }
 
-// Refused: a copy that went unanswered was carried out before, or the leader has been deposed.
+// Called when a transaction was rejected: either an earlier attempt without a reply has succeeded, or this
+// leader has been deposed.
 void RecordWriter::check_batch_written(const std::vector<RecordWrite>& batch, const std::string& body) {
   store_.get(RequestPriority::kLaunch, key_space_.stored_key(batch.front().key),
              [this, batch, body](const StateReply& reply) {
--- a/src/recovery/record_writer.hpp
+++ b/src/recovery/record_writer.hpp
@@ -1,8 +1,8 @@
-// Writes the records of a new incarnation, a few in each transaction.
+// Writes the records of a new incarnation in batches, one transaction per batch.
 //
-// Every transaction has as conditions that the leader of the rebuilding is still the leader, and that none of
-// its keys exists: of two copies of one transaction only the first can succeed, and nothing that a deposed
-// leader sent counts.
+// Every transaction is conditional on this controller still being the leader of the rebuild and on none of
+// its keys existing. So only the first of two copies of a transaction can succeed, and transactions of a
+// deposed leader fail.
 #pragma once
 
 #include <cstdint>
@@ -20,16 +20,16 @@
 class RecordWriter {
  public:
   struct Target {
-    Incarnation incarnation;            // that is written
-    std::uint64_t leader_revision = 0;  // of the key that names the leader
+    Incarnation incarnation;            // the incarnation to write
+    std::uint64_t leader_revision = 0;  // revision of the key that names the leader
   };
-  // Called once: with true when all records are durable, with false when the leader has been deposed.
+  // Called once: with true when all records are durable, with false if this leader has been deposed.
   using Handler = std::function<void(bool written)>;
-  // `store` works without any prefix.
+  // `store` must be a client without an incarnation prefix.
   RecordWriter(Env& env, StateClient& store, const Settings& settings, Target target, RebuiltRecords records);
 
   void write(Handler handler);
-  // Records to be written in all, and those that are durable.
+  // Number of records to write in total, and of those that are durable.
   [[nodiscard]] std::size_t total_records() const { return total_records_; }
   [[nodiscard]] std::size_t written_records() const { return written_records_; }
 
@@ -46,9 +46,9 @@
   KeySpace key_space_;
   std::uint64_t leader_revision_;
   std::size_t max_batch_bytes_;
-  std::vector<RecordWrite> queue_;  // those to be written next stand last
+  std::vector<RecordWrite> queue_;  // written from the back
   std::vector<RebuiltRecords::Delegation> delegations_;
-  std::map<std::string, std::uint64_t> job_revisions_;  // as the new incarnation sees them
+  std::map<std::string, std::uint64_t> job_revisions_;  // by key, as revisions of the new incarnation
   std::size_t total_records_;
   std::size_t written_records_ = 0;
   Handler handler_;
--- a/src/recovery/surviving_records.cpp
+++ b/src/recovery/surviving_records.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// One reading: prefix after prefix. (Where tasks are placed is not read: by the time of a rebuilding either
-// their machines' owners tell, or nothing runs any more.)
+// Reads the records once, one key prefix after the other. Placements are not read: when a rebuild reads
+// records, either the evidence covers the owners of the machines, or no task is running any more.
 class Reader : public std::enable_shared_from_this<Reader> {
  public:
   Reader(StateClient& store, const Incarnation& incarnation, Evidence known_evidence,
@@ -62,7 +62,7 @@
     void (Reader::*handle_item)(const StateItem&);
   };
 
-  // The job that a key belongs to: what stands behind the last slash, and before a tilde.
+  // Returns the id of the job that a key belongs to: the part after the last slash and before any tilde.
   static std::string job_id_of_key(const std::string& key) {
     const std::string name = key.substr(key.rfind('/') + 1);
     return name.substr(0, name.find('~'));
@@ -72,7 +72,7 @@
     spdlog::error("recovery: record {} cannot be read: {}", item.key, error.to_text());
   }
 
-  // The job, if it is open by what was read before.
+  // Returns the evidence about the job, or null if no source read so far contains the job.
   JobEvidence* find_job(const std::string& ref) {
     const auto found = out_.evidence.jobs.find(ref);
     return found == out_.evidence.jobs.end() ? nullptr : &found->second;
@@ -116,8 +116,8 @@
   }
 
   void add_unaccounted(const StateItem& item) {
-    // (An operator may have decided since; what the owner's memory says counts, and otherwise it is held
-    // again.)
+    // An operator may have resolved the job since the record was written. If the owner's memory shows this,
+    // it takes precedence; otherwise the job is held again.
     const auto record = UnaccountedRecord::from_json(item.data);
     if (record && record->all_held && !record->rerun)
       out_.evidence.jobs[job_id_of_key(item.key)].without_description = true;
@@ -126,7 +126,7 @@
   void add_ending(const StateItem& item) {
     const std::string ref = job_id_of_key(item.key);
     if (const auto number = job_number(ref)) out_.endings.add(*number);
-    // Only those that somebody takes for open matter beyond that.
+    // Apart from its number, an ending matters only if some source has the job.
     JobEvidence* job = find_job(ref);
     if (job == nullptr || !item.data.is_object()) return;
     if (const auto status = terminal_status(item.data.value("phase", ""), 0)) {
--- a/src/recovery/surviving_records.hpp
+++ b/src/recovery/surviving_records.hpp
@@ -1,4 +1,4 @@
-// Reads what the state service still holds, as evidence.
+// Reads the records that the state service still holds and converts them to evidence.
 #pragma once
 
 #include <functional>
@@ -12,14 +12,14 @@
 namespace mothslip::recovery {
 
 struct SurvivingRecords {
-  Evidence evidence;           // what was known before, and what the records add
-  TaskSet endings;             // numbers of the jobs whose ending is held
-  std::uint64_t revision = 0;  // newest one that the state service answered with
+  Evidence evidence;           // the evidence passed in, merged with that from the records
+  TaskSet endings;             // numbers of the jobs whose ending is stored
+  std::uint64_t revision = 0;  // highest revision that the state service returned
 };
 
-// `incarnation`: of the records that are read. `known`: what other sources say; records of jobs that are over
-// matter only where one of those, or another record, takes the job for open. The handler gets nothing where
-// the service could not be read; it may be asked again.
+// Reads the records of `incarnation`. `known_evidence` is the evidence from other sources. The ending and the
+// progress of a job are added only if the job occurs in that evidence or in another record. The handler gets
+// nullopt if the state service could not be read; the caller may then try again.
 using SurvivingRecordsHandler = std::function<void(std::optional<SurvivingRecords>)>;
 void read_surviving_records(StateClient& store, const Incarnation& incarnation, Evidence known_evidence,
                             SurvivingRecordsHandler handler);
