--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -127,12 +127,12 @@
   out.front().shards = evidence.shards;
   out.front().highest_revision = evidence.highest_revision;
   out.front().owners = evidence.owners;
-  const auto next = [&out, max_entries]() -> Evidence& {
+  const auto current_chunk = [&out, max_entries]() -> Evidence& {
     if (out.back().jobs.size() + out.back().machines.size() >= max_entries) out.emplace_back();
     return out.back();
   };
-  for (const auto& [name, machine] : evidence.machines) next().machines.emplace(name, machine);
-  for (const auto& [ref, job] : evidence.jobs) next().jobs.emplace(ref, job);
+  for (const auto& [name, machine] : evidence.machines) current_chunk().machines.emplace(name, machine);
+  for (const auto& [ref, job] : evidence.jobs) current_chunk().jobs.emplace(ref, job);
   return out;
 }
 
--- a/src/recovery/evidence_json.cpp
+++ b/src/recovery/evidence_json.cpp
@@ -17,32 +17,32 @@
 // Field names of a job's evidence in JSON.
 constexpr const char* kRecord = "head";
 constexpr const char* kEnding = "ending";
-constexpr const char* kInStore = "in_store";
-constexpr const char* kAccepted = "accepted";
-constexpr const char* kOwned = "owned";
-constexpr const char* kUndescribed = "undescribed";
+constexpr const char* kHasStoredRecord = "in_store";
+constexpr const char* kRecentlyAccepted = "accepted";
+constexpr const char* kOpenAtOwner = "owned";
+constexpr const char* kWithoutDescription = "undescribed";
 constexpr const char* kMayHaveEnded = "may_have_ended";
 constexpr const char* kHeld = "held";
 constexpr const char* kDone = "done";
-constexpr const char* kSeen = "seen";
-constexpr const char* kDelegated = "lent";  // object of task ranges by shard
-constexpr const char* kPlaced = "placed";   // array of [task index, machine, attempt]
+constexpr const char* kReportedByWorker = "seen";
+constexpr const char* kDelegated = "lent";     // object of task ranges by shard
+constexpr const char* kPlacements = "placed";  // array of [task index, machine, attempt]
 
 Json job_to_json(const JobEvidence& job) {
   Json out = Json::object();
   if (job.record) out[kRecord] = job.record->to_json();
   if (job.ending) out[kEnding] = wire_name(*job.ending);
-  if (job.has_stored_record) out[kInStore] = true;
-  if (job.recently_accepted) out[kAccepted] = true;
-  if (job.open_at_owner) out[kOwned] = true;
-  if (job.without_description) out[kUndescribed] = true;
+  if (job.has_stored_record) out[kHasStoredRecord] = true;
+  if (job.recently_accepted) out[kRecentlyAccepted] = true;
+  if (job.open_at_owner) out[kOpenAtOwner] = true;
+  if (job.without_description) out[kWithoutDescription] = true;
   if (job.may_have_ended) out[kMayHaveEnded] = true;
   if (!job.held.isEmpty()) out[kHeld] = to_text(job.held);
   if (!job.done.isEmpty()) out[kDone] = to_text(job.done);
-  if (!job.reported_by_worker.isEmpty()) out[kSeen] = to_text(job.reported_by_worker);
+  if (!job.reported_by_worker.isEmpty()) out[kReportedByWorker] = to_text(job.reported_by_worker);
   for (const auto& [shard, tasks] : job.delegated) out[kDelegated][std::to_string(shard)] = to_text(tasks);
   for (const auto& [task, placement] : job.placements)
-    out[kPlaced].push_back({task, placement.machine, placement.attempt});
+    out[kPlacements].push_back({task, placement.machine, placement.attempt});
   return out;
 }
 
@@ -59,14 +59,14 @@
     if (!status) return std::nullopt;
     out.ending = status->phase;
   }
-  out.has_stored_record = value.value(kInStore, false);
-  out.recently_accepted = value.value(kAccepted, false);
-  out.open_at_owner = value.value(kOwned, false);
+  out.has_stored_record = value.value(kHasStoredRecord, false);
+  out.recently_accepted = value.value(kRecentlyAccepted, false);
+  out.open_at_owner = value.value(kOpenAtOwner, false);
   const auto done = parse_task_set(value.value(kDone, Json("")));
-  const auto reported_by_worker = parse_task_set(value.value(kSeen, Json("")));
+  const auto reported_by_worker = parse_task_set(value.value(kReportedByWorker, Json("")));
   const auto held = parse_task_set(value.value(kHeld, Json("")));
   if (!done || !reported_by_worker || !held) return std::nullopt;
-  out.without_description = value.value(kUndescribed, false);
+  out.without_description = value.value(kWithoutDescription, false);
   out.held = *held;
   out.may_have_ended = value.value(kMayHaveEnded, false);
   out.done = *done;
@@ -77,7 +77,7 @@
     if (!set) return std::nullopt;
     out.delegated[std::stoi(shard)] = *set;
   }
-  const Json placements = value.value(kPlaced, Json::array());
+  const Json placements = value.value(kPlacements, Json::array());
   for (const Json& placed : placements)
     out.placements[placed.at(0).get<int>()] = {placed.at(1).get<std::string>(),
                                                placed.at(2).get<std::uint64_t>()};
