--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -110,7 +110,7 @@
   plan.meta_revision = revision;
   plan.leader_revision = revision;
   plan.nonce = std::to_string(ctx_.env->random() % kNonceLimit);
-  plan.last = ctx_.last;
+  plan.last_incarnation = ctx_.last;
   plan.process_uptime_s = ctx_.env->now() - ctx_.process_started_at;
   plan.own_evidence = ctx_.own_evidence;
   const auto deposed = [this] { ctx_.env->after(0, [this] { stop_leading(); }); };
--- a/src/recovery/start_up.cpp
+++ b/src/recovery/start_up.cpp
@@ -85,7 +85,7 @@
 // `stored_revision` is the state service's own revision, without the offset of the incarnation.
 void StartUp::compare_with_store(std::uint64_t stored_revision) {
   const Incarnation incarnation = meta_ ? meta_->incarnation : Incarnation{};
-  const std::uint64_t newest_known = std::max(reported().newest, newest_peer_revision_);
+  const std::uint64_t newest_known = std::max(reported().highest_revision, newest_peer_revision_);
   const bool service_is_behind = newest_known > KeySpace(incarnation).to_logical_revision(stored_revision);
   // At the first start of a cluster the state service is empty too, but no worker has tasks then.
   const bool records_missing = !meta_ && !reported().jobs.empty();
