--- a/src/coordination/node/call_budget.cpp
+++ b/src/coordination/node/call_budget.cpp
@@ -8,20 +8,21 @@
 
 namespace {
 // Shares of the limits, 0..1.
-constexpr double kStateShareOfUsers = 0.3;   // of the state service's: split evenly among the nodes
-constexpr double kCloudShareOfFleet = 0.8;   // of the cloud's: for the node that manages the fleet
-constexpr double kCloudShareOfOthers = 0.2;  // of the cloud's: split evenly among the nodes
+constexpr double kStateUserFraction = 0.3;    // of the state service's: split evenly among the node_count
+constexpr double kCloudFleetFraction = 0.8;   // of the cloud's: for the node that manages the fleet
+constexpr double kCloudOthersFraction = 0.2;  // of the cloud's: split evenly among the node_count
 }  // namespace
 
 void CallBudget::update() {
-  const double nodes = static_cast<double>(settings_.members.size() + 1);
+  const double node_count = static_cast<double>(settings_.members.size() + 1);
   const bool shards_known = ownership_.shard_count() > 0;
   const int shard_count = std::max(1, ownership_.shard_count());
-  const double owned = static_cast<double>(ownership_.held_count()) / shard_count;
-  // Until the shards are known nobody has any, and all nodes have to start.
-  state_.set_share(shards_known ? kStateShareOfUsers / nodes + (1 - kStateShareOfUsers) * owned : 1 / nodes);
+  const double owned_fraction = static_cast<double>(ownership_.held_count()) / shard_count;
+  // Until the shards are known nobody has any, and all node_count have to start.
+  state_.set_share(shards_known ? kStateUserFraction / node_count + (1 - kStateUserFraction) * owned_fraction
+                                : 1 / node_count);
   const bool manages_fleet = shards_known && ownership_.owns(kFleetShard);
-  cloud_.set_share(manages_fleet ? kCloudShareOfFleet : kCloudShareOfOthers / nodes);
+  cloud_.set_share(manages_fleet ? kCloudFleetFraction : kCloudOthersFraction / node_count);
 }
 
 }  // namespace mothslip
--- a/src/coordination/node/job_status.cpp
+++ b/src/coordination/node/job_status.cpp
@@ -9,8 +9,8 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMostTerminal = 5000;  // terminal states that are remembered
-constexpr std::size_t kMostWaiting = 64;     // for one read; others are asked to come back
+constexpr std::size_t kMaxCachedTerminals = 5000;  // terminal states that are remembered
+constexpr std::size_t kMaxWaitersPerRead = 64;     // for one read; others are asked to come back
 
 JobFinding finding(JobFinding::Kind kind) { return {kind, {}}; }
 
@@ -71,25 +71,25 @@
   return dump_json({{"ref", ref}, {"phase", wire_name(phase)}, {"done", done}, {"running", running}});
 }
 
-void JobStatusService::remember(NodeMemory& memory) const {
-  for (const auto& [ref, status] : terminal_) memory.terminals.emplace(ref, status);
+void JobStatusService::add_to(NodeMemory& memory) const {
+  for (const auto& [ref, status] : cached_terminals_) memory.terminals.emplace(ref, status);
 }
 
-void JobStatusService::note_terminal(const std::string& ref, const JobStatus& status) {
-  if (!terminal_.emplace(ref, status).second) return;
-  terminal_age_.push_back(ref);
-  if (terminal_age_.size() <= kMostTerminal) return;
-  terminal_.erase(terminal_age_.front());
-  terminal_age_.pop_front();
+void JobStatusService::cache_terminal(const std::string& ref, const JobStatus& status) {
+  if (!cached_terminals_.emplace(ref, status).second) return;
+  cached_terminals_by_age_.push_back(ref);
+  if (cached_terminals_by_age_.size() <= kMaxCachedTerminals) return;
+  cached_terminals_.erase(cached_terminals_by_age_.front());
+  cached_terminals_by_age_.pop_front();
 }
 
-const JobStatus* JobStatusService::terminal(const std::string& ref) const {
-  const auto it = terminal_.find(ref);
-  return it == terminal_.end() ? nullptr : &it->second;
+const JobStatus* JobStatusService::cached_terminal(const std::string& ref) const {
+  const auto it = cached_terminals_.find(ref);
+  return it == cached_terminals_.end() ? nullptr : &it->second;
 }
 
 std::optional<JobFinding> JobStatusService::from_memory(const std::string& ref) const {
-  if (const JobStatus* status = terminal(ref); status != nullptr) return status_finding(*status);
+  if (const JobStatus* status = cached_terminal(ref); status != nullptr) return status_finding(*status);
   return ctx_.ask_owned_shard(ref);
 }
 
@@ -98,19 +98,19 @@
     handler(finding(JobFinding::Kind::kUndecided));
     return;
   }
-  const auto [it, fresh] = readings_.try_emplace(ref);
-  Reading& reading = it->second;
-  if (reading.waiting.size() >= kMostWaiting) {
+  const auto [it, is_first] = reads_.try_emplace(ref);
+  JobReads& reads = it->second;
+  if (reads.next_handlers.size() >= kMaxWaitersPerRead) {
     handler(finding(JobFinding::Kind::kUndecided));
     return;
   }
-  reading.waiting.push_back(std::move(handler));
-  if (fresh) start_read(ref);
+  reads.next_handlers.push_back(std::move(handler));
+  if (is_first) start_read(ref);
 }
 
 void JobStatusService::start_read(const std::string& ref) {
-  Reading& reading = readings_.at(ref);
-  reading.served = std::exchange(reading.waiting, {});
+  JobReads& reads = reads_.at(ref);
+  reads.current_handlers = std::exchange(reads.next_handlers, {});
   if (ctx_.state->key_space().incarnation().is_first()) {
     read_job_record(ref);
   } else {
@@ -161,15 +161,15 @@
   }
 }
 
-void JobStatusService::read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t at) {
-  if (at == keys.size()) {
+void JobStatusService::read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t next) {
+  if (next == keys.size()) {
     finish_read(ref, finding(JobFinding::Kind::kUnknownJob));
     return;
   }
-  const std::string key = keys[at];
-  const auto handler = [this, ref, keys = std::move(keys), at](const StateReply& reply) {
+  const std::string key = keys[next];
+  const auto handler = [this, ref, keys = std::move(keys), next](const StateReply& reply) {
     if (reply.outcome == Outcome::kMissing) {
-      read_ending(ref, keys, at + 1);
+      read_ending(ref, keys, next + 1);
     } else {
       const Json ending = reply.ok() ? reply.body.value("data", Json()) : Json();
       finish_read(ref, finding_of_ending(ending));
@@ -179,15 +179,15 @@
 }
 
 void JobStatusService::finish_read(const std::string& ref, const JobFinding& finding) {
-  if (finding.terminal()) note_terminal(ref, finding.status);
-  const auto it = readings_.find(ref);
-  const std::vector<Handler> served = std::exchange(it->second.served, {});
-  if (it->second.waiting.empty()) {
-    readings_.erase(it);
+  if (finding.is_terminal()) cache_terminal(ref, finding.status);
+  const auto it = reads_.find(ref);
+  const std::vector<Handler> current_handlers = std::exchange(it->second.current_handlers, {});
+  if (it->second.next_handlers.empty()) {
+    reads_.erase(it);
   } else {
     start_read(ref);
   }
-  for (const Handler& handler : served) handler(finding);
+  for (const Handler& handler : current_handlers) handler(finding);
 }
 
 }  // namespace mothslip
--- a/src/coordination/node/job_status.hpp
+++ b/src/coordination/node/job_status.hpp
@@ -40,7 +40,7 @@
   JobPhase phase = JobPhase::kQueued;
   int done = 0;     // tasks that have completed; for display
   int running = 0;  // tasks that are running; for display
-  [[nodiscard]] bool terminal() const { return phase == JobPhase::kDone || phase == JobPhase::kCancelled; }
+  [[nodiscard]] bool is_terminal() const { return phase == JobPhase::kDone || phase == JobPhase::kCancelled; }
   // The body of an answer to a poll.
   [[nodiscard]] std::string to_body(const std::string& ref) const;
 };
@@ -61,8 +61,10 @@
   };
   Kind kind = Kind::kUndecided;
   JobStatus status;
-  [[nodiscard]] bool terminal() const { return kind == Kind::kStatus && status.terminal(); }
-  [[nodiscard]] bool tellable() const { return kind == Kind::kStatus || kind == Kind::kBeingCancelled; }
+  [[nodiscard]] bool is_terminal() const { return kind == Kind::kStatus && status.is_terminal(); }
+  [[nodiscard]] bool can_be_reported() const {
+    return kind == Kind::kStatus || kind == Kind::kBeingCancelled;
+  }
 };
 
 struct NodeMemory;
@@ -80,12 +82,12 @@
   explicit JobStatusService(Context context) : ctx_(std::move(context)) {}
 
   // Remembers a terminal state that is durable.
-  void note_terminal(const std::string& ref, const JobStatus& status);
+  void cache_terminal(const std::string& ref, const JobStatus& status);
   // The terminal state, if it is remembered. (The memory is bounded; the state service keeps all.)
-  [[nodiscard]] const JobStatus* terminal(const std::string& ref) const;
+  [[nodiscard]] const JobStatus* cached_terminal(const std::string& ref) const;
 
   // Adds the terminal states that are remembered.
-  void remember(NodeMemory& memory) const;
+  void add_to(NodeMemory& memory) const;
 
   // What this node knows without a read. Nothing: it neither remembers the job's end nor owns its shard.
   [[nodiscard]] std::optional<JobFinding> from_memory(const std::string& ref) const;
@@ -98,13 +100,13 @@
 
  private:
   // The reads of one job.
-  struct Reading {
-    std::vector<Handler> served;   // by the read that is under way
-    std::vector<Handler> waiting;  // for the next one
+  struct JobReads {
+    std::vector<Handler> current_handlers;  // by the read that is under way
+    std::vector<Handler> next_handlers;     // for the next one
   };
   void start_read(const std::string& ref);
   // `keys`: where the ending may be; those from `at` on have not been read yet.
-  void read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t at);
+  void read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t next);
   void read_unaccounted(const std::string& ref);
   void on_unaccounted(const std::string& ref, const StateReply& reply);
   void read_job_record(const std::string& ref);
@@ -112,9 +114,9 @@
   void finish_read(const std::string& ref, const JobFinding& finding);
 
   Context ctx_;
-  std::unordered_map<std::string, JobStatus> terminal_;  // by job; bounded
-  std::deque<std::string> terminal_age_;                 // the same, oldest first
-  std::unordered_map<std::string, Reading> readings_;    // by job; only while a read is under way
+  std::unordered_map<std::string, JobStatus> cached_terminals_;  // by job; bounded
+  std::deque<std::string> cached_terminals_by_age_;              // the same, oldest first
+  std::unordered_map<std::string, JobReads> reads_;              // by job; only while a read is under way
 };
 
 }  // namespace mothslip
--- a/src/coordination/node/machine_type_catalog.cpp
+++ b/src/coordination/node/machine_type_catalog.cpp
@@ -11,11 +11,11 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRetrySeconds = 0.7;  // after the state service failed to answer
+constexpr double kRetryDelaySeconds = 0.7;  // after the state service failed to answer
 // After neither the cloud nor the split records gave any types; drawn, so that nodes do not ask in step.
-constexpr double kLeastRestartSeconds = 1.0;
-constexpr double kMostRestartSeconds = 2.5;
-constexpr std::size_t kSplitRecordFrameBytes = 40;  // of a split record, besides its list
+constexpr double kMinRestartDelaySeconds = 1.0;
+constexpr double kMaxRestartDelaySeconds = 2.5;
+constexpr std::size_t kSplitRecordFrameBytes = 40;  // of a split should_record, besides its list
 
 // The types of all split records together, unless one of the records is missing or malformed.
 std::optional<MachineTypes> join_split_records(const std::vector<StateItem>& items) {
@@ -29,37 +29,37 @@
   return MachineTypes::parse(all);
 }
 
-// The lists of the split records, each record of at most `most_bytes`. Nothing where a single type is too
-// large for that.
-std::optional<std::vector<Json>> split_types(const Json& types, std::size_t most_bytes) {
+// The lists of the split records, each should_record of at most `max_bytes`. Nothing where a single type is
+// too large for that.
+std::optional<std::vector<Json>> split_types(const Json& types, std::size_t max_bytes) {
   std::vector<Json> lists = {Json::array()};
   std::size_t bytes = kSplitRecordFrameBytes;
   for (const Json& type : types) {
     const std::size_t type_bytes = dump_json(type).size() + 1;
-    if (bytes + type_bytes > most_bytes && !lists.back().empty()) {
+    if (bytes + type_bytes > max_bytes && !lists.back().empty()) {
       lists.push_back(Json::array());
       bytes = kSplitRecordFrameBytes;
     }
     bytes += type_bytes;
     lists.back().push_back(type);
   }
-  const bool too_large = std::any_of(lists.begin(), lists.end(), [most_bytes](const Json& list) {
-    return dump_json(list).size() + kSplitRecordFrameBytes > most_bytes;
+  const bool is_any_too_large = std::any_of(lists.begin(), lists.end(), [max_bytes](const Json& list) {
+    return dump_json(list).size() + kSplitRecordFrameBytes > max_bytes;
   });
-  if (too_large) return std::nullopt;
+  if (is_any_too_large) return std::nullopt;
   return lists;
 }
 
-// The writes that record the types. Nothing where they do not fit into one transaction.
+// The writes that should_record the types. Nothing where they do not fit into one transaction.
 std::optional<Transaction> record_types(const MachineTypes& types, const Settings& settings) {
   Transaction txn;
-  const auto most_bytes = static_cast<std::size_t>(settings.value_kb * 1024);
+  const auto max_bytes = static_cast<std::size_t>(settings.value_kb * 1024);
   const Json whole = types.to_json();
-  if (dump_json(whole).size() <= most_bytes) {
+  if (dump_json(whole).size() <= max_bytes) {
     txn.put(keys::kTypes, whole);
     return txn;
   }
-  auto lists = split_types(whole["flavours"], most_bytes);
+  auto lists = split_types(whole["flavours"], max_bytes);
   if (!lists || lists->size() > static_cast<std::size_t>(settings.txn_ops)) return std::nullopt;
   for (std::size_t i = 0; i < lists->size(); i++) {
     txn.put(keys::kSplitTypes + std::to_string(i),
@@ -83,24 +83,24 @@
     if (known()) return;
     if (reply.ok() && reply.body.contains("data")) {
       if (auto types = MachineTypes::parse(reply.body["data"])) {
-        take(std::move(*types), false);
+        set_types(std::move(*types), false);
         return;
       }
     }
     if (reply.ok() || reply.outcome == Outcome::kMissing) {
-      fetch();
+      fetch_from_cloud();
     } else {
-      env_.after(kRetrySeconds, [this] { load(); });
+      env_.after(kRetryDelaySeconds, [this] { load(); });
     }
   });
 }
 
-void MachineTypeCatalog::fetch() {
+void MachineTypeCatalog::fetch_from_cloud() {
   cloud_.machine_types([this](const CloudReply& reply) {
     if (known()) return;
     if (reply.status == 200) {
       if (auto types = MachineTypes::parse(reply.body)) {
-        take(std::move(*types), true);
+        set_types(std::move(*types), true);
         return;
       }
     }
@@ -114,12 +114,13 @@
               [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
                 if (known()) return;
                 auto types = outcome == Outcome::kOk ? join_split_records(items) : std::nullopt;
-                if (types) return take(std::move(*types), false);
-                env_.after(env_.uniform(kLeastRestartSeconds, kMostRestartSeconds), [this] { load(); });
+                if (types) return set_types(std::move(*types), false);
+                env_.after(env_.uniform(kMinRestartDelaySeconds, kMaxRestartDelaySeconds),
+                           [this] { load(); });
               });
 }
 
-void MachineTypeCatalog::save() {
+void MachineTypeCatalog::save_record() {
   const auto txn = record_types(types_, settings_);
   if (!txn) {
     spdlog::warn("too many machine types to be recorded: nodes that start ask the cloud");
@@ -128,18 +129,18 @@
   state_.commit(RequestPriority::kRest, *txn, [](const StateReply&) {});
 }
 
-void MachineTypeCatalog::update(MachineTypes types) { take(std::move(types), false); }
+void MachineTypeCatalog::update(MachineTypes types) { set_types(std::move(types), false); }
 
-void MachineTypeCatalog::take(MachineTypes types, bool record) {
-  const bool first = !known();
-  const bool changed = !first && !same_names(types, types_);
+void MachineTypeCatalog::set_types(MachineTypes types, bool should_record) {
+  const bool is_first_list = !known();
+  const bool changed = !is_first_list && !same_names(types, types_);
   types_ = std::move(types);
   if (changed) {
     spdlog::warn("the cloud's machine types have changed: loading anew");
     listener_.changed();
   }
-  if (record) save();
-  if (first) listener_.first_known();
+  if (should_record) save_record();
+  if (is_first_list) listener_.first_known();
 }
 
 }  // namespace mothslip
--- a/src/coordination/node/machine_type_catalog.hpp
+++ b/src/coordination/node/machine_type_catalog.hpp
@@ -1,8 +1,8 @@
-// The cloud's machine types as this node knows them, and their record in the state service.
+// The cloud's machine types as this node knows them, and their should_record in the state service.
 //
 // The state service keeps what the cloud said last, so that a node which starts while the cloud is down can
-// work. The types stand in the record `types`; a list that is too long for one record stands in several,
-// `types~0`, `types~1` and so on.
+// work. The types stand in the should_record `types`; a list that is too long for one should_record stands in
+// several, `types~0`, `types~1` and so on.
 #pragma once
 
 #include <functional>
@@ -19,13 +19,14 @@
  public:
   struct Listener {
     std::function<void()> changed;      // the types differ from those that were known before
-    std::function<void()> first_known;  // types are known, for the first time
+    std::function<void()> first_known;  // types are known, for the is_first_list time
   };
   // All references must outlive the catalog.
   MachineTypeCatalog(Env& env, StateClient& state, CloudClient& cloud, const Settings& settings,
                      Listener listener);
 
-  // Looks for the types until some are known: in the record, at the cloud, in the split records; then again.
+  // Looks for the types until some are known: in the should_record, at the cloud, in the split records; then
+  // again.
   void load();
   // Types that the cloud has just given to the fleet manager. They are not recorded.
   void update(MachineTypes types);
@@ -36,9 +37,9 @@
 
  private:
   void load_split_records();
-  void fetch();
-  void save();
-  void take(MachineTypes types, bool record);
+  void fetch_from_cloud();
+  void save_record();
+  void set_types(MachineTypes types, bool should_record);
 
   Env& env_;
   StateClient& state_;
--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -53,10 +53,10 @@
 }
 
 std::size_t Node::max_client_connections(const Settings& settings) {
-  constexpr int kOutgoing = 80;  // to the state service, the cloud, other nodes; direct commands
+  constexpr int kOutgoingSockets = 80;  // to the state service, the cloud, other nodes; direct commands
   if (settings.max_sockets <= 0) return 0;
-  const int rest = settings.max_sockets - kOutgoing - settings.max_sockets / 20;
-  return static_cast<std::size_t>(std::max(settings.max_sockets / 2, rest));
+  const int remaining_sockets = settings.max_sockets - kOutgoingSockets - settings.max_sockets / 20;
+  return static_cast<std::size_t>(std::max(settings.max_sockets / 2, remaining_sockets));
 }
 
 std::string Node::owner_address(int index) const {
@@ -81,9 +81,9 @@
   context.settings = &settings_;
   context.types = &machine_types_.types();
   context.ownership = &ownership_;
-  context.shard = [this](int index) { return shards_.find_active(index); };
-  context.gangs = capabilities.supports_gangs;
-  context.decides = [this] { return decides(); };
+  context.find_active_shard = [this](int index) { return shards_.find_active(index); };
+  context.supports_gangs = capabilities.supports_gangs;
+  context.may_decide = [this] { return may_decide(); };
   return context;
 }
 
@@ -97,9 +97,9 @@
   context.shard_count = ownership_.shard_count();
   context.call_leader = [this](int other, const std::string& path, const Json& body,
                                std::function<void(Json)> answer) {
-    shard_router_.ask(other, path, body, std::move(answer));
+    shard_router_.call_leader(other, path, body, std::move(answer));
   };
-  context.exclusive_owner = [this, shard] { return exclusive_owner(shard); };
+  context.exclusive_owner = [this, shard] { return owns_exclusively(shard); };
   context.may_renew = [this, shard] { return ownership_.may_renew_worker_leases(shard); };
   context.owner_change_revision = [this](int other) { return ownership_.owner(other).fencing_token; };
   // Both end the leader that calls: they run after its own code has returned.
@@ -110,14 +110,14 @@
       if (leader != nullptr && leader->fencing_token() == fencing_token) ownership_.restart_shard(shard, why);
     });
   };
-  context.on_deposed = [this, shard](std::uint64_t newer) {
-    env_.after(0, [this, shard, newer] { ownership_.on_owner_reported(shard, "", newer); });
+  context.on_deposed = [this, shard](std::uint64_t newer_token) {
+    env_.after(0, [this, shard, newer_token] { ownership_.on_owner_reported(shard, "", newer_token); });
   };
   context.on_state_contradiction = [this](const std::string& what) {
     if (monitor_ != nullptr) monitor_->on_contradiction(what);
   };
   context.on_job_ended = [this](const std::string& ref, const JobStatus& status) {
-    user_api_.note_terminal(ref, status);
+    user_api_.cache_terminal(ref, status);
   };
   return context;
 }
@@ -132,7 +132,7 @@
   context.zones = &zones_;
   context.fencing_token = fencing_token;
   context.shard_count = ownership_.shard_count();
-  context.exclusive_owner = [this] { return exclusive_owner(kFleetShard); };
+  context.exclusive_owner = [this] { return owns_exclusively(kFleetShard); };
   // May restart shards and so end the fleet manager: it runs after the caller's own code has returned.
   context.new_types = [this](MachineTypes types) {
     env_.after(0, [this, types = std::move(types)]() mutable { machine_types_.update(std::move(types)); });
@@ -151,7 +151,7 @@
 void Node::on_shard_gained(int shard, std::uint64_t fencing_token) {
   budget_.update();
   if (!machine_types_.known()) {
-    waiting_for_types_[shard] = fencing_token;
+    shards_waiting_for_types_[shard] = fencing_token;
     return;
   }
   shards_
@@ -162,7 +162,7 @@
 }
 
 void Node::on_shard_lost(int shard) {
-  waiting_for_types_.erase(shard);
+  shards_waiting_for_types_.erase(shard);
   shards_.close(shard);
   budget_.update();
 }
@@ -174,7 +174,7 @@
 }
 
 void Node::open_waiting_shards() {
-  const auto waiting = std::exchange(waiting_for_types_, {});
+  const auto waiting = std::exchange(shards_waiting_for_types_, {});
   for (const auto& [shard, fencing_token] : waiting) {
     if (ownership_.owns(shard)) on_shard_gained(shard, fencing_token);
   }
@@ -184,20 +184,20 @@
 
 NodeMemory Node::memory() const {
   NodeMemory out;
-  out.shards = ownership_.shard_count();
-  const double lease_left = ownership_.earliest_lease_expiry_at() - env_.now();
+  out.shard_count = ownership_.shard_count();
+  const double lease_left_s = ownership_.earliest_lease_expiry_at() - env_.now();
   for (const auto& [index, leader] : shards_.leaders()) {
     if (!ownership_.owns(index)) continue;
     ShardMemory memory;
     if (leader->active()) memory = leader->memory();
     memory.shard = index;
-    memory.token = leader->fencing_token();
+    memory.fencing_token = leader->fencing_token();
     memory.loaded = leader->active();
-    memory.lease_left_s = lease_left;
-    memory.renew_left_s = ownership_.worker_renewal_deadline(index) - env_.now();
+    memory.lease_left_s = lease_left_s;
+    memory.worker_renewal_left_s = ownership_.worker_renewal_deadline(index) - env_.now();
     out.owned.push_back(std::move(memory));
   }
-  user_api_.remember(out);
+  user_api_.add_to(out);
   return out;
 }
 
@@ -206,15 +206,17 @@
   spdlog::info("state calls {}, writes {}, refused here {}, 429 {}, unanswered {}", calls.calls, calls.writes,
                calls.refused_locally, calls.too_many_requests, calls.unanswered);
   for (const auto& [index, leader] : shards_.leaders()) {
-    const auto& c = leader->counters();
+    const auto& counters = leader->counters();
     spdlog::info(
         "shard {}: heartbeats {}, launches {}, fetches {}, relaunches {}, done {}, delegated {}, received "
         "{}, "
         "returned {}, errors {}, preempted {}, freed by lease {} incarnation {} return {}; journal writes {} "
         "with {} changes, delegations {}, quota transfers {}, endings {}",
-        index, c.reports, c.launches, c.image_fetches, c.relaunches, c.completions, c.tasks_delegated,
-        c.tasks_received, c.tasks_returned, c.errors, c.preempted, c.freed_by_lease, c.freed_by_incarnation,
-        c.freed_by_removal, c.journal_writes, c.journal_changes, c.delegations, c.quota_transfers, c.endings);
+        index, counters.reports, counters.launches, counters.image_fetches, counters.relaunches,
+        counters.completions, counters.tasks_delegated, counters.tasks_received, counters.tasks_returned,
+        counters.errors, counters.preempted, counters.freed_by_lease, counters.freed_by_incarnation,
+        counters.freed_by_removal, counters.journal_writes, counters.journal_changes, counters.delegations,
+        counters.quota_transfers, counters.endings);
   }
   env_.after(kCountersIntervalSeconds, [this] { log_counters(); });
 }
--- a/src/coordination/node/node.hpp
+++ b/src/coordination/node/node.hpp
@@ -29,8 +29,8 @@
   // Largest request bodies, in bytes: of users and workers as the protocol says; of other nodes by need. (A
   // shard's summary names all its machines, at some 180 bytes each: with 350 of them it is over 64 KiB, and
   // turned down unseen the fleet would hear nothing of the shard and rent nothing for it.)
-  static constexpr std::size_t kMaxClientBody = std::size_t{64} * 1024;
-  static constexpr std::size_t kMaxPeerBody = std::size_t{2} * 1024 * 1024;
+  static constexpr std::size_t kMaxClientBodyBytes = std::size_t{64} * 1024;
+  static constexpr std::size_t kMaxPeerBodyBytes = std::size_t{2} * 1024 * 1024;
   // How many of the process's sockets users and workers may use: one node may have to serve all of them.
   // 0: no bound.
   static std::size_t max_client_connections(const Settings& settings);
@@ -49,7 +49,7 @@
   // For so long from now nothing is started, and nothing told but what is final: workers are only heard, and
   // kept from losing their leases. For a process that cannot yet know whether the records it reads are
   // recent.
-  void hold_back(double seconds) { decides_from_ = env_.now() + seconds; }
+  void suspend_decisions(double duration_s) { decisions_resume_at_ = env_.now() + duration_s; }
 
   // A request that came in at the address for users and workers, and one from another controller.
   void on_client_request(const HttpRequest& request, const Responder& responder);
@@ -62,13 +62,13 @@
   // The peer address of the controller that is known to own the shard; empty where none is.
   [[nodiscard]] std::string owner_address(int index) const;
   // The number of shards in the cluster; 0: not known yet.
-  [[nodiscard]] int shards() const { return ownership_.shard_count(); }
+  [[nodiscard]] int shard_count() const { return ownership_.shard_count(); }
   [[nodiscard]] const StateClient& state() const { return state_; }
   // All that this node knows and the state service may not: taken when state was lost.
   [[nodiscard]] NodeMemory memory() const;
   // A terminal state that is durable, from before this node was started.
-  void note_terminal(const std::string& ref, const JobStatus& status) {
-    user_api_.note_terminal(ref, status);
+  void cache_terminal(const std::string& ref, const JobStatus& status) {
+    user_api_.cache_terminal(ref, status);
   }
 
  private:
@@ -84,15 +84,15 @@
   void restart_all_shards();
   void open_waiting_shards();
   void log_counters();
-  [[nodiscard]] bool decides() const { return env_.now() >= decides_from_; }
-  [[nodiscard]] bool exclusive_owner(int shard) const {
-    return decides() && ownership_.owns_exclusively(shard);
+  [[nodiscard]] bool may_decide() const { return env_.now() >= decisions_resume_at_; }
+  [[nodiscard]] bool owns_exclusively(int shard) const {
+    return may_decide() && ownership_.owns_exclusively(shard);
   }
 
   Env& env_;
   Settings settings_;
   StateMonitor* monitor_;
-  double decides_from_ = 0;  // by the clock of `env_`; before, the node is held back
+  double decisions_resume_at_ = 0;  // by the clock of `env_`; before, the node is held back
   NameTable zones_;
   StateClient state_;
   CloudClient cloud_;
@@ -108,7 +108,7 @@
   WorkerReports worker_reports_;
   RequestRouter requests_;
   // Shards that were gained before any machine type was known, and their fencing tokens.
-  std::map<int, std::uint64_t> waiting_for_types_;
+  std::map<int, std::uint64_t> shards_waiting_for_types_;
 };
 
 }  // namespace mothslip
--- a/src/coordination/node/node_memory.hpp
+++ b/src/coordination/node/node_memory.hpp
@@ -25,10 +25,10 @@
 // All that the owner of a shard knows of it.
 struct ShardMemory {
   int shard = 0;
-  std::uint64_t token = 0;  // the owner's fencing token
-  bool loaded = false;      // the owner knew all its records; otherwise the rest is empty
-  double lease_left_s = 0;  // of the owner's lease; below 0: it ended so long ago
-  double renew_left_s = 0;  // so long the owner may go on renewing the leases of its workers
+  std::uint64_t fencing_token = 0;   // the owner's fencing token
+  bool loaded = false;               // the owner knew all its records; otherwise the rest is empty
+  double lease_left_s = 0;           // of the owner's lease; below 0: it ended so long ago
+  double worker_renewal_left_s = 0;  // so long the owner may go on renewing the leases of its workers
   std::vector<JobMemory> jobs;
   std::vector<std::string> without_description;   // jobs that are held whole since records were lost before
   std::map<std::string, MachineRecord> machines;  // by name, with what is placed there
@@ -36,7 +36,7 @@
 
 // All that one controller knows.
 struct NodeMemory {
-  int shards = 0;  // in the cluster; 0: not known
+  int shard_count = 0;  // in the cluster; 0: not known
   std::vector<ShardMemory> owned;
   std::vector<JobRecord> accepted;             // a short while ago; their shard's owner may not know of them
   std::map<std::string, JobStatus> terminals;  // by job
--- a/src/coordination/node/peer_heartbeats.cpp
+++ b/src/coordination/node/peer_heartbeats.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr double kIntervalSeconds = 2.0;
 constexpr double kTimeoutSeconds = 1.0;
-constexpr double kClockDrift =
+constexpr double kMaxClockDriftFraction =
     0.001;  // between two steady clocks, as a share: twice what the protocol allows
 }  // namespace
 
@@ -44,10 +44,10 @@
   if (reply.status != 200) return;
   const auto answer = PeerHeartbeatReply::from_json(parse_json(reply.body));
   if (!answer) return;
-  const double heard_at = ctx_.env->now() - answer->silent_s * (1 - kClockDrift);
-  if (heard_at >= ctx_.ownership->earliest_lease_expiry_at()) return;
-  round.silent_nodes++;
-  if (round.silent_nodes == ctx_.settings->members.size())
+  const double last_contact_at = ctx_.env->now() - answer->silent_s * (1 - kMaxClockDriftFraction);
+  if (last_contact_at >= ctx_.ownership->earliest_lease_expiry_at()) return;
+  round.nodes_without_contact++;
+  if (round.nodes_without_contact == ctx_.settings->members.size())
     ctx_.ownership->confirm_not_replaced(round.sent_at);
 }
 
@@ -63,7 +63,7 @@
     tokens.push_back(item.fencing_token);
     ctx_.ownership->on_owner_reported(item.shard, heartbeat->node, item.fencing_token);
   }
-  ctx_.relay->heard_from(heartbeat->node, tokens, ctx_.env->now());
+  ctx_.relay->on_owner_heartbeat(heartbeat->node, tokens, ctx_.env->now());
   responder.send(200, dump_json(PeerHeartbeatReply{ctx_.state->silent_s()}.to_json()));
 }
 
--- a/src/coordination/node/peer_heartbeats.hpp
+++ b/src/coordination/node/peer_heartbeats.hpp
@@ -40,8 +40,9 @@
  private:
   // One heartbeat to all members, and what their replies have shown so far.
   struct Round {
-    double sent_at = 0;            // by the clock of this node
-    std::size_t silent_nodes = 0;  // which have heard nothing since before the end of this node's lease
+    double sent_at = 0;  // by the clock of this node
+    std::size_t nodes_without_contact =
+        0;  // which have heard nothing since before the end of this node's lease
   };
   void send_at_intervals();
   void on_reply(Round& round, const HttpReply& reply);
--- a/src/coordination/node/report_relay.hpp
+++ b/src/coordination/node/report_relay.hpp
@@ -23,7 +23,7 @@
   };
 
   // A report as far as the decision needs it.
-  struct Visit {
+  struct ReportInfo {
     std::string machine_name;
     std::uint64_t token = 0;  // the highest fencing token that the worker has seen
     std::string owner;        // node that owns the worker's shard
@@ -31,12 +31,12 @@
   };
 
   // A heartbeat: `owner` is alive, and holds shards under these tokens.
-  void heard_from(const std::string& owner, const std::vector<std::uint64_t>& tokens, double now);
+  void on_owner_heartbeat(const std::string& owner, const std::vector<std::uint64_t>& tokens, double now);
   // A relayed report got no answer from `owner`.
-  void relay_failed(const std::string& owner) { heard_.erase(owner); }
+  void on_relay_failed(const std::string& owner) { last_heartbeat_at_.erase(owner); }
 
   // To be asked once for each report: the decision goes by the earlier ones.
-  Route route(const Visit& visit, double now);
+  Route route(const ReportInfo& report, double now);
   // Machines that are remembered; for tests.
   [[nodiscard]] std::size_t size() const { return machines_.size(); }
 
@@ -44,22 +44,22 @@
   static constexpr double kNever = -1e9;
   // What is remembered of a machine whose worker came here.
   struct RelayedMachine {
-    std::uint64_t owner_token = 0;  // of the shard's owner then; with another the rest counts for nothing
-    double redirected_at = kNever;  // last
-    double relay_until = kNever;    // its reports are relayed until then
-    double last_visit = kNever;
+    std::uint64_t owner_token = 0;     // of the shard's owner then; with another the rest counts for nothing
+    double last_redirect_at = kNever;  // last
+    double relay_until = kNever;       // its reports are relayed until then
+    double last_report_at = kNever;
   };
 
   // The owner with this token has been there for long enough to have served its workers.
-  [[nodiscard]] bool settled(std::uint64_t token, double now) const;
+  [[nodiscard]] bool has_settled(std::uint64_t token, double now) const;
   // The owner was heard from a short while ago.
-  [[nodiscard]] bool reachable(const std::string& owner, double now) const;
-  void forget_old(double now);
+  [[nodiscard]] bool is_reachable(const std::string& owner, double now) const;
+  void evict_stale_machines(double now);
 
-  std::map<std::string, RelayedMachine> machines_;  // by name
-  std::map<std::uint64_t, double> token_seen_;      // owners' tokens, and when each was first seen here
-  std::map<std::string, double> heard_;             // by node: when it was heard last
-  double next_cleaning_ = 0;
+  std::map<std::string, RelayedMachine> machines_;       // by name
+  std::map<std::uint64_t, double> token_first_seen_at_;  // owners' tokens, and when each was first seen here
+  std::map<std::string, double> last_heartbeat_at_;      // by node: when it was heard last
+  double next_eviction_at_ = 0;
 };
 
 }  // namespace mothslip
--- a/src/coordination/node/request_router.cpp
+++ b/src/coordination/node/request_router.cpp
@@ -24,19 +24,19 @@
 }
 }  // namespace
 
-std::optional<RunsPath> parse_runs_path(const std::string& path) {
-  constexpr std::string_view kRuns = paths::kJobs;
-  constexpr std::string_view kCancel = paths::kCancelSuffix;
-  if (path == kRuns) return RunsPath{RunsPath::Kind::kAll, ""};
-  if (!starts_with(path, kRuns) || path.size() <= kRuns.size() + 1 || path[kRuns.size()] != '/')
+std::optional<JobsPath> parse_jobs_path(const std::string& path) {
+  constexpr std::string_view kJobs = paths::kJobs;
+  constexpr std::string_view kCancelSuffix = paths::kCancelSuffix;
+  if (path == kJobs) return JobsPath{JobsPath::Kind::kAll, ""};
+  if (!starts_with(path, kJobs) || path.size() <= kJobs.size() + 1 || path[kJobs.size()] != '/')
     return std::nullopt;
-  std::string ref = path.substr(kRuns.size() + 1);
-  if (ref.size() > kCancel.size() && ends_with(ref, kCancel)) {
-    ref.resize(ref.size() - kCancel.size());
-    return RunsPath{RunsPath::Kind::kCancel, ref};
+  std::string ref = path.substr(kJobs.size() + 1);
+  if (ref.size() > kCancelSuffix.size() && ends_with(ref, kCancelSuffix)) {
+    ref.resize(ref.size() - kCancelSuffix.size());
+    return JobsPath{JobsPath::Kind::kCancel, ref};
   }
   if (ref.find('/') != std::string::npos) return std::nullopt;
-  return RunsPath{RunsPath::Kind::kJob, ref};
+  return JobsPath{JobsPath::Kind::kJob, ref};
 }
 
 void RequestRouter::on_client_request(const HttpRequest& request, const Responder& responder) {
@@ -44,7 +44,7 @@
     if (check_method(request, "POST", responder)) ctx_.reports->on_report(request, false, responder);
   } else if (request.path == paths::kReady) {
     if (!check_method(request, "GET", responder)) return;
-    if (ctx_.ready()) {
+    if (ctx_.is_ready()) {
       responder.send(200, R"({"ready":true})");
     } else {
       responder.send(503, R"({"ready":false})", 1);
@@ -70,19 +70,19 @@
 }
 
 void RequestRouter::on_user_request(const HttpRequest& request, bool forwarded, const Responder& responder) {
-  const auto path = parse_runs_path(request.path);
+  const auto path = parse_jobs_path(request.path);
   if (!path) {
     responder.send(404, R"({"error":"no such path"})");
     return;
   }
   switch (path->kind) {
-    case RunsPath::Kind::kAll:
+    case JobsPath::Kind::kAll:
       if (check_method(request, "POST", responder)) ctx_.users->submit(request.body, responder);
       return;
-    case RunsPath::Kind::kCancel:
+    case JobsPath::Kind::kCancel:
       if (check_method(request, "POST", responder)) ctx_.users->cancel(path->ref, forwarded, responder);
       return;
-    case RunsPath::Kind::kJob:
+    case JobsPath::Kind::kJob:
       if (check_method(request, "GET", responder)) ctx_.users->poll(path->ref, forwarded, responder);
       return;
   }
--- a/src/coordination/node/request_router.hpp
+++ b/src/coordination/node/request_router.hpp
@@ -15,7 +15,7 @@
 namespace mothslip {
 
 // What a path under /v2/runs names.
-struct RunsPath {
+struct JobsPath {
   enum class Kind {
     kAll,     // /v2/runs: where jobs are submitted
     kJob,     // /v2/runs/REF
@@ -25,7 +25,7 @@
   std::string ref;  // not checked (is_valid_ref); empty for kAll
 };
 // Nothing where it is no such path.
-[[nodiscard]] std::optional<RunsPath> parse_runs_path(const std::string& path);
+[[nodiscard]] std::optional<JobsPath> parse_jobs_path(const std::string& path);
 
 class RequestRouter {
  public:
@@ -34,7 +34,7 @@
     WorkerReports* reports = nullptr;
     PeerHeartbeats* heartbeats = nullptr;
     ShardRouter* shards = nullptr;
-    std::function<bool()> ready;  // the node can work; asked at GET /ready
+    std::function<bool()> is_ready;  // the node can work; asked at GET /ready
   };
   explicit RequestRouter(Context context) : ctx_(std::move(context)) {}
 
--- a/src/coordination/node/revision_probe.cpp
+++ b/src/coordination/node/revision_probe.cpp
@@ -21,11 +21,11 @@
 
 // Fencing tokens and attempt numbers come from revisions: what a worker shows is no newer than the service,
 // which is asked now. (The answer itself goes to the monitor too, which does not know of what was shown.)
-void RevisionProbe::check_shown(std::uint64_t revision) {
-  if (monitor_ == nullptr || revision <= monitor_->newest_revision() || checking_) return;
-  checking_ = true;
+void RevisionProbe::check_reported(std::uint64_t revision) {
+  if (monitor_ == nullptr || revision <= monitor_->newest_revision() || is_checking_) return;
+  is_checking_ = true;
   state_.get(RequestPriority::kLease, keys::kRevisionProbe, [this, revision](const StateReply& reply) {
-    checking_ = false;
+    is_checking_ = false;
     if (reply.outcome == Outcome::kMissing) monitor_->on_revision(revision, reply.revision());
   });
 }
--- a/src/coordination/node/revision_probe.hpp
+++ b/src/coordination/node/revision_probe.hpp
@@ -18,7 +18,7 @@
   void start();
   // A worker has shown this revision, in a fencing token or an attempt number. One that is newer than any
   // known is checked against the service.
-  void check_shown(std::uint64_t revision);
+  void check_reported(std::uint64_t revision);
 
  private:
   void read_at_intervals();
@@ -26,7 +26,7 @@
   Env& env_;
   StateClient& state_;
   StateMonitor* monitor_;
-  bool checking_ = false;  // a read for `check_shown` is under way
+  bool is_checking_ = false;  // a read for `check_reported` is under way
 };
 
 }  // namespace mothslip
--- a/src/coordination/node/shard_router.cpp
+++ b/src/coordination/node/shard_router.cpp
@@ -9,19 +9,20 @@
 namespace {
 constexpr double kSummaryIntervalSeconds = 1.0;
 constexpr double kTimeoutSeconds = 1.0;
-constexpr double kNoOwnerSeconds = kTimeoutSeconds / 2;  // until a leader that nobody knows counts as away
+constexpr double kNoOwnerReplyDelaySeconds =
+    kTimeoutSeconds / 2;  // until a leader that nobody knows counts as away
 }  // namespace
 
 void ShardRouter::start() {
-  env_.after(kSummaryIntervalSeconds, [this] { report_to_fleet(); });
+  env_.after(kSummaryIntervalSeconds, [this] { send_summaries(); });
 }
 
 std::string ShardRouter::owner_address(int shard) const {
   return settings_.member_address(ownership_.owner(shard).node);
 }
 
-void ShardRouter::ask(int shard, const std::string& path, const Json& body,
-                      std::function<void(Json)> answer) {
+void ShardRouter::call_leader(int shard, const std::string& path, const Json& body,
+                              std::function<void(Json)> answer) {
   if (shards_.find(shard) != nullptr) {
     env_.after(0, [this, shard, path, body, answer = std::move(answer)] {
       ShardLeader* leader = shards_.find(shard);
@@ -31,7 +32,7 @@
   }
   const std::string address = owner_address(shard);
   if (address.empty()) {
-    env_.after(kNoOwnerSeconds, [answer = std::move(answer)] { answer(Json()); });
+    env_.after(kNoOwnerReplyDelaySeconds, [answer = std::move(answer)] { answer(Json()); });
     return;
   }
   env_.call({address, "POST", path, dump_json(PeerRequest{shard, body}.to_json()), kTimeoutSeconds},
@@ -55,8 +56,8 @@
   responder.send(200, dump_json(leader->on_peer_request(request.path, message->body)));
 }
 
-void ShardRouter::report_to_fleet() {
-  env_.after(kSummaryIntervalSeconds, [this] { report_to_fleet(); });
+void ShardRouter::send_summaries() {
+  env_.after(kSummaryIntervalSeconds, [this] { send_summaries(); });
   for (const auto& [shard, leader] : shards_.leaders()) {
     if (!leader->active()) continue;
     if (Fleet* fleet = shards_.fleet(); fleet != nullptr) {
--- a/src/coordination/node/shard_router.hpp
+++ b/src/coordination/node/shard_router.hpp
@@ -23,13 +23,13 @@
 
   // Asks the leader of the shard. `answer` is called exactly once, never from within this call; with null
   // where the leader cannot be reached.
-  void ask(int shard, const std::string& path, const Json& body, std::function<void(Json)> answer);
+  void call_leader(int shard, const std::string& path, const Json& body, std::function<void(Json)> answer);
 
   // Another node's request to a leader or the fleet manager of this one.
   void on_request(const HttpRequest& request, const Responder& responder);
 
  private:
-  void report_to_fleet();
+  void send_summaries();
   void send_summary(const std::string& address, int shard, const ShardLeader& leader);
   [[nodiscard]] std::string owner_address(int shard) const;
 
--- a/src/coordination/node/user_api.cpp
+++ b/src/coordination/node/user_api.cpp
@@ -10,24 +10,27 @@
 namespace mothslip {
 
 namespace {
-constexpr double kForwardSeconds = 0.8;        // for the owner's answer to a poll; then the state is read
-constexpr double kCancelForwardSeconds = 2.5;  // for the owner's answer to a cancellation
-constexpr double kJobRecordFill = 0.9;         // of the value size: a cancellation adds to the record
-constexpr double kAcceptPatienceSeconds = 0.8;
+constexpr double kPollForwardTimeoutSeconds =
+    0.8;  // for the owner's answer to a poll; then the state is read
+constexpr double kCancelForwardTimeoutSeconds = 2.5;  // for the owner's answer to a cancellation
+constexpr double kMaxJobRecordFraction = 0.9;         // of the value size: a cancellation adds to the record
+constexpr double kMaxAcceptWaitSeconds = 0.8;
 // Users wait this long for the state of a job. What is learned later is of no use to them.
-constexpr double kPollSeconds = 2.0;
+constexpr double kPollReadTimeoutSeconds = 2.0;
 // A job's owner hears of it within a few seconds, or is replaced by one that reads the record.
-constexpr double kAcceptedSeconds = 60.0;
+constexpr double kAcceptedRetentionSeconds = 60.0;
 
 // What Retry-After says, in seconds.
-constexpr int kRetrySoon = 1;
-constexpr int kRetryWhenLessBusy = 2;
-constexpr int kRetryUnrecordable = 5;
-constexpr int kRetryAfterUpgrade = 5;
+constexpr int kRetryAfterSeconds = 1;
+constexpr int kBusyRetryAfterSeconds = 2;
+constexpr int kInvalidRecordRetryAfterSeconds = 5;
+constexpr int kUpgradeRetryAfterSeconds = 5;
 
-void send_unknown(const Responder& responder) { responder.send(404, R"({"error":"unknown"})"); }
+void send_unknown_job(const Responder& responder) { responder.send(404, R"({"error":"unknown"})"); }
 
-void send_starting(const Responder& responder) { responder.send(503, R"({"error":"starting"})", kRetrySoon); }
+void send_starting(const Responder& responder) {
+  responder.send(503, R"({"error":"starting"})", kRetryAfterSeconds);
+}
 
 void send_finding(const std::string& ref, const JobFinding& finding, const Responder& responder) {
   switch (finding.kind) {
@@ -35,13 +38,13 @@
       responder.send(200, finding.status.to_body(ref));
       return;
     case JobFinding::Kind::kUnknownJob:
-      send_unknown(responder);
+      send_unknown_job(responder);
       return;
     case JobFinding::Kind::kBeingCancelled:
-      responder.send(503, R"({"error":"being cancelled"})", kRetrySoon);
+      responder.send(503, R"({"error":"being cancelled"})", kRetryAfterSeconds);
       return;
     case JobFinding::Kind::kUndecided:
-      responder.send(503, R"({"error":"state service away"})", kRetrySoon);
+      responder.send(503, R"({"error":"state service away"})", kRetryAfterSeconds);
       return;
   }
 }
@@ -53,7 +56,7 @@
 }
 
 // The submission was refused for nothing but that the job is unaccounted.
-bool only_unaccounted(const StateReply& reply, int shard, const std::string& ref) {
+bool conflicts_only_on_unaccounted(const StateReply& reply, int shard, const std::string& ref) {
   return reply.body.is_object() &&
          reply.body.value("failed", Json()) == Json::array({keys::unaccounted(shard, ref)});
 }
@@ -66,9 +69,10 @@
                  [this](const std::string& ref) { return ask_owned_shard(ref); }}) {}
 
 std::optional<JobFinding> UserApi::ask_owned_shard(const std::string& ref) const {
-  if (!shards_known()) return std::nullopt;
+  if (!are_shards_known()) return std::nullopt;
   const int shard = home_shard(ref);
-  const ShardLeader* leader = ctx_.ownership->owns_exclusively(shard) ? ctx_.shard(shard) : nullptr;
+  const ShardLeader* leader =
+      ctx_.ownership->owns_exclusively(shard) ? ctx_.find_active_shard(shard) : nullptr;
   if (leader == nullptr) return std::nullopt;
   return leader->find(ref);
 }
@@ -77,8 +81,8 @@
   return ctx_.settings->member_address(ctx_.ownership->owner(home_shard(ref)).node);
 }
 
-void UserApi::pass_on(const std::string& ref, const std::string& body, const Responder& responder) {
-  if (const auto status = terminal_status_of_answer(parse_json(body))) statuses_.note_terminal(ref, *status);
+void UserApi::forward_reply(const std::string& ref, const std::string& body, const Responder& responder) {
+  if (const auto status = terminal_status_of_answer(parse_json(body))) statuses_.cache_terminal(ref, *status);
   responder.send(200, body);
 }
 
@@ -114,7 +118,7 @@
   }
   std::string bad_field;
   auto spec = parse_job(json, bad_field);
-  if (spec && spec->is_gang && !ctx_.gangs) {
+  if (spec && spec->is_gang && !ctx_.supports_gangs) {
     spec.reset();
     bad_field = "shape";
   }
@@ -126,7 +130,7 @@
 }
 
 void UserApi::submit_parsed(const JobSpec& spec, const Responder& responder) {
-  if (!ctx_.decides() && statuses_.terminal(spec.ref) == nullptr) {
+  if (!ctx_.may_decide() && statuses_.cached_terminal(spec.ref) == nullptr) {
     send_starting(responder);
     return;
   }
@@ -136,16 +140,16 @@
     poll(spec.ref, true, responder);
     return;
   }
-  if (ctx_.types->empty() || !shards_known()) {
+  if (ctx_.types->empty() || !are_shards_known()) {
     send_starting(responder);
     return;
   }
-  if (const std::string never = unschedulable_reason(spec, *ctx_.settings, *ctx_.types); !never.empty()) {
-    refuse(spec.ref, 422, never, responder);
+  if (const std::string reason = unschedulable_reason(spec, *ctx_.settings, *ctx_.types); !reason.empty()) {
+    refuse(spec.ref, 422, reason, responder);
     return;
   }
-  if (ctx_.state->is_busy(RequestPriority::kAccept, kAcceptPatienceSeconds)) {
-    responder.send(429, R"({"error":"too many submissions"})", kRetryWhenLessBusy);
+  if (ctx_.state->is_busy(RequestPriority::kAccept, kMaxAcceptWaitSeconds)) {
+    responder.send(429, R"({"error":"too many submissions"})", kBusyRetryAfterSeconds);
     return;
   }
   if (spec.is_gang) {
@@ -158,19 +162,19 @@
 // Nodes of an earlier version can't run gangs. While one is known to live, none is accepted; but once one has
 // been, wherever, that does not hold the others up.
 void UserApi::accept_gang(const JobSpec& spec, const Responder& responder) {
-  if (gangs_accepted_ || !ctx_.ownership->has_live_node_without_gangs()) return accept(spec, responder);
+  if (gang_was_accepted_ || !ctx_.ownership->has_live_node_without_gangs()) return accept(spec, responder);
   ctx_.state->get(RequestPriority::kAccept, keys::kGangs, [this, spec, responder](const StateReply& reply) {
     if (reply.ok()) {
-      gangs_accepted_ = true;
+      gang_was_accepted_ = true;
       accept(spec, responder);
       return;
     }
-    responder.send(503, R"({"error":"not all controllers can run gangs yet"})", kRetryAfterUpgrade);
+    responder.send(503, R"({"error":"not all controllers can run gangs yet"})", kUpgradeRetryAfterSeconds);
   });
 }
 
-void UserApi::accept(const JobSpec& spec, const Responder& responder, bool unaccounted) {
-  const Acceptance acceptance{job_record(spec), home_shard(spec.ref), unaccounted, responder};
+void UserApi::accept(const JobSpec& spec, const Responder& responder, bool is_unaccounted) {
+  const Acceptance acceptance{job_record(spec), home_shard(spec.ref), is_unaccounted, responder};
   ctx_.state->commit(RequestPriority::kAccept, acceptance_writes(acceptance),
                      [this, acceptance](const StateReply& reply) { on_acceptance_reply(acceptance, reply); });
 }
@@ -181,8 +185,8 @@
   record.submitted_at = ctx_.env->wall_time();
   // A long list of machine types, most of them unknown here, must not keep the job from being recorded.
   const auto bytes = static_cast<double>(dump_json(record.to_json()).size());
-  const double most_bytes = kJobRecordFill * ctx_.settings->value_kb * 1024;
-  if (bytes > most_bytes) remove_unknown_machine_types(record.spec, *ctx_.types);
+  const double max_bytes = kMaxJobRecordFraction * ctx_.settings->value_kb * 1024;
+  if (bytes > max_bytes) remove_unknown_machine_types(record.spec, *ctx_.types);
   return record;
 }
 
@@ -195,11 +199,11 @@
   txn.guard(keys::job_record(shard, spec.ref), 0);
   for (const std::string& key : key_space.ending_keys(shard, spec.ref)) txn.guard(key, 0);
   const bool records_were_lost = !key_space.incarnation().is_first();
-  if (records_were_lost && !acceptance.unaccounted) txn.guard(keys::unaccounted(shard, spec.ref), 0);
+  if (records_were_lost && !acceptance.is_unaccounted) txn.guard(keys::unaccounted(shard, spec.ref), 0);
   if (ctx_.settings->tuning.recovery) txn.guard(keys::kMeta, ctx_.ownership->meta_revision());
   txn.put(keys::job_record(shard, spec.ref), acceptance.record.to_json());
-  const bool first_gang = spec.is_gang && !gangs_accepted_;
-  if (first_gang) txn.put(keys::kGangs, {{"accepted", true}});
+  const bool is_first_gang = spec.is_gang && !gang_was_accepted_;
+  if (is_first_gang) txn.put(keys::kGangs, {{"accepted", true}});
   return txn;
 }
 
@@ -208,14 +212,14 @@
   const Responder& responder = acceptance.responder;
   if (reply.ok()) {
     on_accepted(acceptance, reply.revision());
-  } else if (reply.outcome == Outcome::kConflict && !acceptance.unaccounted &&
-             only_unaccounted(reply, acceptance.shard, ref)) {
+  } else if (reply.outcome == Outcome::kConflict && !acceptance.is_unaccounted &&
+             conflicts_only_on_unaccounted(reply, acceptance.shard, ref)) {
     accept(acceptance.record.spec, responder, true);
   } else if (reply.outcome == Outcome::kConflict) {
     poll(ref, false, responder);
   } else if (reply.outcome == Outcome::kInvalid) {
     spdlog::error("{}: the state service calls the record invalid: {}", ref, dump_json(reply.body));
-    responder.send(503, R"({"error":"not recorded"})", kRetryUnrecordable);
+    responder.send(503, R"({"error":"not recorded"})", kInvalidRecordRetryAfterSeconds);
   } else {
     // Not recorded, or not known to be: a repeat finds out.
     send_finding(ref, {}, responder);
@@ -226,25 +230,26 @@
   const JobRecord& record = acceptance.record;
   const std::string& ref = record.spec.ref;
   spdlog::info("{} accepted", ref);
-  gangs_accepted_ |= record.spec.is_gang;
-  note_accepted(record);
-  if (ShardLeader* leader = ctx_.shard(acceptance.shard); leader != nullptr) leader->admit(record, revision);
-  if (acceptance.unaccounted) {
+  gang_was_accepted_ |= record.spec.is_gang;
+  remember_accepted(record);
+  if (ShardLeader* leader = ctx_.find_active_shard(acceptance.shard); leader != nullptr)
+    leader->admit(record, revision);
+  if (acceptance.is_unaccounted) {
     poll(ref, false, acceptance.responder);
   } else {
     acceptance.responder.send(201, acceptance_body(ref));
   }
 }
 
-void UserApi::note_accepted(const JobRecord& record) {
+void UserApi::remember_accepted(const JobRecord& record) {
   if (!ctx_.settings->tuning.recovery) return;
   const double now = ctx_.env->now();
   accepted_.push_back({now, record});
-  while (accepted_.front().at < now - kAcceptedSeconds) accepted_.pop_front();
+  while (accepted_.front().accepted_at < now - kAcceptedRetentionSeconds) accepted_.pop_front();
 }
 
-void UserApi::remember(NodeMemory& memory) const {
-  statuses_.remember(memory);
+void UserApi::add_to(NodeMemory& memory) const {
+  statuses_.add_to(memory);
   for (const Accepted& accepted : accepted_) memory.accepted.push_back(accepted.record);
 }
 
@@ -252,19 +257,19 @@
 
 void UserApi::poll(const std::string& ref, bool forwarded, const Responder& responder) {
   if (!is_valid_ref(ref)) {
-    send_unknown(responder);
+    send_unknown_job(responder);
     return;
   }
-  if (!ctx_.decides() && statuses_.terminal(ref) == nullptr) {
+  if (!ctx_.may_decide() && statuses_.cached_terminal(ref) == nullptr) {
     send_starting(responder);
     return;
   }
   const auto found = statuses_.from_memory(ref);
-  if (found && found->tellable()) {
+  if (found && found->can_be_reported()) {
     send_finding(ref, *found, responder);
     return;
   }
-  if (!shards_known()) {
+  if (!are_shards_known()) {
     send_starting(responder);
     return;
   }
@@ -277,27 +282,27 @@
 }
 
 void UserApi::poll_owner(const std::string& address, const std::string& ref, const Responder& responder) {
-  const double asked = ctx_.env->now();
-  ctx_.env->call({address, "GET", paths::job(ref), "", kForwardSeconds},
-                 [this, ref, asked, responder](const HttpReply& reply) {
-                   const bool late = ctx_.env->now() - asked > kForwardSeconds;
-                   if (reply.status == 200 && !late) {
-                     pass_on(ref, reply.body, responder);
-                   } else if (reply.status == 404 && !late) {
-                     send_unknown(responder);
+  const double asked_at = ctx_.env->now();
+  ctx_.env->call({address, "GET", paths::job(ref), "", kPollForwardTimeoutSeconds},
+                 [this, ref, asked_at, responder](const HttpReply& reply) {
+                   const bool is_late = ctx_.env->now() - asked_at > kPollForwardTimeoutSeconds;
+                   if (reply.status == 200 && !is_late) {
+                     forward_reply(ref, reply.body, responder);
+                   } else if (reply.status == 404 && !is_late) {
+                     send_unknown_job(responder);
                    } else {
                      poll_state(ref, {}, responder);
                    }
                  });
 }
 
-void UserApi::poll_state(const std::string& ref, const JobStatus& open, const Responder& responder) {
-  const double asked = ctx_.env->now();
-  statuses_.read(ref, [this, ref, open, asked, responder](JobFinding found) {
-    const bool late = ctx_.env->now() - asked > kPollSeconds;
-    if (!found.terminal()) {
-      if (late) found = {};
-      found.status = open;
+void UserApi::poll_state(const std::string& ref, const JobStatus& open_status, const Responder& responder) {
+  const double asked_at = ctx_.env->now();
+  statuses_.read(ref, [this, ref, open_status, asked_at, responder](JobFinding found) {
+    const bool is_late = ctx_.env->now() - asked_at > kPollReadTimeoutSeconds;
+    if (!found.is_terminal()) {
+      if (is_late) found = {};
+      found.status = open_status;
     }
     send_finding(ref, found, responder);
   });
@@ -307,55 +312,55 @@
 
 void UserApi::cancel(const std::string& ref, bool forwarded, const Responder& responder) {
   if (!is_valid_ref(ref)) {
-    send_unknown(responder);
+    send_unknown_job(responder);
     return;
   }
-  if (const JobStatus* status = statuses_.terminal(ref); status != nullptr) {
+  if (const JobStatus* status = statuses_.cached_terminal(ref); status != nullptr) {
     responder.send(200, cancellation_body(ref, status->phase));
     return;
   }
-  if (!shards_known() || !ctx_.decides()) {
+  if (!are_shards_known() || !ctx_.may_decide()) {
     send_starting(responder);
     return;
   }
-  if (ShardLeader* leader = ctx_.shard(home_shard(ref)); leader != nullptr) {
+  if (ShardLeader* leader = ctx_.find_active_shard(home_shard(ref)); leader != nullptr) {
     if (leader->has_job(ref)) {
       leader->cancel(ref, responder);
     } else {
-      cancel_unknown_here(ref, responder);
+      cancel_unknown_job(ref, responder);
     }
     return;
   }
   const std::string address = owner_address(ref);
   if (forwarded || address.empty()) {
-    responder.send(503, R"({"error":"no owner"})", kRetrySoon);
+    responder.send(503, R"({"error":"no owner"})", kRetryAfterSeconds);
   } else {
     cancel_at_owner(address, ref, responder);
   }
 }
 
-void UserApi::cancel_unknown_here(const std::string& ref, const Responder& responder) {
+void UserApi::cancel_unknown_job(const std::string& ref, const Responder& responder) {
   statuses_.read(ref, [ref, responder](const JobFinding& found) {
-    if (found.terminal()) {
+    if (found.is_terminal()) {
       responder.send(200, cancellation_body(ref, found.status.phase));
     } else if (found.kind == JobFinding::Kind::kUnknownJob) {
-      send_unknown(responder);
+      send_unknown_job(responder);
     } else {
-      responder.send(503, R"({"error":"not yet"})", kRetrySoon);  // accepted elsewhere a moment ago
+      responder.send(503, R"({"error":"not yet"})", kRetryAfterSeconds);  // accepted elsewhere a moment ago
     }
   });
 }
 
 void UserApi::cancel_at_owner(const std::string& address, const std::string& ref,
                               const Responder& responder) {
-  ctx_.env->call({address, "POST", paths::cancel(ref), "{}", kCancelForwardSeconds},
+  ctx_.env->call({address, "POST", paths::cancel(ref), "{}", kCancelForwardTimeoutSeconds},
                  [this, ref, responder](const HttpReply& reply) {
                    if (reply.status == 200) {
-                     pass_on(ref, reply.body, responder);
+                     forward_reply(ref, reply.body, responder);
                    } else if (reply.status == 404) {
-                     send_unknown(responder);
+                     send_unknown_job(responder);
                    } else {
-                     responder.send(503, R"({"error":"owner not reached"})", kRetrySoon);
+                     responder.send(503, R"({"error":"owner not reached"})", kRetryAfterSeconds);
                    }
                  });
 }
--- a/src/coordination/node/worker_reports.cpp
+++ b/src/coordination/node/worker_reports.cpp
@@ -26,7 +26,7 @@
     responder.send(503, R"({"error":"starting"})", 1);
     return;
   }
-  ctx_.revisions->check_shown(newest_reported_revision(*report));
+  ctx_.revisions->check_reported(newest_reported_revision(*report));
   const int shard = shard_of(report->machine_name, ctx_.ownership->shard_count());
   if (ShardLeader* leader = ctx_.shards->find(shard); leader != nullptr) {
     leader->on_report(std::move(*report), relayed, responder);
@@ -44,8 +44,9 @@
 
 void WorkerReports::pass_to_owner(const ShardOwner& owner, const Report& report, const HttpRequest& request,
                                   const Responder& responder) {
-  const ReportRelay::Visit visit{report.machine_name, report.fencing_token, owner.node, owner.fencing_token};
-  switch (ctx_.relay->route(visit, ctx_.env->now())) {
+  const ReportRelay::ReportInfo report_info{report.machine_name, report.fencing_token, owner.node,
+                                            owner.fencing_token};
+  switch (ctx_.relay->route(report_info, ctx_.env->now())) {
     case ReportRelay::Route::kRedirect:
       redirect(owner.node, responder);
       return;
@@ -63,14 +64,14 @@
 // any answer is lost.)
 void WorkerReports::relay_report(const std::string& owner, const HttpRequest& request,
                                  const Responder& responder) {
-  const double asked = ctx_.env->now();
+  const double asked_at = ctx_.env->now();
   ctx_.env->call({ctx_.settings->member_address(owner), "POST", peer_paths::kRelayedReport, request.body,
                   kRelayTimeoutSeconds},
-                 [this, owner, asked, responder](const HttpReply& reply) {
+                 [this, owner, asked_at, responder](const HttpReply& reply) {
                    // (A process that stood still may find an answer here that the owner gave long ago.)
-                   const bool late = ctx_.env->now() - asked > kRelayTimeoutSeconds;
-                   if (reply.unanswered() || late) {
-                     ctx_.relay->relay_failed(owner);
+                   const bool is_late = ctx_.env->now() - asked_at > kRelayTimeoutSeconds;
+                   if (reply.unanswered() || is_late) {
+                     ctx_.relay->on_relay_failed(owner);
                      responder.send(503, R"({"error":"owner not reached"})", 1);
                    } else {
                      responder.send(reply.status, reply.body, reply.status == 503 ? 1 : 0);
--- a/src/coordination/shard/shard_model.cpp
+++ b/src/coordination/shard/shard_model.cpp
@@ -236,7 +236,7 @@
 ShardMemory ShardModel::memory() const {
   ShardMemory out;
   out.shard = ctx_.shard;
-  out.token = ctx_.fencing_token;
+  out.fencing_token = ctx_.fencing_token;
   for (const auto& [name, job] : jobs_) {
     JobMemory item;
     item.record = job->record;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -60,12 +60,13 @@
   mothslip::EventEnv env;
   mothslip::recovery::Controller controller(env, settings);
   const mothslip::HttpServer client_listener(env.base(), settings.client_address,
-                                             mothslip::Node::kMaxClientBody,
+                                             mothslip::Node::kMaxClientBodyBytes,
                                              mothslip::Node::max_client_connections(settings),
                                              [&controller](const auto& request, const auto& responder) {
                                                controller.on_client_request(request, responder);
                                              });
-  const mothslip::HttpServer peer_listener(env.base(), settings.peer_address, mothslip::Node::kMaxPeerBody, 0,
+  const mothslip::HttpServer peer_listener(env.base(), settings.peer_address,
+                                           mothslip::Node::kMaxPeerBodyBytes, 0,
                                            [&controller](const auto& request, const auto& responder) {
                                              controller.on_peer_request(request, responder);
                                            });
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -88,7 +88,7 @@
 
 Evidence evidence_of(const NodeMemory& memory) {
   Evidence out;
-  out.shards = memory.shards;
+  out.shards = memory.shard_count;
   for (const JobRecord& job_record : memory.accepted) {
     JobEvidence& job = out.jobs[job_record.spec.ref];
     merge_job_record(job.record, job_record);
@@ -96,8 +96,8 @@
   }
   for (const auto& [ref, status] : memory.terminals) merge_ending(out.jobs[ref].ending, status.phase);
   for (const ShardMemory& shard : memory.owned) {
-    out.newest = std::max(out.newest, shard.token);
-    out.owners[shard.shard] = {shard.token, shard.loaded, shard.lease_left_s > 0, shard.lease_left_s};
+    out.newest = std::max(out.newest, shard.fencing_token);
+    out.owners[shard.shard] = {shard.fencing_token, shard.loaded, shard.lease_left_s > 0, shard.lease_left_s};
     for (const JobMemory& known : shard.jobs) {
       JobEvidence& job = out.jobs[known.record.spec.ref];
       merge_job_record(job.record, known.record);
--- a/src/recovery/rebuilding_mode.cpp
+++ b/src/recovery/rebuilding_mode.cpp
@@ -19,7 +19,7 @@
   out.env = &env_;
   out.settings = &settings;
   out.last = options.last;
-  out.shards = options.memory.shards;
+  out.shards = options.memory.shard_count;
   out.process_started = options.process_started;
   out.own_evidence = [this] { return own_evidence(); };
   // (The handler ends this object, so it is called from a timer, and by a copy of its own.)
--- a/src/recovery/serving_mode.cpp
+++ b/src/recovery/serving_mode.cpp
@@ -17,9 +17,9 @@
       env_(env),
       node_(env_, settings, options.capabilities, options.incarnation, &detector_),
       unaccounted_(env_, settings, options.incarnation, node_) {
-  for (const auto& [ref, status] : options.terminals) node_.note_terminal(ref, status);
+  for (const auto& [ref, status] : options.terminals) node_.cache_terminal(ref, status);
   const double hold_back = hold_back_s(settings, options.doubt_s);
-  if (hold_back > 0) node_.hold_back(hold_back);
+  if (hold_back > 0) node_.suspend_decisions(hold_back);
 }
 
 void ServingMode::on_client_request(const HttpRequest& request, const Responder& responder) {
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -45,9 +45,9 @@
 }  // namespace
 
 SuspendedService::SuspendedService(const NodeMemory& memory, double now)
-    : shards_(memory.shards), terminals_(memory.terminals) {
+    : shards_(memory.shard_count), terminals_(memory.terminals) {
   for (const ShardMemory& shard : memory.owned)
-    renewals_[shard.shard] = {shard.token, now + shard.renew_left_s};
+    renewals_[shard.shard] = {shard.fencing_token, now + shard.worker_renewal_left_s};
 }
 
 void SuspendedService::on_client_request(const HttpRequest& request, const Responder& responder, double now) {
--- a/src/recovery/unaccounted_jobs.cpp
+++ b/src/recovery/unaccounted_jobs.cpp
@@ -54,8 +54,8 @@
 void UnaccountedJobs::resolve(const std::string& body, const Responder& responder) {
   auto decision = Decision::from_json(parse_json(body));
   if (!decision) return responder.send(400, R"({"error":"job, and as: done, rerun or cancelled"})");
-  if (node_.shards() == 0) return responder.send(503, R"({"error":"starting"})", kRetryAfterSeconds);
-  const int shard = shard_of(decision->ref, node_.shards());
+  if (node_.shard_count() == 0) return responder.send(503, R"({"error":"starting"})", kRetryAfterSeconds);
+  const int shard = shard_of(decision->ref, node_.shard_count());
   if (ShardLeader* leader = node_.owned_shard(shard); leader != nullptr) {
     if (leader->resolve_held(decision->ref, decision->what)) {
       responder.send(202, dump_json({{"job", decision->ref}}));
--- a/tests/job_status_test.cpp
+++ b/tests/job_status_test.cpp
@@ -109,14 +109,14 @@
   ask(findings);
   env_.answer(200, kCancelledJobRecord);
   EXPECT_TRUE(is_status(*statuses_.from_memory(kJob), JobPhase::kCancelled));
-  statuses_.note_terminal(kJob, {JobPhase::kDone, 3, 0});
+  statuses_.cache_terminal(kJob, {JobPhase::kDone, 3, 0});
   EXPECT_TRUE(is_status(*statuses_.from_memory(kJob), JobPhase::kCancelled));
 }
 
 TEST_F(JobStatuses, TheMemoryOfEndedJobsIsBounded) {
   for (int i = 0; i < 20000; i++)
-    statuses_.note_terminal("job-" + std::to_string(100000 + i), {JobPhase::kDone, 1, 0});
-  EXPECT_EQ(statuses_.terminal("job-100000"), nullptr);
-  EXPECT_NE(statuses_.terminal("job-119999"), nullptr);
+    statuses_.cache_terminal("job-" + std::to_string(100000 + i), {JobPhase::kDone, 1, 0});
+  EXPECT_EQ(statuses_.cached_terminal("job-100000"), nullptr);
+  EXPECT_NE(statuses_.cached_terminal("job-119999"), nullptr);
   EXPECT_FALSE(statuses_.from_memory("job-100000")) << "the state service tells";
 }
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::uint64_t kToken = 41;
 
-ReportRelay::Visit visit(std::uint64_t token, std::uint64_t owner_token = kToken) {
+ReportRelay::ReportInfo report(std::uint64_t token, std::uint64_t owner_token = kToken) {
   return {"host-000001", token, "roost-1", owner_token};
 }
 
@@ -41,20 +41,20 @@
 
 TEST(ReportRelay, ANewWorkerIsRedirectedAndOneThatComesBackIsRelayed) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 100);
-  EXPECT_EQ(relay.route(visit(0), 100), Route::kRedirect);
-  EXPECT_EQ(relay.route(visit(0), 100.3), Route::kRedirect) << "too soon to have failed at the owner";
-  relay.heard_from("roost-1", {kToken}, 106);
-  EXPECT_EQ(relay.route(visit(0), 106), Route::kRelay);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 100);
+  EXPECT_EQ(relay.route(report(0), 100), Route::kRedirect);
+  EXPECT_EQ(relay.route(report(0), 100.3), Route::kRedirect) << "too soon to have failed at the owner";
+  relay.on_owner_heartbeat("roost-1", {kToken}, 106);
+  EXPECT_EQ(relay.route(report(0), 106), Route::kRelay);
 }
 
 TEST(ReportRelay, AWorkerThatTheOwnerHasServedIsRelayedAtOnce) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 100);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 100);
   // A new owner shows its token to machines that it has not served yet.
-  EXPECT_EQ(relay.route(visit(kToken), 101), Route::kRedirect);
-  relay.heard_from("roost-1", {kToken}, 130);
-  EXPECT_EQ(relay.route(visit(kToken), 130), Route::kRelay);
+  EXPECT_EQ(relay.route(report(kToken), 101), Route::kRedirect);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 130);
+  EXPECT_EQ(relay.route(report(kToken), 130), Route::kRelay);
 }
 
 TEST(ReportRelay, TheWayToTheOwnerIsTriedAgainInTime) {
@@ -62,8 +62,8 @@
   int redirects = 0;
   int relays = 0;
   for (double now = 20; now < 220; now += 2) {
-    relay.heard_from("roost-1", {kToken}, now);
-    const Route route = relay.route(visit(kToken), now);
+    relay.on_owner_heartbeat("roost-1", {kToken}, now);
+    const Route route = relay.route(report(kToken), now);
     redirects += route == Route::kRedirect ? 1 : 0;
     relays += route == Route::kRelay ? 1 : 0;
   }
@@ -74,29 +74,29 @@
 // Through one node for a while, then through another: back here it is not redirected once more first.
 TEST(ReportRelay, OneThatWasRelayedHereLongAgoIsRelayedAtOnce) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 0);
-  relay.heard_from("roost-1", {kToken}, 20);
-  EXPECT_EQ(relay.route(visit(kToken), 20), Route::kRelay);
-  relay.heard_from("roost-1", {kToken}, 60);
-  EXPECT_EQ(relay.route(visit(kToken), 60), Route::kRelay);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 0);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 20);
+  EXPECT_EQ(relay.route(report(kToken), 20), Route::kRelay);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 60);
+  EXPECT_EQ(relay.route(report(kToken), 60), Route::kRelay);
 }
 
 TEST(ReportRelay, AnOwnerThatCannotBeReachedFromHereIsLeftToOtherNodes) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 0);
-  EXPECT_EQ(relay.route(visit(kToken), 20), Route::kNextNode);
-  relay.heard_from("roost-1", {kToken}, 22);
-  EXPECT_EQ(relay.route(visit(kToken), 22), Route::kRelay);
-  relay.relay_failed("roost-1");
-  EXPECT_EQ(relay.route(visit(kToken), 23), Route::kNextNode);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 0);
+  EXPECT_EQ(relay.route(report(kToken), 20), Route::kNextNode);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 22);
+  EXPECT_EQ(relay.route(report(kToken), 22), Route::kRelay);
+  relay.on_relay_failed("roost-1");
+  EXPECT_EQ(relay.route(report(kToken), 23), Route::kNextNode);
 }
 
 TEST(ReportRelay, ANewOwnerIsRedirectedToAndMachinesAreForgotten) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 0);
-  relay.heard_from("roost-1", {kToken}, 20);
-  EXPECT_EQ(relay.route(visit(kToken), 20), Route::kRelay);
-  EXPECT_EQ(relay.route(visit(kToken, kToken + 1), 21), Route::kRedirect);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 0);
+  relay.on_owner_heartbeat("roost-1", {kToken}, 20);
+  EXPECT_EQ(relay.route(report(kToken), 20), Route::kRelay);
+  EXPECT_EQ(relay.route(report(kToken, kToken + 1), 21), Route::kRedirect);
   EXPECT_EQ(relay.route({"host-000002", 0, "roost-1", kToken}, 22), Route::kRedirect);
   EXPECT_EQ(relay.size(), 2u);
   relay.route({"host-000003", 0, "roost-1", kToken}, 300);
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -202,7 +202,7 @@
   note_size(client ? "request"
             : peer ? call.path
                    : "forwarded",
-            call.body.size(), client ? Node::kMaxClientBody : Node::kMaxPeerBody);
+            call.body.size(), client ? Node::kMaxClientBodyBytes : Node::kMaxPeerBodyBytes);
   const HttpRequest request{call.method, call.path, call.body};
   const Responder responder([this, reply, message](const HttpAnswer& out) {
     if (message.client_address) note_size("answer", out.body.size(), kBody);
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -58,7 +58,7 @@
 // the door, it would leave the fleet without any word of that shard.
 TEST_F(Loopback, WhatNodesTellEachOtherMayBeLargerThanWhatUsersSend) {
   std::size_t seen = 0;
-  listen(Node::kMaxPeerBody, 0, [&seen](const HttpRequest& request, const Responder& responder) {
+  listen(Node::kMaxPeerBodyBytes, 0, [&seen](const HttpRequest& request, const Responder& responder) {
     seen = request.body.size();
     responder.send(200, "{}");
   });
@@ -70,11 +70,11 @@
 
 TEST_F(Loopback, ABodyOverTheLimitIsTurnedDown) {
   bool seen = false;
-  listen(Node::kMaxClientBody, 0, [&seen](const HttpRequest&, const Responder& responder) {
+  listen(Node::kMaxClientBodyBytes, 0, [&seen](const HttpRequest&, const Responder& responder) {
     seen = true;
     responder.send(200, "{}");
   });
-  call("/v2/runs", std::string(Node::kMaxClientBody + 1, 'x'));
+  call("/v2/runs", std::string(Node::kMaxClientBodyBytes + 1, 'x'));
   wait_for(1);
   EXPECT_NE(replies[0].status, 200);
   EXPECT_FALSE(seen);
@@ -84,7 +84,7 @@
 // others have gone there is room again.
 TEST_F(Loopback, ConnectionsOverTheBoundAreTurnedAwayAtOnce) {
   std::vector<Responder> held;
-  listen(Node::kMaxClientBody, 2, [&held](const HttpRequest& request, const Responder& responder) {
+  listen(Node::kMaxClientBodyBytes, 2, [&held](const HttpRequest& request, const Responder& responder) {
     if (request.path == "/ready") return responder.send(200, "{}");
     held.push_back(responder);
   });
@@ -110,7 +110,7 @@
 
 // Nothing is kept of a machine that was sent one command: thousands come and go.
 TEST_F(Loopback, AConnectionThatIsNotWorthKeepingIsClosed) {
-  listen(Node::kMaxClientBody, 0,
+  listen(Node::kMaxClientBodyBytes, 0,
          [](const HttpRequest&, const Responder& responder) { responder.send(200, "{}"); });
   call("/commands", "{}");
   wait_for(1);
