--- a/src/coordination/node/call_budget.cpp
+++ b/src/coordination/node/call_budget.cpp
@@ -7,10 +7,10 @@
 namespace mothslip {
 
 namespace {
-// Shares of the limits, 0..1.
-constexpr double kStateUserFraction = 0.3;    // of the state service's: split evenly among the node_count
-constexpr double kCloudFleetFraction = 0.8;   // of the cloud's: for the node that manages the fleet
-constexpr double kCloudOthersFraction = 0.2;  // of the cloud's: split evenly among the node_count
+// Fractions of the limits, from 0 to 1.
+constexpr double kStateUserFraction = 0.3;    // of the state service's limit, split evenly among the nodes
+constexpr double kCloudFleetFraction = 0.8;   // of the cloud's limit, for the node that manages the fleet
+constexpr double kCloudOthersFraction = 0.2;  // of the cloud's limit, split evenly among the nodes
 }  // namespace
 
 void CallBudget::update() {
@@ -18,7 +18,7 @@
   const bool shards_known = ownership_.shard_count() > 0;
   const int shard_count = std::max(1, ownership_.shard_count());
   const double owned_fraction = static_cast<double>(ownership_.held_count()) / shard_count;
-  // Until the shards are known nobody has any, and all node_count have to start.
+  // Until the number of shards is known, no node owns a shard, and all nodes need calls to start up.
   state_.set_share(shards_known ? kStateUserFraction / node_count + (1 - kStateUserFraction) * owned_fraction
                                 : 1 / node_count);
   const bool manages_fleet = shards_known && ownership_.owns(kFleetShard);
--- a/src/coordination/node/call_budget.hpp
+++ b/src/coordination/node/call_budget.hpp
@@ -1,7 +1,7 @@
-// How much of the limits of the state service and the cloud this node may use.
+// Divides the rate limits of the state service and the cloud among the nodes.
 //
-// The limits count for all nodes together. One share is split evenly, for what every node does for its users;
-// the rest goes with the shards that a node owns.
+// The limits apply to all nodes together. One fraction is split evenly, for the requests that every node
+// makes for its users. The rest is allotted to nodes by the shards that they own.
 #pragma once
 
 #include "coordination/fleet/cloud_client.hpp"
@@ -12,11 +12,12 @@
 
 class CallBudget {
  public:
-  // All references must outlive the budget.
+  // All references must outlive this object.
   CallBudget(const Settings& settings, const Ownership& ownership, StateClient& state, CloudClient& cloud)
       : settings_(settings), ownership_(ownership), state_(state), cloud_(cloud) {}
 
-  // Sets the shares of both clients by the shards that are owned now. To be called whenever these change.
+  // Sets the shares of both clients according to the shards that this node owns. Must be called whenever
+  // these change.
   void update();
 
  private:
--- a/src/coordination/node/job_status.cpp
+++ b/src/coordination/node/job_status.cpp
@@ -9,24 +9,26 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMaxCachedTerminals = 5000;  // terminal states that are remembered
-constexpr std::size_t kMaxWaitersPerRead = 64;     // for one read; others are asked to come back
+constexpr std::size_t kMaxCachedTerminals = 5000;
+constexpr std::size_t kMaxWaitersPerRead = 64;  // further callers are asked to retry
 
 JobFinding finding(JobFinding::Kind kind) { return {kind, {}}; }
 
 JobFinding status_finding(const JobStatus& status) { return {JobFinding::Kind::kStatus, status}; }
 
-// What a job record in the state service tells of the job's status. (Its description is not needed here.)
+// Returns what a job record in the state service shows about the status of the job. The job's description is
+// not needed here.
 JobFinding finding_of_job_record(const Json& record) {
   const bool cancelled = record.value("phase", "") == wire_name(JobPhase::kCancelled);
   if (!cancelled) return status_finding({});
-  // Where tasks were delegated, only the owner knows whether all delegates have heard of the cancellation.
+  // If tasks were delegated, only the owner knows whether all shards that hold them have received the
+  // cancellation.
   const bool delegated = record.value("spread", false);
   if (delegated) return finding(JobFinding::Kind::kUndecided);
   return status_finding({JobPhase::kCancelled, 0, 0});
 }
 
-// What a job's ending in the state service tells (ending_json).
+// Returns what the ending of a job in the state service (ending_json) shows.
 JobFinding finding_of_ending(const Json& ending) {
   if (!ending.is_object()) return finding(JobFinding::Kind::kUndecided);
   const auto status = terminal_status(ending.value("phase", ""), ending.value("pieces", 0));
@@ -118,9 +120,11 @@
   }
 }
 
-// Records were lost before: what became of the job may not be known, and it may have been told. This is read
-// first: the record goes with what decides about the job, and never comes. (Read after the job record, it was
-// found gone with the ending of a job whose job record had just been read, which was then told to be queued.)
+// Called if records were lost before. The outcome of the job may then be unknown although its ending was
+// reported earlier. The unaccounted record is read before the job record because it is never created later,
+// and is deleted together with the write that decides the job. When it was read after the job record, it
+// could be found deleted by the write of the ending: the job record read before was then reported as queued
+// although the job had ended.
 void JobStatusService::read_unaccounted(const std::string& ref) {
   const std::string key = keys::unaccounted(shard_of(ref, ctx_.shard_count()), ref);
   ctx_.state->get(RequestPriority::kAccept, key,
@@ -137,13 +141,13 @@
   if (!record || record->withholds_status()) {
     finish_read(ref, finding(JobFinding::Kind::kUndecided));
   } else if (record->all_held) {
-    finish_read(ref, status_finding({}));  // (it waits for its description)
+    finish_read(ref, status_finding({}));  // the job waits for its description
   } else {
     read_job_record(ref);
   }
 }
 
-// First the job record, then the ending: a job moves only in that order.
+// Reads the job record before the ending because a job only ever moves in that order.
 void JobStatusService::read_job_record(const std::string& ref) {
   const int shard = shard_of(ref, ctx_.shard_count());
   ctx_.state->get(RequestPriority::kAccept, keys::job_record(shard, ref),
--- a/src/coordination/node/job_status.hpp
+++ b/src/coordination/node/job_status.hpp
@@ -1,16 +1,17 @@
-// What may be told about a job: the one place that decides it, for polls, repeated submissions and
-// cancellations alike.
+// Decides which status of a job may be reported, for polls, repeated submissions and cancellations alike. No
+// other code decides this.
 //
-// Invariant: no answer is older than one that any node gave before the question was asked.
-//  * A terminal state is told only once it is durable, and is then final.
-//  * Any other answer (open, or unknown) is told only if it was true at some moment after the question came
-//    in. The owner of the job's shard may answer from memory while nobody else can own the shard and no
-//    terminal write of its own has an open outcome. Everybody else, and the owner otherwise, needs a read of
-//    the state service that began after the question.
-//  * Where neither is to be had, nothing is told: the user is asked to come back.
+// Invariant: no answer is older than an answer that any node gave before the request was received.
+//  * A terminal state is reported only once it is durable, and is then final.
+//  * Any other answer (open or unknown) is reported only if it was true at some moment after the request was
+//    received. The owner of the job's shard may answer from memory while no other node can own the shard and
+//    none of its own terminal writes has an unknown outcome. Other nodes, and the owner otherwise, need a
+//    read of the state service that started after the request.
+//  * If neither is available, no status is reported: the user is asked to retry.
 //
-// (What others can read may be ahead of the owner's memory: a terminal write can be durable while its answer
-// is late or lost. Owners that went by their memory then said "running" after others had said "done".)
+// The state service may be ahead of the owner's memory: a terminal write can be durable while its answer is
+// late or lost. Owners that answered from memory in that case reported "running" after other nodes had
+// reported "done".
 #pragma once
 
 #include <deque>
@@ -26,38 +27,39 @@
 
 enum class JobPhase { kQueued, kRunning, kDone, kCancelled };
 
-// The phase's name on the wire.
+// Returns the name of the phase on the wire.
 [[nodiscard]] const char* wire_name(JobPhase phase);
 
-// The body of the answer to a submission that was accepted just now.
+// Returns the body of the answer to a submission that has just been accepted.
 [[nodiscard]] std::string acceptance_body(const std::string& ref);
 
-// The body of the answer to a cancellation of a job that has ended.
+// Returns the body of the answer to the cancellation of a job that has ended.
 [[nodiscard]] std::string cancellation_body(const std::string& ref, JobPhase phase);
 
-// What a user may hear about a job.
+// The status of a job as users may see it.
 struct JobStatus {
   JobPhase phase = JobPhase::kQueued;
-  int done = 0;     // tasks that have completed; for display
-  int running = 0;  // tasks that are running; for display
+  int done = 0;     // completed tasks; for display only
+  int running = 0;  // running tasks; for display only
   [[nodiscard]] bool is_terminal() const { return phase == JobPhase::kDone || phase == JobPhase::kCancelled; }
-  // The body of an answer to a poll.
+  // Returns the body of the answer to a poll.
   [[nodiscard]] std::string to_body(const std::string& ref) const;
 };
 
-// The terminal state of this name on the wire; nothing where the name is not one's.
+// Returns the terminal state with this name on the wire; nothing if no terminal state has it.
 [[nodiscard]] std::optional<JobStatus> terminal_status(const std::string& wire_name, int done);
 
-// The terminal state in another node's answer to a poll or a cancellation; nothing where it tells none.
+// Returns the terminal state in another node's answer to a poll or a cancellation; nothing if the answer
+// contains none.
 [[nodiscard]] std::optional<JobStatus> terminal_status_of_answer(const Json& answer);
 
-// What is known about a job, by the owner of its shard or by a read of the state service.
+// What the owner of a job's shard, or a read of the state service, has found out about the job.
 struct JobFinding {
   enum class Kind {
-    kStatus,          // `status` may be told
-    kUnknownJob,      // no such job, as far as was looked
-    kBeingCancelled,  // a cancellation is under way and not confirmed yet
-    kUndecided,       // whether the job has ended is open; `status` holds the counts of an open one
+    kStatus,          // `status` may be reported
+    kUnknownJob,      // no such job was found
+    kBeingCancelled,  // a cancellation is in progress and not confirmed yet
+    kUndecided,       // it is not known whether the job has ended; if it is open, `status` has its counts
   };
   Kind kind = Kind::kUndecided;
   JobStatus status;
@@ -69,43 +71,48 @@
 
 struct NodeMemory;
 
-// Answers from this node's memory, or from reads of the state service.
+// Determines the status of jobs from this node's memory or from reads of the state service.
 class JobStatusService {
  public:
   struct Context {
     StateClient* state = nullptr;
-    // The number of shards; 0: not known yet.
+    // Returns the number of shards; 0 until it is known.
     std::function<int()> shard_count;
-    // What the job's shard knows, where this node owns it and nobody else can; nothing otherwise.
+    // Returns what the leader of the job's shard knows, if this node owns the shard and no other node can own
+    // it; nothing otherwise.
     std::function<std::optional<JobFinding>(const std::string& ref)> ask_owned_shard;
   };
   explicit JobStatusService(Context context) : ctx_(std::move(context)) {}
 
-  // Remembers a terminal state that is durable.
+  // Caches a durable terminal state.
   void cache_terminal(const std::string& ref, const JobStatus& status);
-  // The terminal state, if it is remembered. (The memory is bounded; the state service keeps all.)
+  // Returns the terminal state if it is cached; null otherwise. The cache is bounded; the state service keeps
+  // all terminal states.
   [[nodiscard]] const JobStatus* cached_terminal(const std::string& ref) const;
 
-  // Adds the terminal states that are remembered.
+  // Adds the cached terminal states to `memory`.
   void add_to(NodeMemory& memory) const;
 
-  // What this node knows without a read. Nothing: it neither remembers the job's end nor owns its shard.
+  // Returns what this node knows without a read; nothing if it neither has the job's terminal state in the
+  // cache nor owns its shard.
   [[nodiscard]] std::optional<JobFinding> from_memory(const std::string& ref) const;
 
-  // What the state service says, by a read that begins after this call. Those who ask about one job while a
-  // read of it is under way share the next one: there are at most two reads of a job, however many ask.
-  // `handler` is called exactly once, from within this call where no read can be begun (kUndecided).
+  // Reads the status from the state service, with a read that starts after this call. Calls for a job that is
+  // already being read share the next read, so that there are at most two reads per job for any number of
+  // calls. `handler` is called exactly once; if no read can be started, it is called from within this call,
+  // with kUndecided.
   using Handler = std::function<void(const JobFinding&)>;
   void read(const std::string& ref, Handler handler);
 
  private:
   // The reads of one job.
   struct JobReads {
-    std::vector<Handler> current_handlers;  // by the read that is under way
-    std::vector<Handler> next_handlers;     // for the next one
+    std::vector<Handler> current_handlers;  // served by the read that is in progress
+    std::vector<Handler> next_handlers;     // served by the next read
   };
   void start_read(const std::string& ref);
-  // `keys`: where the ending may be; those from `at` on have not been read yet.
+  // `keys`: the keys at which the ending may be stored. Those before index `next` have been read without
+  // success.
   void read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t next);
   void read_unaccounted(const std::string& ref);
   void on_unaccounted(const std::string& ref, const StateReply& reply);
@@ -115,8 +122,8 @@
 
   Context ctx_;
   std::unordered_map<std::string, JobStatus> cached_terminals_;  // by job; bounded
-  std::deque<std::string> cached_terminals_by_age_;              // the same, oldest first
-  std::unordered_map<std::string, JobReads> reads_;              // by job; only while a read is under way
+  std::deque<std::string> cached_terminals_by_age_;              // keys of `cached_terminals_`, oldest first
+  std::unordered_map<std::string, JobReads> reads_;              // by job; only while a read is in progress
 };
 
 }  // namespace mothslip
--- a/src/coordination/node/local_shards.hpp
+++ b/src/coordination/node/local_shards.hpp
@@ -1,4 +1,4 @@
-// The shards that this node owns, and the fleet manager where it owns kFleetShard.
+// The leaders of the shards that this node owns, and the fleet manager if it owns kFleetShard.
 #pragma once
 
 #include <map>
@@ -16,32 +16,32 @@
  public:
   using Leaders = std::map<int, std::unique_ptr<ShardLeader>>;
 
-  // By shard. A leader that has not loaded its records yet is among them.
+  // Returns the leaders by shard, including those that have not loaded their records yet.
   [[nodiscard]] const Leaders& leaders() const { return leaders_; }
-  // The leader of the shard; null where this node does not own it.
+  // Returns the leader of the shard; null if this node does not own the shard.
   [[nodiscard]] ShardLeader* find(int shard) const {
     const auto it = leaders_.find(shard);
     return it == leaders_.end() ? nullptr : it->second.get();
   }
-  // Likewise, but only once it knows its records.
+  // Like `find`, but also null until the leader has loaded its records.
   [[nodiscard]] ShardLeader* find_active(int shard) const {
     ShardLeader* leader = find(shard);
     return leader != nullptr && leader->active() ? leader : nullptr;
   }
-  // Null where this node does not own kFleetShard.
+  // Returns null if this node does not own kFleetShard.
   [[nodiscard]] Fleet* fleet() const { return fleet_.get(); }
 
-  // Replaces an earlier leader of the shard.
+  // Replaces any earlier leader of the shard.
   ShardLeader& open(int shard, std::unique_ptr<ShardLeader> leader) {
     leaders_[shard] = std::move(leader);
     return *leaders_[shard];
   }
-  // Replaces an earlier one.
+  // Replaces any earlier fleet manager.
   Fleet& open_fleet(std::unique_ptr<Fleet> fleet) {
     fleet_ = std::move(fleet);
     return *fleet_;
   }
-  // Ends the leader of the shard, and with that of kFleetShard the fleet manager.
+  // Destroys the leader of the shard and, for kFleetShard, the fleet manager.
   void close(int shard) {
     if (shard == kFleetShard) fleet_.reset();
     leaders_.erase(shard);
@@ -49,7 +49,7 @@
 
  private:
   Leaders leaders_;
-  std::unique_ptr<Fleet> fleet_;  // ends before the leaders
+  std::unique_ptr<Fleet> fleet_;  // destroyed before the leaders
 };
 
 }  // namespace mothslip
--- a/src/coordination/node/machine_type_catalog.cpp
+++ b/src/coordination/node/machine_type_catalog.cpp
@@ -11,13 +11,14 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRetryDelaySeconds = 0.7;  // after the state service failed to answer
-// After neither the cloud nor the split records gave any types; drawn, so that nodes do not ask in step.
+constexpr double kRetryDelaySeconds = 0.7;  // before the state service is asked again after a failure
+// The delay before the search restarts after neither the cloud nor the split records returned a list. It is
+// random so that nodes do not send their requests at the same time.
 constexpr double kMinRestartDelaySeconds = 1.0;
 constexpr double kMaxRestartDelaySeconds = 2.5;
-constexpr std::size_t kSplitRecordFrameBytes = 40;  // of a split should_record, besides its list
+constexpr std::size_t kSplitRecordFrameBytes = 40;  // size of a split record without its list
 
-// The types of all split records together, unless one of the records is missing or malformed.
+// Joins the lists of all split records. Returns nothing if a record is missing or malformed.
 std::optional<MachineTypes> join_split_records(const std::vector<StateItem>& items) {
   Json all = {{"flavours", Json::array()}};
   for (const StateItem& item : items) {
@@ -29,8 +30,8 @@
   return MachineTypes::parse(all);
 }
 
-// The lists of the split records, each should_record of at most `max_bytes`. Nothing where a single type is
-// too large for that.
+// Splits the list so that each record has at most `max_bytes`. Returns nothing if a single type is too large
+// for a record.
 std::optional<std::vector<Json>> split_types(const Json& types, std::size_t max_bytes) {
   std::vector<Json> lists = {Json::array()};
   std::size_t bytes = kSplitRecordFrameBytes;
@@ -50,7 +51,7 @@
   return lists;
 }
 
-// The writes that should_record the types. Nothing where they do not fit into one transaction.
+// Returns the transaction that records the list, or nothing if the list does not fit into one transaction.
 std::optional<Transaction> record_types(const MachineTypes& types, const Settings& settings) {
   Transaction txn;
   const auto max_bytes = static_cast<std::size_t>(settings.value_kb * 1024);
@@ -108,7 +109,7 @@
   });
 }
 
-// Only looked for where the cloud does not answer.
+// Called only if the cloud did not return a list.
 void MachineTypeCatalog::load_split_records() {
   state_.list(RequestPriority::kLease, keys::kSplitTypes,
               [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
@@ -123,7 +124,8 @@
 void MachineTypeCatalog::save_record() {
   const auto txn = record_types(types_, settings_);
   if (!txn) {
-    spdlog::warn("too many machine types to be recorded: nodes that start ask the cloud");
+    spdlog::warn(
+        "the list of machine types is too long to be recorded: nodes that start must ask the cloud for it");
     return;
   }
   state_.commit(RequestPriority::kRest, *txn, [](const StateReply&) {});
@@ -136,7 +138,7 @@
   const bool changed = !is_first_list && !same_names(types, types_);
   types_ = std::move(types);
   if (changed) {
-    spdlog::warn("the cloud's machine types have changed: loading anew");
+    spdlog::warn("the list of the cloud's machine types has changed: restarting all shards of this node");
     listener_.changed();
   }
   if (should_record) save_record();
--- a/src/coordination/node/machine_type_catalog.hpp
+++ b/src/coordination/node/machine_type_catalog.hpp
@@ -1,8 +1,8 @@
-// The cloud's machine types as this node knows them, and their should_record in the state service.
+// The machine types of the cloud that this node knows, and their record in the state service.
 //
-// The state service keeps what the cloud said last, so that a node which starts while the cloud is down can
-// work. The types stand in the should_record `types`; a list that is too long for one should_record stands in
-// several, `types~0`, `types~1` and so on.
+// The state service keeps the last list that the cloud returned, so that a node can start while the cloud is
+// unavailable. The list is stored in the record `types`. A list that is too long for one record is split into
+// the records `types~0`, `types~1` and so on.
 #pragma once
 
 #include <functional>
@@ -18,20 +18,21 @@
 class MachineTypeCatalog {
  public:
   struct Listener {
-    std::function<void()> changed;      // the types differ from those that were known before
-    std::function<void()> first_known;  // types are known, for the is_first_list time
+    std::function<void()> changed;      // called when the list differs from the previous one
+    std::function<void()> first_known;  // called when the first list is known
   };
-  // All references must outlive the catalog.
+  // All references must outlive this object.
   MachineTypeCatalog(Env& env, StateClient& state, CloudClient& cloud, const Settings& settings,
                      Listener listener);
 
-  // Looks for the types until some are known: in the should_record, at the cloud, in the split records; then
-  // again.
+  // Reads the record, asks the cloud and reads the split records, in this order, and repeats this until a
+  // list is found.
   void load();
-  // Types that the cloud has just given to the fleet manager. They are not recorded.
+  // Takes over the list that the cloud has just returned to the fleet manager. It is not recorded here.
   void update(MachineTypes types);
 
-  // Empty until they are known. The reference stays valid; what it refers to changes with `update`.
+  // Returns the list, which is empty until it is known. The reference stays valid; `update` changes the list
+  // that it refers to.
   [[nodiscard]] const MachineTypes& types() const { return types_; }
   [[nodiscard]] bool known() const { return !types_.empty(); }
 
--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -53,7 +53,7 @@
 }
 
 std::size_t Node::max_client_connections(const Settings& settings) {
-  constexpr int kOutgoingSockets = 80;  // to the state service, the cloud, other nodes; direct commands
+  constexpr int kOutgoingSockets = 80;  // for the state service, the cloud, other nodes and direct commands
   if (settings.max_sockets <= 0) return 0;
   const int remaining_sockets = settings.max_sockets - kOutgoingSockets - settings.max_sockets / 20;
   return static_cast<std::size_t>(std::max(settings.max_sockets / 2, remaining_sockets));
@@ -64,7 +64,7 @@
   return settings_.member_address(ownership_.owner(index).node);
 }
 
-// ---------------------------------------------------------------- what the modules are given
+// ---------------------------------------------------------------- contexts of the modules
 
 Ownership::Listener Node::ownership_listener() {
   Ownership::Listener listener;
@@ -102,7 +102,8 @@
   context.exclusive_owner = [this, shard] { return owns_exclusively(shard); };
   context.may_renew = [this, shard] { return ownership_.may_renew_worker_leases(shard); };
   context.owner_change_revision = [this](int other) { return ownership_.owner(other).fencing_token; };
-  // Both end the leader that calls: they run after its own code has returned.
+  // Both callbacks destroy the leader that calls them, so they run from a timer, after the leader's code has
+  // returned.
   context.restart_shard = [this, shard, fencing_token](const std::string& why) {
     env_.after(0, [this, shard, fencing_token, why] {
       if (monitor_ != nullptr && monitor_->is_state_lost()) return;
@@ -133,7 +134,8 @@
   context.fencing_token = fencing_token;
   context.shard_count = ownership_.shard_count();
   context.exclusive_owner = [this] { return owns_exclusively(kFleetShard); };
-  // May restart shards and so end the fleet manager: it runs after the caller's own code has returned.
+  // The update may restart shards and thus destroy the fleet manager, so it runs from a timer, after the code
+  // of the caller has returned.
   context.new_types = [this](MachineTypes types) {
     env_.after(0, [this, types = std::move(types)]() mutable { machine_types_.update(std::move(types)); });
   };
@@ -167,10 +169,11 @@
   budget_.update();
 }
 
-// Machine types are known by their place in the list: leaders and fleet begin anew with the new list.
+// Machine types are identified by their index in the list, so leaders and the fleet manager must restart to
+// use the new list.
 void Node::restart_all_shards() {
   for (int shard = 0; shard < ownership_.shard_count(); shard++)
-    ownership_.restart_shard(shard, "machine types changed");
+    ownership_.restart_shard(shard, "the list of the cloud's machine types has changed");
 }
 
 void Node::open_waiting_shards() {
@@ -180,7 +183,7 @@
   }
 }
 
-// ---------------------------------------------------------------- what is known here
+// ---------------------------------------------------------------- memory and counters
 
 NodeMemory Node::memory() const {
   NodeMemory out;
@@ -203,15 +206,18 @@
 
 void Node::log_counters() {
   const auto& calls = state_.counters();
-  spdlog::info("state calls {}, writes {}, refused here {}, 429 {}, unanswered {}", calls.calls, calls.writes,
-               calls.refused_locally, calls.too_many_requests, calls.unanswered);
+  spdlog::info(
+      "state service: {} calls sent, {} writes among them, {} requests refused by this node, {} calls "
+      "answered with 429, {} unanswered",
+      calls.calls, calls.writes, calls.refused_locally, calls.too_many_requests, calls.unanswered);
   for (const auto& [index, leader] : shards_.leaders()) {
     const auto& counters = leader->counters();
     spdlog::info(
-        "shard {}: heartbeats {}, launches {}, fetches {}, relaunches {}, done {}, delegated {}, received "
-        "{}, "
-        "returned {}, errors {}, preempted {}, freed by lease {} incarnation {} return {}; journal writes {} "
-        "with {} changes, delegations {}, quota transfers {}, endings {}",
+        "shard {}: worker reports {}, launches {}, image fetches {}, relaunches {}, tasks completed {}, "
+        "tasks "
+        "delegated {}, tasks received {}, tasks returned {}, errors {}, preemptions {}, placements freed by "
+        "lease expiry {}, by a new worker incarnation {}, by machine removal {}, journal writes {} with {} "
+        "changes, delegations {}, quota transfers {}, jobs ended {}",
         index, counters.reports, counters.launches, counters.image_fetches, counters.relaunches,
         counters.completions, counters.tasks_delegated, counters.tasks_received, counters.tasks_returned,
         counters.errors, counters.preempted, counters.freed_by_lease, counters.freed_by_incarnation,
--- a/src/coordination/node/node.hpp
+++ b/src/coordination/node/node.hpp
@@ -1,5 +1,5 @@
-// One controller: wires its modules together. It opens a leader for each shard that it comes to own, and
-// closes it when the shard is lost; everything else is left to the modules.
+// One controller. Connects its modules: it opens a leader for each shard that it gains and closes the leader
+// when the shard is lost. The modules do everything else.
 #pragma once
 
 #include <cstdint>
@@ -26,53 +26,57 @@
 
 class Node {
  public:
-  // Largest request bodies, in bytes: of users and workers as the protocol says; of other nodes by need. (A
-  // shard's summary names all its machines, at some 180 bytes each: with 350 of them it is over 64 KiB, and
-  // turned down unseen the fleet would hear nothing of the shard and rent nothing for it.)
+  // The largest request bodies that are accepted. The protocol sets the limit for users and workers. The
+  // limit for other nodes is larger because the summary of a shard names all its machines, at some 180 bytes
+  // each: with 350 machines it exceeds 64 KiB. If such a summary were rejected, the fleet would receive
+  // nothing from the shard and rent nothing for it.
   static constexpr std::size_t kMaxClientBodyBytes = std::size_t{64} * 1024;
   static constexpr std::size_t kMaxPeerBodyBytes = std::size_t{2} * 1024 * 1024;
-  // How many of the process's sockets users and workers may use: one node may have to serve all of them.
-  // 0: no bound.
+  // Returns the number of sockets that users and workers may use; 0 means no limit. The number is large
+  // because one node may have to serve all users and workers.
   static std::size_t max_client_connections(const Settings& settings);
 
-  // `env` must outlive the node; callbacks that it still holds when the node ends must not be run (recovery
-  // uses a ScopedEnv for that). `monitor` is told what contradicts the state service's earlier answers; null:
-  // nobody watches for that.
+  // `env` must outlive the node. Callbacks that `env` still holds when the node is destroyed must not be run
+  // (recovery uses a ScopedEnv for that). `monitor` is notified of everything that contradicts earlier
+  // answers of the state service. It is null if this node does not monitor for lost state.
   Node(Env& env, Settings settings, Capabilities capabilities = {}, Incarnation incarnation = {},
        StateMonitor* monitor = nullptr);
   ~Node();
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
 
-  // To be called once, before any request is passed in.
+  // Must be called once, before the first request is passed to the node.
   void start();
-  // For so long from now nothing is started, and nothing told but what is final: workers are only heard, and
-  // kept from losing their leases. For a process that cannot yet know whether the records it reads are
-  // recent.
+  // For this time, the node starts nothing and reports only terminal states to users. It still accepts
+  // workers' reports and renews their leases. This is for a process that cannot know yet whether the records
+  // that it reads are recent.
   void suspend_decisions(double duration_s) { decisions_resume_at_ = env_.now() + duration_s; }
 
-  // A request that came in at the address for users and workers, and one from another controller.
+  // Handle requests that arrived at the client address (users and workers) and at the peer address (other
+  // controllers).
   void on_client_request(const HttpRequest& request, const Responder& responder);
   void on_peer_request(const HttpRequest& request, const Responder& responder);
 
-  // The leader of the shard, loaded or not; null where this node does not own the shard.
+  // Returns the leader of the shard, even if it has not loaded its records yet; null if this node does not
+  // own the shard.
   [[nodiscard]] const ShardLeader* shard(int index) const { return shards_.find(index); }
-  // The same, but only once it knows its records.
+  // Like `shard`, but also null until the leader has loaded its records.
   [[nodiscard]] ShardLeader* owned_shard(int index) { return shards_.find_active(index); }
-  // The peer address of the controller that is known to own the shard; empty where none is.
+  // Returns the peer address of the known owner of the shard; empty if no owner is known.
   [[nodiscard]] std::string owner_address(int index) const;
-  // The number of shards in the cluster; 0: not known yet.
+  // Returns the number of shards in the cluster; 0 until it is known.
   [[nodiscard]] int shard_count() const { return ownership_.shard_count(); }
   [[nodiscard]] const StateClient& state() const { return state_; }
-  // All that this node knows and the state service may not: taken when state was lost.
+  // Returns everything that this node knows and the state service may not. It is collected after state was
+  // lost.
   [[nodiscard]] NodeMemory memory() const;
-  // A terminal state that is durable, from before this node was started.
+  // Caches a durable terminal state that was reached before this node was started.
   void cache_terminal(const std::string& ref, const JobStatus& status) {
     user_api_.cache_terminal(ref, status);
   }
 
  private:
-  // What the modules are given, where that takes more than references.
+  // Build what the modules need, if it is more than references.
   [[nodiscard]] Ownership::Listener ownership_listener();
   [[nodiscard]] UserApi::Context user_api_context(Capabilities capabilities);
   [[nodiscard]] ShardLeader::Context leader_context(int shard, std::uint64_t fencing_token);
@@ -92,7 +96,7 @@
   Env& env_;
   Settings settings_;
   StateMonitor* monitor_;
-  double decisions_resume_at_ = 0;  // by the clock of `env_`; before, the node is held back
+  double decisions_resume_at_ = 0;  // by the clock of `env_`; until then, decisions are suspended
   NameTable zones_;
   StateClient state_;
   CloudClient cloud_;
@@ -107,7 +111,7 @@
   PeerHeartbeats heartbeats_;
   WorkerReports worker_reports_;
   RequestRouter requests_;
-  // Shards that were gained before any machine type was known, and their fencing tokens.
+  // Shards that were gained before any machine type was known, with their fencing tokens.
   std::map<int, std::uint64_t> shards_waiting_for_types_;
 };
 
--- a/src/coordination/node/node_memory.hpp
+++ b/src/coordination/node/node_memory.hpp
@@ -1,4 +1,5 @@
-// What a controller knows in memory and hands over when the state service has lost records (src/recovery).
+// The contents of a controller's memory that it contributes to a rebuild after the state service has lost
+// records (src/recovery).
 #pragma once
 
 #include <cstdint>
@@ -11,34 +12,34 @@
 
 namespace mothslip {
 
-// A job at its home shard, or the tasks of one that were delegated to a shard.
+// A job at its home shard, or the tasks of a job that were delegated to a shard.
 struct JobMemory {
   JobRecord record;
   RangeSet done;
-  bool delegated_here = false;  // the tasks of a delegation, not the job at its home shard
-  RangeSet held;                // since records were lost before (UnaccountedRecord)
-  bool may_have_ended = false;  // likewise
+  bool delegated_here = false;  // whether these are delegated tasks, not the job at its home shard
+  RangeSet held;                // tasks held since an earlier loss of records (UnaccountedRecord)
+  bool may_have_ended = false;  // whether the job may have ended before an earlier loss of records
   // At the home shard: tasks that are not known to be done, by the shard to which they were delegated.
   std::map<int, RangeSet> delegated;
 };
 
-// All that the owner of a shard knows of it.
+// Everything that the owner of a shard knows about it.
 struct ShardMemory {
   int shard = 0;
-  std::uint64_t fencing_token = 0;   // the owner's fencing token
-  bool loaded = false;               // the owner knew all its records; otherwise the rest is empty
-  double lease_left_s = 0;           // of the owner's lease; below 0: it ended so long ago
-  double worker_renewal_left_s = 0;  // so long the owner may go on renewing the leases of its workers
+  std::uint64_t fencing_token = 0;  // of the owner
+  bool loaded = false;  // whether the owner had loaded all its records; if not, the fields below are empty
+  double lease_left_s = 0;           // until the owner's lease ends; negative if it has ended
+  double worker_renewal_left_s = 0;  // until the owner must stop renewing the leases of its workers
   std::vector<JobMemory> jobs;
-  std::vector<std::string> without_description;   // jobs that are held whole since records were lost before
-  std::map<std::string, MachineRecord> machines;  // by name, with what is placed there
+  std::vector<std::string> without_description;   // jobs held entirely since an earlier loss of records
+  std::map<std::string, MachineRecord> machines;  // by name, with their placements
 };
 
-// All that one controller knows.
+// Everything that one controller knows.
 struct NodeMemory {
-  int shard_count = 0;  // in the cluster; 0: not known
+  int shard_count = 0;  // in the cluster; 0 if not known
   std::vector<ShardMemory> owned;
-  std::vector<JobRecord> accepted;             // a short while ago; their shard's owner may not know of them
+  std::vector<JobRecord> accepted;  // accepted recently; the owner of the shard may not know of them
   std::map<std::string, JobStatus> terminals;  // by job
 };
 
--- a/src/coordination/node/peer_heartbeats.cpp
+++ b/src/coordination/node/peer_heartbeats.cpp
@@ -8,8 +8,8 @@
 namespace {
 constexpr double kIntervalSeconds = 2.0;
 constexpr double kTimeoutSeconds = 1.0;
-constexpr double kMaxClockDriftFraction =
-    0.001;  // between two steady clocks, as a share: twice what the protocol allows
+// The relative drift of two steady clocks: twice what the protocol allows.
+constexpr double kMaxClockDriftFraction = 0.001;
 }  // namespace
 
 void PeerHeartbeats::start() {
@@ -23,7 +23,7 @@
 
 void PeerHeartbeats::send() {
   const auto round = std::make_shared<Round>(Round{ctx_.env->now(), 0});
-  // Without other nodes there is nobody who could replace this one.
+  // Without other nodes, no node can replace this one.
   if (ctx_.settings->members.empty()) ctx_.ownership->confirm_not_replaced(round->sent_at);
   PeerHeartbeat heartbeat;
   heartbeat.node = ctx_.settings->node;
@@ -37,9 +37,9 @@
   }
 }
 
-// Had a node heard something from the state service after the end of this node's lease, it could know of a
-// new owner, or be one. Only all nodes together are evidence that nobody has replaced this node, in one round
-// of heartbeats and for the moment at which that round was sent.
+// A node that received an answer from the state service after the end of this node's lease could know a new
+// owner, or be one. Only the replies of all nodes together prove that no node has replaced this one. They
+// must belong to one round of heartbeats, and they prove it for the time at which that round was sent.
 void PeerHeartbeats::on_reply(Round& round, const HttpReply& reply) {
   if (reply.status != 200) return;
   const auto answer = PeerHeartbeatReply::from_json(parse_json(reply.body));
--- a/src/coordination/node/peer_heartbeats.hpp
+++ b/src/coordination/node/peer_heartbeats.hpp
@@ -1,8 +1,9 @@
 // Heartbeats between controllers.
 //
-// A node that owns shards tells all others which, so that an owner which the state service cannot reach hears
-// that it was deposed. The replies serve its own lease: each says for how long that node has heard nothing
-// from the state service, and all of them together can show that nobody has replaced this node yet.
+// A node that owns shards reports them to all other nodes, so that an owner that the state service cannot
+// reach learns that it was deposed. The replies support the lease of the sender: each reports how long that
+// node has received no answer from the state service, and all of them together can show that no other node
+// has replaced the sender yet.
 #pragma once
 
 #include <functional>
@@ -25,24 +26,24 @@
     const StateClient* state = nullptr;
     Ownership* ownership = nullptr;
     ReportRelay* relay = nullptr;
-    StateMonitor* monitor = nullptr;  // may be null: nobody watches for lost state
+    StateMonitor* monitor = nullptr;  // null if this node does not monitor for lost state
     std::function<std::vector<OwnedShard>()> owned_shards;
   };
   explicit PeerHeartbeats(Context context) : ctx_(std::move(context)) {}
 
-  // Sends heartbeats from now on, the first after one interval.
+  // Starts sending heartbeats, the first after one interval.
   void start();
-  // Sends one now, besides those at intervals; nothing where this node owns no shard.
+  // Sends a heartbeat now, in addition to those at intervals, unless this node owns no shard.
   void send();
-  // Another node's heartbeat.
+  // Handles the heartbeat of another node.
   void on_heartbeat(const HttpRequest& request, const Responder& responder);
 
  private:
   // One heartbeat to all members, and what their replies have shown so far.
   struct Round {
-    double sent_at = 0;  // by the clock of this node
-    std::size_t nodes_without_contact =
-        0;  // which have heard nothing since before the end of this node's lease
+    double sent_at = 0;  // by this node's clock
+    // Members that have received no answer from the state service since the end of this node's lease.
+    std::size_t nodes_without_contact = 0;
   };
   void send_at_intervals();
   void on_reply(Round& round, const HttpReply& reply);
--- a/src/coordination/node/peer_messages.hpp
+++ b/src/coordination/node/peer_messages.hpp
@@ -1,5 +1,6 @@
-// Messages between controllers that concern a whole node or carry a request to one shard's leader. The bodies
-// of requests to leaders are defined by those who send them (coordination/shard, coordination/fleet).
+// Messages between controllers that concern a whole node or that carry a request to the leader of one shard.
+// The bodies of requests to leaders are defined by the modules that send them (coordination/shard and
+// coordination/fleet).
 #pragma once
 
 #include <cstdint>
@@ -11,12 +12,13 @@
 
 namespace mothslip {
 
-// Paths of the peer address. All of them are POST.
+// Paths that controllers call at the peer address, all with POST.
 namespace peer_paths {
-inline constexpr const char* kPrefix = "/peer/";  // of everything else: a PeerRequest to a shard's leader
-inline constexpr const char* kHeartbeat = "/peer/beat";       // PeerHeartbeat
-inline constexpr const char* kRelayedReport = "/peer/hello";  // a worker's report, as the worker sent it
-inline constexpr const char* kSummary = "/peer/summary";      // PeerRequest with a ShardSummary, to the fleet
+inline constexpr const char* kPrefix = "/peer/";              // other paths carry a PeerRequest to a leader
+inline constexpr const char* kHeartbeat = "/peer/beat";       // body: PeerHeartbeat
+inline constexpr const char* kRelayedReport = "/peer/hello";  // body: the report of a worker, unchanged
+// Body: PeerRequest with a ShardSummary, to the fleet.
+inline constexpr const char* kSummary = "/peer/summary";
 }  // namespace peer_paths
 
 // A shard that the sender of a heartbeat owns.
@@ -25,20 +27,22 @@
   std::uint64_t fencing_token = 0;
 };
 
-// What an owner of shards tells every other controller at regular intervals.
+// The message that each owner of shards sends to all other controllers at regular intervals.
 struct PeerHeartbeat {
   std::string node;
   std::vector<OwnedShard> owned;
-  // The newest revision of the state service that the sender knows of; only where lost state is watched for.
+  // The newest revision of the state service that the sender knows. Sent only if the sender monitors for lost
+  // state.
   std::optional<std::uint64_t> revision;
 
   [[nodiscard]] Json to_json() const;
-  // Nothing where the body has no list of owned shards. Other fields that are missing keep their defaults.
+  // Returns nothing if the body has no list of owned shards. Other fields that are missing keep their
+  // defaults.
   static std::optional<PeerHeartbeat> from_json(const Json& body);
 };
 
 struct PeerHeartbeatReply {
-  // Seconds since the answering controller last heard anything from the state service
+  // The time since the answering controller last received an answer from the state service
   // (StateClient::silent_s).
   double silent_s = 0;
 
@@ -46,13 +50,13 @@
   static std::optional<PeerHeartbeatReply> from_json(const Json& body);
 };
 
-// The envelope of a request to the leader of a shard (or, for kSummary, to the fleet).
+// The envelope of a request to the leader of a shard or, for kSummary, to the fleet.
 struct PeerRequest {
   int shard = -1;
   Json body;
 
   [[nodiscard]] Json to_json() const;
-  // Nothing where there is no body.
+  // Returns nothing if the message has no body.
   static std::optional<PeerRequest> from_json(const Json& message);
 };
 
--- a/src/coordination/node/report_relay.cpp
+++ b/src/coordination/node/report_relay.cpp
@@ -3,24 +3,25 @@
 namespace mothslip {
 
 namespace {
-// All in seconds.
 
-// Relaying costs two nodes work: after this long the worker is sent to the owner again, to find out whether
-// it can be reached by now. A worker that fails there is back within a time-out and a second.
+// Relaying costs work on two nodes. After this time, the worker is redirected to the owner again, which shows
+// whether it can reach the owner by now. A worker that cannot reach it returns after a time-out plus one
+// second.
 constexpr double kRelayPeriodSeconds = 25.0;
-// Redirected workers go to the owner within half a second; one that is back here later failed there.
+// Redirected workers report to the owner within half a second. A worker that returns to this node later than
+// that has failed to reach the owner.
 constexpr double kMinReturnSeconds = 0.7;
 constexpr double kMaxReturnSeconds = 15.0;
-// A worker knows a new owner's token before it has reached that owner, by a direct command. After this long
-// a worker that knows the token has been served by the owner.
+// A direct command can give a worker the token of a new owner before the worker has reached that owner. After
+// this time, a worker that has the token has been served by the owner.
 constexpr double kTokenSettleSeconds = 10.0;
-// Owners send a heartbeat every 2 s. A worker is here 5 s after it lost the owner: if this node lost the
-// owner at the same time, it knows by then.
+// Owners send a heartbeat every 2 s. A worker reports to this node 5 s after it lost contact with the owner.
+// If this node lost contact at the same time, the time-out has passed by then.
 constexpr double kHeartbeatTimeoutSeconds = 4.5;
-// A worker that stays with this node reports at least this often.
+// A worker that reports to this node regularly does so at least this often.
 constexpr double kMaxReportIntervalSeconds = 8.0;
-constexpr double kMachineRetentionSeconds = 120.0;  // without a visit, a worker's machine
-constexpr double kEvictionIntervalSeconds = 30.0;   // between two looks for machines to forget
+constexpr double kMachineRetentionSeconds = 120.0;  // for a machine without reports
+constexpr double kEvictionIntervalSeconds = 30.0;
 }  // namespace
 
 ReportRelay::Route ReportRelay::route(const ReportInfo& report, double now) {
@@ -32,7 +33,8 @@
   machine.owner_token = report.owner_token;
   machine.last_report_at = now;
 
-  // Relayed until now: it is redirected once, to see whether it reaches the owner again.
+  // A worker whose reports were relayed until now is redirected once, to see whether it reaches the owner
+  // again.
   const bool relayed_until_now = reported_recently && machine.last_redirect_at < machine.relay_until;
   if (now >= machine.relay_until && !relayed_until_now) {
     const double since_redirect_s = now - machine.last_redirect_at;
--- a/src/coordination/node/request_router.cpp
+++ b/src/coordination/node/request_router.cpp
@@ -16,7 +16,7 @@
          text.compare(text.size() - suffix.size(), suffix.size(), suffix) == 0;
 }
 
-// Whether the request has the method that its path demands; if not, it is answered.
+// Returns true if the request has the method that its path requires. If not, answers the request.
 bool check_method(const HttpRequest& request, std::string_view method, const Responder& responder) {
   if (request.method == method) return true;
   responder.send(405, R"({"error":"method"})");
--- a/src/coordination/node/request_router.hpp
+++ b/src/coordination/node/request_router.hpp
@@ -1,5 +1,5 @@
-// Which module answers a request, by path and method: of users and workers at the client address, and of
-// other controllers at the peer address.
+// Selects the module that answers a request, by path and method. Requests of users and workers arrive at the
+// client address, those of other controllers at the peer address.
 #pragma once
 
 #include <functional>
@@ -14,17 +14,17 @@
 
 namespace mothslip {
 
-// What a path under /v2/runs names.
+// The parsed form of a path under /v2/runs.
 struct JobsPath {
   enum class Kind {
-    kAll,     // /v2/runs: where jobs are submitted
+    kAll,     // /v2/runs, to which jobs are submitted
     kJob,     // /v2/runs/REF
     kCancel,  // /v2/runs/REF/cancel
   };
   Kind kind = Kind::kAll;
-  std::string ref;  // not checked (is_valid_ref); empty for kAll
+  std::string ref;  // not validated (is_valid_ref); empty for kAll
 };
-// Nothing where it is no such path.
+// Returns nothing if the path is not one of these.
 [[nodiscard]] std::optional<JobsPath> parse_jobs_path(const std::string& path);
 
 class RequestRouter {
@@ -34,7 +34,7 @@
     WorkerReports* reports = nullptr;
     PeerHeartbeats* heartbeats = nullptr;
     ShardRouter* shards = nullptr;
-    std::function<bool()> is_ready;  // the node can work; asked at GET /ready
+    std::function<bool()> is_ready;  // the answer to GET /ready
   };
   explicit RequestRouter(Context context) : ctx_(std::move(context)) {}
 
@@ -42,7 +42,7 @@
   void on_peer_request(const HttpRequest& request, const Responder& responder);
 
  private:
-  // `forwarded`: by another node, so it is not forwarded again.
+  // `forwarded`: whether another node forwarded the request. If so, it is not forwarded again.
   void on_user_request(const HttpRequest& request, bool forwarded, const Responder& responder);
 
   Context ctx_;
--- a/src/coordination/node/revision_probe.cpp
+++ b/src/coordination/node/revision_probe.cpp
@@ -12,15 +12,17 @@
   if (monitor_ != nullptr) env_.after(kIntervalSeconds, [this] { read_at_intervals(); });
 }
 
-// Other calls tell the revision only now and then; one that falls has to be noticed before others raise it
-// again. (The state client passes the answer's revision on to the monitor.)
+// Other calls return the revision only occasionally. A decrease must be detected before other writes raise
+// the revision again. The state client passes the revision of the answer on to the monitor, so the callback
+// is empty.
 void RevisionProbe::read_at_intervals() {
   state_.get(RequestPriority::kLease, keys::kRevisionProbe, [](const StateReply&) {});
   env_.after(kIntervalSeconds, [this] { read_at_intervals(); });
 }
 
-// Fencing tokens and attempt numbers come from revisions: what a worker shows is no newer than the service,
-// which is asked now. (The answer itself goes to the monitor too, which does not know of what was shown.)
+// Fencing tokens and attempt numbers are revisions, so a reported one cannot exceed the current revision of
+// the state service, which is read here. The monitor also receives the answer from the state client, but
+// without the reported revision.
 void RevisionProbe::check_reported(std::uint64_t revision) {
   if (monitor_ == nullptr || revision <= monitor_->newest_revision() || is_checking_) return;
   is_checking_ = true;
--- a/src/coordination/node/revision_probe.hpp
+++ b/src/coordination/node/revision_probe.hpp
@@ -1,5 +1,5 @@
-// Reads of the state service's revision for whoever watches for lost state (StateMonitor). Without a monitor
-// nothing is read.
+// Reads the revision of the state service for the StateMonitor, which detects lost state. Reads nothing if
+// there is no monitor.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +10,14 @@
 
 class RevisionProbe {
  public:
-  // `monitor` may be null; it and the references must outlive the probe.
+  // `monitor` may be null. The monitor and the references must outlive this object.
   RevisionProbe(Env& env, StateClient& state, StateMonitor* monitor)
       : env_(env), state_(state), monitor_(monitor) {}
 
-  // Reads the revision at intervals from now on, the first time after one interval.
+  // Starts reading the revision at intervals, the first time after one interval.
   void start();
-  // A worker has shown this revision, in a fencing token or an attempt number. One that is newer than any
-  // known is checked against the service.
+  // Checks a revision that a worker has reported, in a fencing token or an attempt number. A revision newer
+  // than any known one is compared with that of the state service.
   void check_reported(std::uint64_t revision);
 
  private:
@@ -26,7 +26,7 @@
   Env& env_;
   StateClient& state_;
   StateMonitor* monitor_;
-  bool is_checking_ = false;  // a read for `check_reported` is under way
+  bool is_checking_ = false;  // a read for `check_reported` is in progress
 };
 
 }  // namespace mothslip
--- a/src/coordination/node/shard_router.cpp
+++ b/src/coordination/node/shard_router.cpp
@@ -9,8 +9,8 @@
 namespace {
 constexpr double kSummaryIntervalSeconds = 1.0;
 constexpr double kTimeoutSeconds = 1.0;
-constexpr double kNoOwnerReplyDelaySeconds =
-    kTimeoutSeconds / 2;  // until a leader that nobody knows counts as away
+// The delay before a request is answered with null because no owner is known.
+constexpr double kNoOwnerReplyDelaySeconds = kTimeoutSeconds / 2;
 }  // namespace
 
 void ShardRouter::start() {
@@ -74,7 +74,7 @@
   env_.call({address, "POST", peer_paths::kSummary, dump_json(message.to_json()), kTimeoutSeconds},
             [this, shard, fencing_token = leader.fencing_token()](const HttpReply& reply) {
               if (reply.status != 200) return;
-              // Another leader may own the shard by now, or nobody here.
+              // Another leader may own the shard by now, or no leader on this node.
               ShardLeader* found = shards_.find(shard);
               if (found == nullptr || found->fencing_token() != fencing_token) return;
               found->apply(FleetOrders::from_json(parse_json(reply.body)));
--- a/src/coordination/node/shard_router.hpp
+++ b/src/coordination/node/shard_router.hpp
@@ -1,5 +1,5 @@
-// Requests between the leaders of shards, and from each leader to the fleet manager, whichever nodes they are
-// on. A leader on this node is called directly, one on another node through that node's peer address.
+// Sends requests between the leaders of shards and from each leader to the fleet manager, on any node. A
+// leader on this node is called directly, a leader on another node through the peer address of that node.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,19 @@
 
 class ShardRouter {
  public:
-  // All references must outlive the router.
+  // All references must outlive this object.
   ShardRouter(Env& env, const Settings& settings, const Ownership& ownership, const LocalShards& shards)
       : env_(env), settings_(settings), ownership_(ownership), shards_(shards) {}
 
-  // From now on the leaders of this node send their summaries to the fleet manager, and apply what it orders.
+  // Starts sending the summaries of this node's leaders to the fleet manager and applying its orders to the
+  // leaders.
   void start();
 
-  // Asks the leader of the shard. `answer` is called exactly once, never from within this call; with null
-  // where the leader cannot be reached.
+  // Sends a request to the leader of the shard. `answer` is called exactly once, never from within this call.
+  // Its argument is null if the leader cannot be reached.
   void call_leader(int shard, const std::string& path, const Json& body, std::function<void(Json)> answer);
 
-  // Another node's request to a leader or the fleet manager of this one.
+  // Handles another node's request to a leader or the fleet manager on this node.
   void on_request(const HttpRequest& request, const Responder& responder);
 
  private:
--- a/src/coordination/node/user_api.cpp
+++ b/src/coordination/node/user_api.cpp
@@ -10,17 +10,19 @@
 namespace mothslip {
 
 namespace {
-constexpr double kPollForwardTimeoutSeconds =
-    0.8;  // for the owner's answer to a poll; then the state is read
-constexpr double kCancelForwardTimeoutSeconds = 2.5;  // for the owner's answer to a cancellation
-constexpr double kMaxJobRecordFraction = 0.9;         // of the value size: a cancellation adds to the record
+// The time that the owner has to answer a poll. After that, the state service is read.
+constexpr double kPollForwardTimeoutSeconds = 0.8;
+// The time that the owner has to answer a cancellation.
+constexpr double kCancelForwardTimeoutSeconds = 2.5;
+// The fraction of the maximum value size that a new job record may fill. A cancellation adds to the record.
+constexpr double kMaxJobRecordFraction = 0.9;
 constexpr double kMaxAcceptWaitSeconds = 0.8;
-// Users wait this long for the state of a job. What is learned later is of no use to them.
+// The time that users wait for the status of a job. A later result is of no use to them.
 constexpr double kPollReadTimeoutSeconds = 2.0;
-// A job's owner hears of it within a few seconds, or is replaced by one that reads the record.
+// Within a few seconds, the owner of a job learns of it or is replaced by an owner that reads the job record.
 constexpr double kAcceptedRetentionSeconds = 60.0;
 
-// What Retry-After says, in seconds.
+// Values of the Retry-After header.
 constexpr int kRetryAfterSeconds = 1;
 constexpr int kBusyRetryAfterSeconds = 2;
 constexpr int kInvalidRecordRetryAfterSeconds = 5;
@@ -49,13 +51,13 @@
   }
 }
 
-// The `ref` of a submission that is no valid job; empty where it names none.
+// Returns the `ref` of a submission that is not a valid job; empty if it has none.
 std::string job_ref_of(const Json& submission) {
   const auto ref = submission.find("ref");
   return ref != submission.end() && ref->is_string() ? ref->get<std::string>() : "";
 }
 
-// The submission was refused for nothing but that the job is unaccounted.
+// Returns true if the only failed guard of the submission is the one that the job is not unaccounted.
 bool conflicts_only_on_unaccounted(const StateReply& reply, int shard, const std::string& ref) {
   return reply.body.is_object() &&
          reply.body.value("failed", Json()) == Json::array({keys::unaccounted(shard, ref)});
@@ -88,10 +90,11 @@
 
 // ---------------------------------------------------------------- submissions
 
-// A known job is answered with its state whatever the repeat's body says; only then is a refusal right.
+// If the job is known, a repeated submission is answered with its status, even if the repeated body is
+// invalid. The submission is refused only if the job is unknown.
 void UserApi::refuse(const std::string& ref, int status, const std::string& why, const Responder& responder) {
   const std::string body = dump_json({{"error", why}});
-  spdlog::info("submission of {} refused with {}: {}", ref, status, why);
+  spdlog::info("job {}: submission refused with status {}: {}", ref, status, why);
   if (!is_valid_ref(ref)) {
     responder.send(status, body);
     return;
@@ -134,7 +137,7 @@
     send_starting(responder);
     return;
   }
-  // A repeat of one that is known here needs no write.
+  // A repeated submission of a job that is known here needs no write.
   const auto found = statuses_.from_memory(spec.ref);
   if (found && found->kind != JobFinding::Kind::kUnknownJob) {
     poll(spec.ref, true, responder);
@@ -159,8 +162,8 @@
   }
 }
 
-// Nodes of an earlier version can't run gangs. While one is known to live, none is accepted; but once one has
-// been, wherever, that does not hold the others up.
+// Nodes of an earlier version cannot run gangs. No gang is accepted while such a node is known to be alive.
+// Once any node has accepted a gang, a live node of an earlier version no longer blocks further gangs.
 void UserApi::accept_gang(const JobSpec& spec, const Responder& responder) {
   if (gang_was_accepted_ || !ctx_.ownership->has_live_node_without_gangs()) return accept(spec, responder);
   ctx_.state->get(RequestPriority::kAccept, keys::kGangs, [this, spec, responder](const StateReply& reply) {
@@ -183,14 +186,14 @@
   JobRecord record;
   record.spec = spec;
   record.submitted_at = ctx_.env->wall_time();
-  // A long list of machine types, most of them unknown here, must not keep the job from being recorded.
+  // A long list of machine types, most of them unknown here, must not prevent the job from being recorded.
   const auto bytes = static_cast<double>(dump_json(record.to_json()).size());
   const double max_bytes = kMaxJobRecordFraction * ctx_.settings->value_kb * 1024;
   if (bytes > max_bytes) remove_unknown_machine_types(record.spec, *ctx_.types);
   return record;
 }
 
-// The job's record, on the condition that the job is new.
+// Returns the writes that create the job record, on the condition that the job is new.
 Transaction UserApi::acceptance_writes(const Acceptance& acceptance) const {
   const JobSpec& spec = acceptance.record.spec;
   const int shard = acceptance.shard;
@@ -218,10 +221,11 @@
   } else if (reply.outcome == Outcome::kConflict) {
     poll(ref, false, responder);
   } else if (reply.outcome == Outcome::kInvalid) {
-    spdlog::error("{}: the state service calls the record invalid: {}", ref, dump_json(reply.body));
+    spdlog::error("job {}: not accepted because the state service rejected its record as invalid: {}", ref,
+                  dump_json(reply.body));
     responder.send(503, R"({"error":"not recorded"})", kInvalidRecordRetryAfterSeconds);
   } else {
-    // Not recorded, or not known to be: a repeat finds out.
+    // Whether the job was recorded is unknown, or it was not. A repeated submission finds out.
     send_finding(ref, {}, responder);
   }
 }
@@ -229,7 +233,7 @@
 void UserApi::on_accepted(const Acceptance& acceptance, std::uint64_t revision) {
   const JobRecord& record = acceptance.record;
   const std::string& ref = record.spec.ref;
-  spdlog::info("{} accepted", ref);
+  spdlog::info("job {}: submission accepted, job record written", ref);
   gang_was_accepted_ |= record.spec.is_gang;
   remember_accepted(record);
   if (ShardLeader* leader = ctx_.find_active_shard(acceptance.shard); leader != nullptr)
@@ -346,7 +350,8 @@
     } else if (found.kind == JobFinding::Kind::kUnknownJob) {
       send_unknown_job(responder);
     } else {
-      responder.send(503, R"({"error":"not yet"})", kRetryAfterSeconds);  // accepted elsewhere a moment ago
+      // Another node accepted the job a moment ago.
+      responder.send(503, R"({"error":"not yet"})", kRetryAfterSeconds);
     }
   });
 }
--- a/src/coordination/node/user_api.hpp
+++ b/src/coordination/node/user_api.hpp
@@ -1,7 +1,7 @@
-// The users' interface on every node: submissions, polls and cancellations.
+// The interface for users, on every node: submissions, polls and cancellations.
 //
-// Any node accepts a job by creating its job record. Polls and cancellations belong to the owner of the
-// job's shard and are forwarded to it. What may be told about a job is for JobStatusService to say.
+// Any node accepts a job by creating its job record. Polls and cancellations are forwarded to the owner of
+// the job's shard. JobStatusService decides which status of a job may be reported.
 #pragma once
 
 #include <deque>
@@ -25,39 +25,42 @@
     const Settings* settings = nullptr;
     const MachineTypes* types = nullptr;
     const Ownership* ownership = nullptr;
-    // The leader of the shard, where this node owns it and it knows its records; null otherwise.
+    // Returns the leader of the shard if this node owns the shard and the leader has loaded its records; null
+    // otherwise.
     std::function<ShardLeader*(int shard)> find_active_shard;
-    bool supports_gangs = true;        // gangs are accepted, once all controllers can run them
-    std::function<bool()> may_decide;  // false: nothing is told yet but what is final
+    bool supports_gangs = true;        // whether gangs are accepted, once all controllers can run them
+    std::function<bool()> may_decide;  // if false, only terminal states are reported
   };
   explicit UserApi(Context context);
 
-  // POST /v2/runs. Answers 201 when the job is recorded, its status when it is known already, 400 or 422 when
-  // it can reason run, 429 or 503 when the user is to come back.
+  // POST /v2/runs. Answers 201 when the job is recorded, its status if the job is known already, 400 or 422
+  // if it can never run, and 429 or 503 if the user should retry.
   void submit(const std::string& body, const Responder& responder);
-  // GET /v2/runs/REF. `forwarded`: by another node, so it is not forwarded again.
+  // GET /v2/runs/REF. `forwarded`: whether another node forwarded the request. If so, it is not forwarded
+  // again.
   void poll(const std::string& ref, bool forwarded, const Responder& responder);
-  // POST /v2/runs/REF/cancel; `forwarded` as above.
+  // POST /v2/runs/REF/cancel. `forwarded`: as for `poll`.
   void cancel(const std::string& ref, bool forwarded, const Responder& responder);
-  // A terminal state that has become durable here.
+  // Caches a terminal state that has become durable on this node.
   void cache_terminal(const std::string& ref, const JobStatus& status) {
     statuses_.cache_terminal(ref, status);
   }
 
-  // Adds what only this module knows: terminal states, and jobs accepted a short while ago.
+  // Adds to `memory` what only this module knows: terminal states and recently accepted jobs.
   void add_to(NodeMemory& memory) const;
 
  private:
-  // An acceptance under way: what is written, and for whom.
+  // An acceptance in progress.
   struct Acceptance {
     JobRecord record;
     int shard = 0;
-    // The job may have run before records were lost. Its description is kept, and nothing told.
+    // Whether the job may have run before records were lost. If so, its description is recorded, and the user
+    // is not told that it was accepted.
     bool is_unaccounted = false;
     Responder responder;
   };
   struct Accepted {
-    double accepted_at = 0;  // by the clock of this node
+    double accepted_at = 0;  // by this node's clock
     JobRecord record;
   };
 
@@ -72,11 +75,11 @@
   void remember_accepted(const JobRecord& record);
 
   void poll_owner(const std::string& address, const std::string& ref, const Responder& responder);
-  // `open_status`: what is told of a job that has not ended.
+  // `open_status`: the status to report if the job has not ended.
   void poll_state(const std::string& ref, const JobStatus& open_status, const Responder& responder);
   void cancel_unknown_job(const std::string& ref, const Responder& responder);
   void cancel_at_owner(const std::string& address, const std::string& ref, const Responder& responder);
-  // Another node's answer, passed on: a terminal state in it is remembered.
+  // Forwards another node's answer to the user, and caches a terminal state that it contains.
   void forward_reply(const std::string& ref, const std::string& body, const Responder& responder);
 
   [[nodiscard]] bool are_shards_known() const { return ctx_.ownership->shard_count() > 0; }
@@ -84,15 +87,17 @@
   [[nodiscard]] int home_shard(const std::string& ref) const {
     return shard_of(ref, ctx_.ownership->shard_count());
   }
-  // The peer address of the owner of the job's shard; empty where none is known, or it is this node.
+  // Returns the peer address of the owner of the job's shard; empty if no owner is known or this node is the
+  // owner.
   [[nodiscard]] std::string owner_address(const std::string& ref) const;
-  // What the leader of the job's shard says, where that is this node's and nobody else can own it.
+  // Returns what the leader of the job's shard knows, if this node owns the shard and no other node can own
+  // it; nothing otherwise.
   [[nodiscard]] std::optional<JobFinding> ask_owned_shard(const std::string& ref) const;
 
   Context ctx_;
-  bool gang_was_accepted_ = false;  // one has been, by whichever node
+  bool gang_was_accepted_ = false;  // whether any node has accepted a gang
   JobStatusService statuses_;
-  std::deque<Accepted> accepted_;  // the latest, oldest first; kept where lost state is watched for
+  std::deque<Accepted> accepted_;  // recently accepted jobs, oldest first; empty without recovery
 };
 
 }  // namespace mothslip
--- a/src/coordination/node/worker_reports.cpp
+++ b/src/coordination/node/worker_reports.cpp
@@ -8,9 +8,9 @@
 namespace mothslip {
 
 namespace {
-constexpr double kRelayTimeoutSeconds = 2.5;  // workers wait 4 s
+constexpr double kRelayTimeoutSeconds = 2.5;  // less than the 4 s that workers wait for an answer
 
-// Tells the worker to report to this node from now on.
+// Redirects the worker to this node.
 void redirect(const std::string& node, const Responder& responder) {
   responder.send(421, dump_json({{"parent", node}}));
 }
@@ -59,16 +59,16 @@
   }
 }
 
-// The owner's answer is passed on as it is: the worker goes by its fencing token, not by the name of the node
-// that it came from. (Workers drop answers after 4 s; a launch that is lost on the way is sent again, as when
-// any answer is lost.)
+// The owner's answer is forwarded unchanged: the worker checks its fencing token, not the name of the node
+// that delivered it. Workers drop answers after 4 s. A launch in a lost answer is sent again, as after any
+// lost answer.
 void WorkerReports::relay_report(const std::string& owner, const HttpRequest& request,
                                  const Responder& responder) {
   const double asked_at = ctx_.env->now();
   ctx_.env->call({ctx_.settings->member_address(owner), "POST", peer_paths::kRelayedReport, request.body,
                   kRelayTimeoutSeconds},
                  [this, owner, asked_at, responder](const HttpReply& reply) {
-                   // (A process that stood still may find an answer here that the owner gave long ago.)
+                   // A process that was suspended may receive an answer that the owner sent long ago.
                    const bool is_late = ctx_.env->now() - asked_at > kRelayTimeoutSeconds;
                    if (reply.unanswered() || is_late) {
                      ctx_.relay->on_relay_failed(owner);
--- a/src/coordination/node/worker_reports.hpp
+++ b/src/coordination/node/worker_reports.hpp
@@ -1,5 +1,5 @@
-// Workers' reports, as they reach this node: the shard's leader answers those of shards that are owned here;
-// others are redirected or relayed to the owner (ReportRelay decides which).
+// Handles the reports of workers. The leader answers reports for shards that this node owns. Workers of other
+// shards are redirected to the owner, or their reports are relayed to it (ReportRelay decides which).
 #pragma once
 
 #include <string>
@@ -24,7 +24,8 @@
   };
   explicit WorkerReports(Context context) : ctx_(context) {}
 
-  // `relayed`: another node received it. Such a report is answered at once, or not at all.
+  // `relayed`: whether another node received the report and relayed it here. The leader answers a relayed
+  // report at once instead of holding it, and it is not relayed again.
   void on_report(const HttpRequest& request, bool relayed, const Responder& responder);
 
  private:
