--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -207,7 +207,7 @@
 void Node::log_counters() {
   const auto& calls = state_.counters();
   spdlog::info(
-      "state service: {} calls sent, {} writes among them, {} requests refused by this node, {} calls "
+      "state service: {} calls sent with {} write operations, {} requests refused by this node, {} calls "
       "answered with 429, {} unanswered",
       calls.calls, calls.writes, calls.refused_locally, calls.too_many_requests, calls.unanswered);
   for (const auto& [index, leader] : shards_.leaders()) {
