--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -214,10 +214,9 @@
     const auto& counters = leader->counters();
     spdlog::info(
         "shard {}: worker reports {}, launches {}, image fetches {}, relaunches {}, tasks completed {}, "
-        "tasks "
-        "delegated {}, tasks received {}, tasks returned {}, errors {}, preemptions {}, placements freed by "
-        "lease expiry {}, by a new worker incarnation {}, by machine removal {}, journal writes {} with {} "
-        "changes, delegations {}, quota transfers {}, jobs ended {}",
+        "tasks delegated {}, tasks received {}, tasks returned {}, errors {}, preemptions {}, placements "
+        "freed by lease expiry {}, by a new worker incarnation {}, by machine removal {}, journal writes "
+        "{} with {} changes, delegations {}, quota transfers {}, jobs ended {}",
         index, counters.reports, counters.launches, counters.image_fetches, counters.relaunches,
         counters.completions, counters.tasks_delegated, counters.tasks_received, counters.tasks_returned,
         counters.errors, counters.preempted, counters.freed_by_lease, counters.freed_by_incarnation,
