--- a/src/coordination/node/job_status.cpp
+++ b/src/coordination/node/job_status.cpp
@@ -9,24 +9,26 @@
 namespace mothslip {
 
 namespace {
-constexpr std::size_t kMostTerminal = 5000;  // terminal states that are remembered
-constexpr std::size_t kMostWaiting = 64;     // for one read; others are asked to come back
+constexpr std::size_t kMaxCachedTerminals = 5000;
+constexpr std::size_t kMaxWaitersPerRead = 64;  // further callers are asked to retry
 
 JobFinding finding(JobFinding::Kind kind) { return {kind, {}}; }
 
 JobFinding status_finding(const JobStatus& status) { return {JobFinding::Kind::kStatus, status}; }
 
-// What a job record in the state service tells of the job's status. (Its description is not needed here.)
+// Returns what a job record in the state service shows about the status of the job. The job's description is
+// not needed here.
 JobFinding finding_of_job_record(const Json& record) {
   const bool cancelled = record.value("phase", "") == wire_name(JobPhase::kCancelled);
   if (!cancelled) return status_finding({});
-  // Where tasks were delegated, only the owner knows whether all delegates have heard of the cancellation.
+  // If tasks were delegated, only the owner knows whether all shards that hold them have received the
+  // cancellation.
   const bool delegated = record.value("spread", false);
   if (delegated) return finding(JobFinding::Kind::kUndecided);
   return status_finding({JobPhase::kCancelled, 0, 0});
 }
 
-// What a job's ending in the state service tells (ending_json).
+// Returns what the ending of a job in the state service (ending_json) shows.
 JobFinding finding_of_ending(const Json& ending) {
   if (!ending.is_object()) return finding(JobFinding::Kind::kUndecided);
   const auto status = terminal_status(ending.value("phase", ""), ending.value("pieces", 0));
@@ -71,25 +73,25 @@
   return dump_json({{"ref", ref}, {"phase", wire_name(phase)}, {"done", done}, {"running", running}});
 }
 
-void JobStatusService::remember(NodeMemory& memory) const {
-  for (const auto& [ref, status] : terminal_) memory.terminals.emplace(ref, status);
+void JobStatusService::add_to(NodeMemory& memory) const {
+  for (const auto& [ref, status] : cached_terminals_) memory.terminals.emplace(ref, status);
 }
 
-void JobStatusService::note_terminal(const std::string& ref, const JobStatus& status) {
-  if (!terminal_.emplace(ref, status).second) return;
-  terminal_age_.push_back(ref);
-  if (terminal_age_.size() <= kMostTerminal) return;
-  terminal_.erase(terminal_age_.front());
-  terminal_age_.pop_front();
+void JobStatusService::cache_terminal(const std::string& ref, const JobStatus& status) {
+  if (!cached_terminals_.emplace(ref, status).second) return;
+  cached_terminals_by_age_.push_back(ref);
+  if (cached_terminals_by_age_.size() <= kMaxCachedTerminals) return;
+  cached_terminals_.erase(cached_terminals_by_age_.front());
+  cached_terminals_by_age_.pop_front();
 }
 
-const JobStatus* JobStatusService::terminal(const std::string& ref) const {
-  const auto it = terminal_.find(ref);
-  return it == terminal_.end() ? nullptr : &it->second;
+const JobStatus* JobStatusService::cached_terminal(const std::string& ref) const {
+  const auto it = cached_terminals_.find(ref);
+  return it == cached_terminals_.end() ? nullptr : &it->second;
 }
 
 std::optional<JobFinding> JobStatusService::from_memory(const std::string& ref) const {
-  if (const JobStatus* status = terminal(ref); status != nullptr) return status_finding(*status);
+  if (const JobStatus* status = cached_terminal(ref); status != nullptr) return status_finding(*status);
   return ctx_.ask_owned_shard(ref);
 }
 
@@ -98,19 +100,19 @@
     handler(finding(JobFinding::Kind::kUndecided));
     return;
   }
-  const auto [it, fresh] = readings_.try_emplace(ref);
-  Reading& reading = it->second;
-  if (reading.waiting.size() >= kMostWaiting) {
+  const auto [it, is_first] = reads_.try_emplace(ref);
+  JobReads& reads = it->second;
+  if (reads.next_handlers.size() >= kMaxWaitersPerRead) {
     handler(finding(JobFinding::Kind::kUndecided));
     return;
   }
-  reading.waiting.push_back(std::move(handler));
-  if (fresh) start_read(ref);
+  reads.next_handlers.push_back(std::move(handler));
+  if (is_first) start_read(ref);
 }
 
 void JobStatusService::start_read(const std::string& ref) {
-  Reading& reading = readings_.at(ref);
-  reading.served = std::exchange(reading.waiting, {});
+  JobReads& reads = reads_.at(ref);
+  reads.current_handlers = std::exchange(reads.next_handlers, {});
   if (ctx_.state->key_space().incarnation().is_first()) {
     read_job_record(ref);
   } else {
@@ -118,9 +120,11 @@
   }
 }
 
-// Records were lost before: what became of the job may not be known, and it may have been told. This is read
-// first: the record goes with what decides about the job, and never comes. (Read after the job record, it was
-// found gone with the ending of a job whose job record had just been read, which was then told to be queued.)
+// Called if records were lost before. The outcome of the job may then be unknown although its ending was
+// reported earlier. The unaccounted record is read before the job record because it is never created later,
+// and is deleted together with the write that decides the job. When it was read after the job record, it
+// could be found deleted by the write of the ending: the job record read before was then reported as queued
+// although the job had ended.
 void JobStatusService::read_unaccounted(const std::string& ref) {
   const std::string key = keys::unaccounted(shard_of(ref, ctx_.shard_count()), ref);
   ctx_.state->get(RequestPriority::kAccept, key,
@@ -137,13 +141,13 @@
   if (!record || record->withholds_status()) {
     finish_read(ref, finding(JobFinding::Kind::kUndecided));
   } else if (record->all_held) {
-    finish_read(ref, status_finding({}));  // (it waits for its description)
+    finish_read(ref, status_finding({}));  // the job waits for its description
   } else {
     read_job_record(ref);
   }
 }
 
-// First the job record, then the ending: a job moves only in that order.
+// Reads the job record before the ending because a job only ever moves in that order.
 void JobStatusService::read_job_record(const std::string& ref) {
   const int shard = shard_of(ref, ctx_.shard_count());
   ctx_.state->get(RequestPriority::kAccept, keys::job_record(shard, ref),
@@ -161,15 +165,15 @@
   }
 }
 
-void JobStatusService::read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t at) {
-  if (at == keys.size()) {
+void JobStatusService::read_ending(const std::string& ref, std::vector<std::string> keys, std::size_t next) {
+  if (next == keys.size()) {
     finish_read(ref, finding(JobFinding::Kind::kUnknownJob));
     return;
   }
-  const std::string key = keys[at];
-  const auto handler = [this, ref, keys = std::move(keys), at](const StateReply& reply) {
+  const std::string key = keys[next];
+  const auto handler = [this, ref, keys = std::move(keys), next](const StateReply& reply) {
     if (reply.outcome == Outcome::kMissing) {
-      read_ending(ref, keys, at + 1);
+      read_ending(ref, keys, next + 1);
     } else {
       const Json ending = reply.ok() ? reply.body.value("data", Json()) : Json();
       finish_read(ref, finding_of_ending(ending));
@@ -179,15 +183,15 @@
 }
 
 void JobStatusService::finish_read(const std::string& ref, const JobFinding& finding) {
-  if (finding.terminal()) note_terminal(ref, finding.status);
-  const auto it = readings_.find(ref);
-  const std::vector<Handler> served = std::exchange(it->second.served, {});
-  if (it->second.waiting.empty()) {
-    readings_.erase(it);
+  if (finding.is_terminal()) cache_terminal(ref, finding.status);
+  const auto it = reads_.find(ref);
+  const std::vector<Handler> current_handlers = std::exchange(it->second.current_handlers, {});
+  if (it->second.next_handlers.empty()) {
+    reads_.erase(it);
   } else {
     start_read(ref);
   }
-  for (const Handler& handler : served) handler(finding);
+  for (const Handler& handler : current_handlers) handler(finding);
 }
 
 }  // namespace mothslip
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -91,7 +91,7 @@
 
 Evidence to_evidence(const NodeMemory& memory) {
   Evidence out;
-  out.shards = memory.shards;
+  out.shards = memory.shard_count;
   for (const JobRecord& job_record : memory.accepted) {
     JobEvidence& job = out.jobs[job_record.spec.ref];
     merge_job_record(job.record, job_record);
@@ -99,8 +99,8 @@
   }
   for (const auto& [ref, status] : memory.terminals) merge_ending(out.jobs[ref].ending, status.phase);
   for (const ShardMemory& shard : memory.owned) {
-    out.highest_revision = std::max(out.highest_revision, shard.token);
-    out.owners[shard.shard] = {shard.token, shard.loaded, shard.lease_left_s > 0, shard.lease_left_s};
+    out.highest_revision = std::max(out.highest_revision, shard.fencing_token);
+    out.owners[shard.shard] = {shard.fencing_token, shard.loaded, shard.lease_left_s > 0, shard.lease_left_s};
     for (const JobMemory& job_memory : shard.jobs) {
       JobEvidence& job = out.jobs[job_memory.record.spec.ref];
       merge_job_record(job.record, job_memory.record);
--- a/src/recovery/rebuilding_mode.cpp
+++ b/src/recovery/rebuilding_mode.cpp
@@ -19,7 +19,7 @@
   out.env = &env_;
   out.settings = &settings;
   out.last = options.last;
-  out.shards = options.memory.shards;
+  out.shards = options.memory.shard_count;
   out.process_started_at = options.process_started_at;
   out.own_evidence = [this] { return own_evidence(); };
   // The handler destroys this object, so a timer calls it, through a copy that the timer owns.
