--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -18,7 +18,7 @@
   int count = 0;
   for (const auto& [name, worker] : world.workers) {
     if (worker->dead || shard_of(name, world.options.nodes) != shard) continue;
-    for (const Task& task : worker->tasks) count += task.ref == ref && worker->on_machine(task) ? 1 : 0;
+    for (const Task& task : worker->tasks) count += task.ref == ref && worker->occupies_machine(task) ? 1 : 0;
   }
   return count;
 }
@@ -47,7 +47,7 @@
   static Options options() {
     Options out;
     out.seed = static_cast<std::uint64_t>(GetParam());
-    out.loss = 0;
+    out.message_loss_share = 0;
     return out;
   }
   // Jobs of long tasks, more than any one shard can hold; none is cancelled by itself.
@@ -66,7 +66,7 @@
   for (auto& [name, worker] : world.workers) {
     if (shard_of(name, world.options.nodes) != shard) continue;
     for (int i = 0; i < world.options.nodes; i++) {
-      if (i != node) world.network.cuts.insert({name, node_name(i)});
+      if (i != node) world.network.partitions.insert({name, node_name(i)});
     }
   }
 }
@@ -78,24 +78,24 @@
 // is refused for less and for more than its lease.
 TEST_P(Cancelled, WhileADelegateIsRefusedAndThenTheServiceIsDown) {
   World world(options());
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   add_long_jobs(world, 150);
   Spread spread;
   const double refused_for = GetParam() % 2 == 0 ? 1 : 7;
   world.at(kPick, [&] {
     spread = find_spread(world);
     ASSERT_GE(spread.home_shard, 0);
-    world.network.cut_node(world.nodes.owner_of(spread.delegate), false);
+    world.network.partition_node(world.nodes.owner_of(spread.delegate), false);
   });
   world.at(kPick + refused_for, [&world] { cancel_all(world); });
   world.at(kPick + refused_for + 2, [&world] { world.state.set_outage(true); });
   bool told = false;
-  world.at(kPick + refused_for + 2.1, [&] { told = world.jobs.at(spread.ref).told_aborted; });
+  world.at(kPick + refused_for + 2.1, [&] { told = world.jobs.at(spread.ref).user_saw_aborted; });
   world.at(kPick + refused_for + 82, [&world] {
     world.state.set_outage(false);
-    world.network.mend_nodes();
+    world.network.heal_partitions();
   });
-  world.troubles_end = kPick + refused_for + 82;
+  world.faults_end_at = kPick + refused_for + 82;
 
   world.run_until(300);
 
@@ -109,7 +109,7 @@
 // it runs.
 TEST_P(Cancelled, WhileAnOldOwnerIsAloneWithItsMachines) {
   World world(options());
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   add_long_jobs(world, 200);
   Spread spread;
   int left = 0;
@@ -117,7 +117,7 @@
     spread = find_spread(world);
     ASSERT_GE(spread.home_shard, 0);
     const int node = world.nodes.owner_of(spread.delegate);
-    world.network.cut_node(node, true);
+    world.network.partition_node(node, true);
     leave_alone_with(world, spread.delegate, node);
   });
   world.at(kPick + 8, [&world] { cancel_all(world); });
@@ -125,7 +125,7 @@
   bool told = false;
   for (double t = 8; t < 30; t += 0.5) {
     world.at(kPick + t, [&] {
-      if (told || !world.jobs.at(spread.ref).told_aborted) return;
+      if (told || !world.jobs.at(spread.ref).user_saw_aborted) return;
       told = true;
       world.state.set_outage(down);
       left = tasks_of(world, spread.ref, spread.delegate);
@@ -133,9 +133,9 @@
   }
   world.at(kPick + 90, [&world] {
     world.state.set_outage(false);
-    world.network.mend_nodes();
+    world.network.heal_partitions();
   });
-  world.troubles_end = kPick + 90;
+  world.faults_end_at = kPick + 90;
 
   world.run_until(320);
 
@@ -147,38 +147,38 @@
 // confirms.
 TEST_P(Cancelled, WhileTheOldOwnerOfTheHomeShardIsAloneWithItsMachines) {
   World world(options());
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   add_long_jobs(world, 200);
   int node = -1;
   world.at(kPick, [&] {
     const std::string ref = world.jobs.begin()->first;
     const int home = shard_of(ref, world.options.nodes);
     node = world.nodes.owner_of(home);
-    world.network.cut_node(node, true);
+    world.network.partition_node(node, true);
     leave_alone_with(world, home, node);
   });
   world.at(kPick + 8, [&world] { cancel_all(world); });
-  world.at(kPick + 90, [&world] { world.network.mend_nodes(); });
-  world.troubles_end = kPick + 90;
+  world.at(kPick + 90, [&world] { world.network.heal_partitions(); });
+  world.faults_end_at = kPick + 90;
 
   world.run_until(320);
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
-  EXPECT_TRUE(world.jobs.begin()->second.told_aborted);
+  EXPECT_TRUE(world.jobs.begin()->second.user_saw_aborted);
 }
 
 // The home shard's owner ends between its write and the acknowledgements, and a new owner goes on; the
 // delegate cannot be asked, nor hear of it from the state service, until later.
 TEST_P(Cancelled, WhileTheConfirmingOwnerEnds) {
   World world(options());
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   add_long_jobs(world, 200);
   Spread spread;
   bool ended = false;
   world.at(kPick, [&] {
     spread = find_spread(world);
     ASSERT_GE(spread.home_shard, 0);
-    world.network.cut_node(world.nodes.owner_of(spread.delegate), true);
+    world.network.partition_node(world.nodes.owner_of(spread.delegate), true);
   });
   world.network.on_commit = [&](const std::string& from, const Json& body) {
     if (ended || spread.home_shard < 0) return;
@@ -191,15 +191,15 @@
   };
   world.at(kPick + 0.5, [&] { world.cancel_job(spread.ref); });
   bool told_early = false;
-  world.at(kPick + 3.5, [&] { told_early = world.jobs.at(spread.ref).told_aborted; });
-  world.at(kPick + 70, [&world] { world.network.mend_nodes(); });
-  world.troubles_end = kPick + 70;
+  world.at(kPick + 3.5, [&] { told_early = world.jobs.at(spread.ref).user_saw_aborted; });
+  world.at(kPick + 70, [&world] { world.network.heal_partitions(); });
+  world.faults_end_at = kPick + 70;
 
   world.run_until(800);
 
   EXPECT_TRUE(ended);
   EXPECT_FALSE(told_early) << "the delegate's lease was still good, and it did not know";
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // The transaction of the cancellation gets no answer and is carried out seconds later; or the home shard's
@@ -208,16 +208,16 @@
   World world(options());
   add_long_jobs(world, 60);
   world.at(kPick, [&world] {
-    world.network.hold_commits = true;
+    world.network.delay_commits = true;
     cancel_all(world);
   });
-  if (GetParam() % 2 == 0) world.at(kPick + 0.4, [&world] { world.nodes.crash(some_node(world), 0.2); });
-  world.at(kPick + 1, [&world] { world.network.hold_commits = false; });
-  world.troubles_end = kPick + 15;
+  if (GetParam() % 2 == 0) world.at(kPick + 0.4, [&world] { world.nodes.crash(random_node(world), 0.2); });
+  world.at(kPick + 1, [&world] { world.network.delay_commits = false; });
+  world.faults_end_at = kPick + 15;
 
   world.run_until(300);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // Machines hang with tasks of jobs that are then cancelled, and go on within their leases; late copies of old
@@ -234,12 +234,12 @@
     }
   });
   world.at(kPick + 0.2, [&world] { cancel_all(world); });
-  if (GetParam() % 2 == 0) world.at(kPick + 1, [&world] { world.nodes.crash(some_node(world), 0.3); });
-  world.troubles_end = kPick + 32;
+  if (GetParam() % 2 == 0) world.at(kPick + 1, [&world] { world.nodes.crash(random_node(world), 0.3); });
+  world.faults_end_at = kPick + 32;
 
   world.run_until(250);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(hung, 3);
 }
 
@@ -254,11 +254,11 @@
     world.state.set_outage(true);
   });
   world.at(130, [&world] { world.state.set_outage(false); });
-  world.troubles_end = 130;
+  world.faults_end_at = 130;
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(before, 10);
   for (const auto& [ref, job] : world.jobs) {
     for (const auto& [index, starts] : job.starts) EXPECT_EQ(starts, 1) << ref << "/" << index;
@@ -278,18 +278,18 @@
   const auto count = [&world] {
     int on = 0;
     for (const auto& [name, worker] : world.workers) {
-      for (const Task& task : worker->tasks) on += worker->on_machine(task) ? 1 : 0;
+      for (const Task& task : worker->tasks) on += worker->occupies_machine(task) ? 1 : 0;
     }
     return on;
   };
   world.at(59, [&] { before = count(); });
   world.at(60 + 42 + 1, [&] { left = count(); });  // each was evidence of the other's lease until 60
   world.at(125, [&world] { world.state.set_outage(false); });
-  world.troubles_end = 130;
+  world.faults_end_at = 130;
 
   world.run_until(800);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(before, 10);
   EXPECT_EQ(left, 0);
 }
@@ -298,7 +298,7 @@
 TEST(CancelledCheck, FindsATaskThatStays) {
   set_up_log();
   Options quiet;
-  quiet.loss = 0;
+  quiet.message_loss_share = 0;
   World world(quiet);
   UserJob job = plain_job(world, 1, 2, 6, 300, 1);
   job.cancel_at = 40;
@@ -313,4 +313,4 @@
   EXPECT_NE(world.violations.front().find("ran_cancelled"), std::string::npos) << world.violations.front();
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Cancelled, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, Cancelled, ::testing::Range(1, 1 + seed_count()));
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -25,29 +25,30 @@
 TEST_F(LargeFleet, QuietDay) {
   constexpr double kDay = 260;
   Options most = large_fleet(1);
-  most.market = 2 * kLargeMarket;
-  most.team_max = 14000;
+  most.market_machines = 2 * kLargeMarketMachines;
+  most.team_max_cpus = 14000;
   World world(most);
-  add_crowd(world, 800, 100);
+  add_mixed_load(world, 800, 100);
 
   world.run_until(kDay);
 
-  expect_kept(world);
-  EXPECT_GT(world.cloud.rented, 2000);
+  expect_invariants_hold(world);
+  EXPECT_GT(world.cloud.machines_rented, 2000);
   // What is sent does not grow with the fleet or the queue, but with time, nodes and starts.
   const double nodes = world.options.nodes;
-  EXPECT_LT(world.network.counts["/peer/summary"], 1.1 * kDay * nodes);
-  EXPECT_LT(world.network.counts["/peer/beat"], 1.1 * kDay / 2 * nodes * (nodes - 1));
-  EXPECT_LT(world.network.counts["/peer/borrow"], 1.1 * kDay / 0.4 * nodes);
-  EXPECT_LT(world.state.changes_made, world.starts) << "a change covers several starts";
-  EXPECT_LT(world.network.counts["state request"], kDay * world.options.state_rps / 2);
-  EXPECT_LT(world.network.counts["command"], world.starts / 4)
+  EXPECT_LT(world.network.message_counts["/peer/summary"], 1.1 * kDay * nodes);
+  EXPECT_LT(world.network.message_counts["/peer/beat"], 1.1 * kDay / 2 * nodes * (nodes - 1));
+  EXPECT_LT(world.network.message_counts["/peer/borrow"], 1.1 * kDay / 0.4 * nodes);
+  EXPECT_LT(world.state.requested_changes, world.starts) << "a change covers several starts";
+  EXPECT_LT(world.network.message_counts["state request"], kDay * world.options.state_rps / 2);
+  EXPECT_LT(world.network.message_counts["command"], world.starts / 4)
       << "launches ride in answers, commands only stop";
   if (std::getenv("SIM_SIZES") != nullptr) {
-    for (const auto& [kind, bytes] : world.network.largest)
-      std::cout << kind << ": " << world.network.counts[kind] << ", at most " << bytes << " bytes\n";
+    for (const auto& [kind, bytes] : world.network.largest_bytes)
+      std::cout << kind << ": " << world.network.message_counts[kind] << ", at most " << bytes << " bytes\n";
     std::cout << world.workers.size() << " machines, " << world.starts << " starts, "
-              << world.state.changes_made << " changes, " << world.state.too_many << " too many\n";
+              << world.state.requested_changes << " changes, " << world.state.rate_limited_calls
+              << " too many\n";
   }
 }
 
@@ -56,7 +57,7 @@
 // the other stays away for as long.
 TEST_F(LargeFleet, AllNodesRestartWhileTheStateServiceIsSlow) {
   World world(large_fleet(2));
-  add_crowd(world, 300, 120);
+  add_mixed_load(world, 300, 120);
   double down = 0;  // of any shard, since the last restart
   const auto until_active = [&world, &down](double since) {
     auto check = std::make_shared<std::function<void()>>();
@@ -80,7 +81,7 @@
     for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, after + world.uniform(0, 0.3));
     until_active(world.now + after);
   };
-  world.at(60, [&world] { world.state.slow_s = 0.15; });
+  world.at(60, [&world] { world.state.answer_delay_s = 0.15; });
   world.at(70, [&restart_all] { restart_all(0.2); });
   world.at(72, [&world] {
     int count = 0;
@@ -90,12 +91,12 @@
     }
   });
   world.at(100, [&restart_all] { restart_all(6); });
-  world.at(115, [&world] { world.state.slow_s = 0; });
-  world.troubles_end = 120;
+  world.at(115, [&world] { world.state.answer_delay_s = 0; });
+  world.faults_end_at = 120;
 
   world.run_until(330);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(down, 0);
   EXPECT_LT(down, 8);  // the lease of a process before it, and some ten reads
 }
@@ -105,19 +106,19 @@
 // again and again.
 TEST_F(LargeFleet, MuchOfAZoneIsCutOffWhileMachinesHangAndDie) {
   Options mixed = large_fleet(3);
-  mixed.copies = 0.02;
-  mixed.state_copies = 0.02;
+  mixed.message_copy_share = 0.02;
+  mixed.commit_copy_share = 0.02;
   World world(mixed);
-  add_crowd(world, 300, 150);
+  add_mixed_load(world, 300, 150);
   std::vector<Worker*> cut;
   int rented_before = 0;
   world.at(60, [&world, &cut, &rented_before] {
-    rented_before = world.cloud.rented;
+    rented_before = world.cloud.machines_rented;
     int count = 0;
     for (auto& [name, worker] : world.workers) {
       if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // some 15 % of all
       if (!worker->tasks.empty()) cut.push_back(worker.get());
-      world.network.cut_off(name);
+      world.network.partition_machine(name);
     }
   });
   world.at(75, [&world] {
@@ -128,7 +129,7 @@
     }
   });
   world.at(95, [&world, &cut] {
-    world.network.cuts.clear();
+    world.network.partitions.clear();
     int kept = 0;
     for (const Worker* worker : cut) kept += worker->dead ? 0 : 1;
     EXPECT_GT(cut.size(), 20u);
@@ -141,13 +142,13 @@
       if (!worker->dead && count++ % 12 == 0) worker->dead = true;
     }
   });
-  world.troubles_end = 130;
+  world.faults_end_at = 130;
 
   world.run_until(330);
 
-  expect_kept(world);
-  EXPECT_EQ(world.rules.orders_to_copies, 0);
-  EXPECT_LT(world.cloud.rented, 2 * rented_before) << "rented beyond need";
+  expect_invariants_hold(world);
+  EXPECT_EQ(world.rules.launches_to_copies, 0);
+  EXPECT_LT(world.cloud.machines_rented, 2 * rented_before) << "rented beyond need";
 }
 
 // The controller that rents machines stands still for longer than any lease while its clocks run on, then
@@ -155,19 +156,19 @@
 // anything.
 TEST_F(LargeFleet, AFrozenControllerStartsNothingWhenItWakes) {
   World world(large_fleet(4));
-  add_crowd(world, 300, 150);
+  add_mixed_load(world, 300, 150);
   const auto freeze = [&world](int node, double for_s) {
     const std::string name = node_name(node);
     world.nodes.freeze(node, for_s);
-    world.network.isolated[name] = world.now;
-    world.in(for_s + 0.01, [&world, name] { world.network.isolated.erase(name); });
+    world.network.isolated_since[name] = world.now;
+    world.in(for_s + 0.01, [&world, name] { world.network.isolated_since.erase(name); });
   };
   world.at(60, [&freeze] { freeze(0, 30); });
   world.at(110, [&freeze] { freeze(2, 9); });
   world.at(114, [&world] { world.nodes.crash(3, 0.1); });
-  world.troubles_end = 125;
+  world.faults_end_at = 125;
 
   world.run_until(330);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -19,10 +19,10 @@
   static Options options() {
     Options out;
     out.seed = static_cast<std::uint64_t>(GetParam());
-    out.loss = 0.001;
-    out.market = 4;
+    out.message_loss_share = 0.001;
+    out.market_machines = 4;
     out.team_cpus = 60;
-    out.team_max = 120;
+    out.team_max_cpus = 120;
     return out;
   }
   // A few of each size, among arrays.
@@ -33,8 +33,9 @@
     for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, from + 2 * i, 6, 10));
   }
   static void expect_all_done(World& world) {
-    expect_kept(world);
-    for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done) << ref << "\n" << world.summary();
+    expect_invariants_hold(world);
+    for (const auto& [ref, job] : world.jobs)
+      EXPECT_TRUE(job.user_saw_done) << ref << "\n" << world.summary();
   }
 };
 
@@ -62,7 +63,7 @@
 // The cloud takes the machine away.
 void take_away(World& world, Worker& worker, double notice_s) {
   worker.eviction_notice_s = notice_s;
-  worker.note_change();
+  worker.mark_changed();
   world.in(notice_s, [&worker] { worker.dead = true; });
 }
 
@@ -109,14 +110,14 @@
   world.run_until(240);
 
   expect_all_done(world);
-  EXPECT_EQ(world.gangs.failures, 0);
-  EXPECT_EQ(world.gangs.alone, 0);
+  EXPECT_EQ(world.gangs.attempts_failed, 0);
+  EXPECT_EQ(world.gangs.tasks_without_peers, 0);
 }
 
 // The others wait, and a replacement with the same attempt number completes the gang.
 TEST_P(Gang, ATaskThatIsLostBeforeTheStartIsReplaced) {
   Options day = options();
-  day.loss = 0;
+  day.message_loss_share = 0;
   World world(day);
   add_gangs(world, 3, 20);
   world.at(30, [&world] {
@@ -137,12 +138,12 @@
       when_member(world, "running", false, [](Worker& worker) { worker.reboot(false); });
     });
   }
-  world.troubles_end = 70;
+  world.faults_end_at = 70;
 
   world.run_until(330);
 
   expect_all_done(world);
-  EXPECT_GT(world.gangs.failures, 0);
+  EXPECT_GT(world.gangs.attempts_failed, 0);
 }
 
 // Waiting, running: what hangs stays on its machine until its lease is over, and no attempt begins before.
@@ -152,7 +153,7 @@
   world.at(20, [&world] { when_member(world, "waiting", false, [](Worker& worker) { worker.hang(25); }); });
   world.at(50, [&world] { when_member(world, "running", true, [](Worker& worker) { worker.hang(8); }); });
   world.at(60, [&world] { when_member(world, "running", false, [](Worker& worker) { worker.hang(40); }); });
-  world.troubles_end = 105;
+  world.faults_end_at = 105;
 
   world.run_until(360);
 
@@ -164,8 +165,8 @@
   add_gangs(world, 3, 30);
   world.at(15, [&world] {
     when_member(world, "pulling", false, [&world](Worker& worker) {
-      worker.answers_lost = true;
-      world.in(40, [&worker] { worker.answers_lost = false; });
+      worker.loses_report_answers = true;
+      world.in(40, [&worker] { worker.loses_report_answers = false; });
     });
   });
   world.at(40, [&world] {
@@ -180,7 +181,7 @@
       world.in(40, [&worker] { worker.inbound_unreachable = false; });
     });
   });
-  world.troubles_end = 95;
+  world.faults_end_at = 95;
 
   world.run_until(400);
 
@@ -190,8 +191,8 @@
 // Two members are told in the same second: one decision, durable first, and all are told in time.
 TEST_P(Gang, NoticesToTwoMembersInTheSameSecond) {
   Options day = options();
-  day.loss = 0;
-  day.market = 12;
+  day.message_loss_share = 0;
+  day.market_machines = 12;
   World world(day);
   UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   const std::string ref = job.ref;
@@ -202,24 +203,25 @@
     ASSERT_GT(members, 1);
   });
   world.network.on_commit = [&](const std::string&, const Json&) {
-    if (!stop_is_recorded(world) && world.gangs.saves == 0 && find_member(world, "saving") != nullptr)
+    if (!stop_is_recorded(world) && world.gangs.attempts_saved == 0 &&
+        find_member(world, "saving") != nullptr)
       stopped_without_record++;
   };
-  world.troubles_end = 95;
+  world.faults_end_at = 95;
 
   world.run_until(300);
 
   expect_all_done(world);
-  EXPECT_EQ(world.gangs.saves, 1);
-  EXPECT_EQ(world.gangs.failed_saves, 0);
-  EXPECT_EQ(world.gangs.failures, 0);
+  EXPECT_EQ(world.gangs.attempts_saved, 1);
+  EXPECT_EQ(world.gangs.attempts_not_saved, 0);
+  EXPECT_EQ(world.gangs.attempts_failed, 0);
   EXPECT_EQ(stopped_without_record, 0);
 }
 
 // The owner ends as the decision becomes durable; a stop half told is gone on with.
 TEST_P(Gang, TheOwnerEndsInTheMiddleOfAStop) {
   Options day = options();
-  day.market = 12;
+  day.market_machines = 12;
   World world(day);
   world.submit(gang_job(world, 90, 3, 8, 80, 4));  // on two machines at the least
   add_gangs(world, 3, 60);
@@ -232,7 +234,7 @@
   world.at(70, [&world] {
     when_member(world, "running", true, [&world](Worker& worker) { take_away(world, worker, 15); });
   });
-  world.troubles_end = 100;
+  world.faults_end_at = 100;
 
   world.run_until(380);
 
@@ -243,7 +245,7 @@
 // The shard is handed back, and the limits of the state service fall, while the gang is being stopped.
 TEST_P(Gang, TheShardIsHandedBackInTheMiddleOfAStop) {
   Options day = options();
-  day.market = 12;
+  day.market_machines = 12;
   day.next_value_kb = 2;
   day.next_txn_ops = 4;
   World world(day);
@@ -265,13 +267,13 @@
       });
     }
   };
-  world.troubles_end = 110;
+  world.faults_end_at = 110;
 
   world.run_until(380);
 
   expect_all_done(world);
   EXPECT_TRUE(met);
-  EXPECT_EQ(world.state.too_large, 0);
+  EXPECT_EQ(world.state.oversized_transactions, 0);
 }
 
 // Between the durable write and the launches, and with the answer to that write lost.
@@ -284,7 +286,7 @@
     ended++;
     world.in(0, [&world, from] { world.nodes.crash(node_index(from), 0.3); });
   };
-  world.troubles_end = 80;
+  world.faults_end_at = 80;
 
   world.run_until(360);
 
@@ -296,7 +298,7 @@
   World world(options());
   add_gangs(world, 20, 20);
   int lost = 0;
-  world.network.commit_answer = [&](const std::string&, const Json& txn) {
+  world.network.commit_answer_delay_s = [&](const std::string&, const Json& txn) {
     return places_a_gang(txn) && lost++ % 2 == 0 ? -1.0 : 0.0;
   };
 
@@ -309,8 +311,8 @@
 // Old copies of reports, also of earlier attempts, and transactions that are carried out late.
 TEST_P(Gang, CopiesComeLate) {
   Options day = options();
-  day.copies = 0.15;
-  day.late_writes = 0.02;
+  day.message_copy_share = 0.15;
+  day.late_commit_share = 0.02;
   World world(day);
   add_gangs(world, 3, 30);
   for (int i = 0; i < 3; i++) {
@@ -318,8 +320,8 @@
       when_member(world, "running", false, [](Worker& worker) { worker.reboot(false); });
     });
   }
-  world.at(62, [&world] { world.nodes.crash(some_node(world), 0.3); });
-  world.troubles_end = 120;
+  world.at(62, [&world] { world.nodes.crash(random_node(world), 0.3); });
+  world.faults_end_at = 120;
 
   world.run_until(420);
 
@@ -350,7 +352,7 @@
 
   world.run_until(300);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GE(cancelled, 3);
 }
 
@@ -360,7 +362,7 @@
   world.at(45, [&world] {
     for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, 16 + i);
   });
-  world.troubles_end = 66;
+  world.faults_end_at = 66;
 
   world.run_until(360);
 
@@ -372,11 +374,12 @@
   World world(options());
   add_gangs(world, 3, 40);
   world.at(45, [&world] {
-    when_member(world, "running", true, [&world](Worker& worker) { world.network.cut_off(worker.name); });
+    when_member(world, "running", true,
+                [&world](Worker& worker) { world.network.partition_machine(worker.name); });
   });
-  world.at(50, [&world] { world.nodes.crash(some_node(world), 0.3); });
-  world.at(85, [&world] { world.network.mend_nodes(); });
-  world.troubles_end = 150;  // what was held back arrives up to a minute later
+  world.at(50, [&world] { world.nodes.crash(random_node(world), 0.3); });
+  world.at(85, [&world] { world.network.heal_partitions(); });
+  world.faults_end_at = 150;  // what was held back arrives up to a minute later
 
   world.run_until(420);
 
@@ -386,9 +389,9 @@
 // Small tasks take every bit of room as it comes free; it is kept for the gang all the same.
 TEST_P(Gang, RoomGathersAmongSmallTasks) {
   Options day = options();
-  day.market = 2;
+  day.market_machines = 2;
   day.zones = {"a"};
-  day.team_max = 400;
+  day.team_max_cpus = 400;
   World world(day);
   for (int i = 0; i < 30; i++) {
     UserJob job = plain_job(world, i, 2 + 4 * i, 60, 8, 1);
@@ -403,18 +406,18 @@
 
   world.run_until(420);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   const UserJob& served = world.jobs.at(ref);
-  ASSERT_GE(served.gang_began, 0);
-  EXPECT_LT(served.first_start - served.submit_at, 90);
+  ASSERT_GE(served.gang_started_at, 0);
+  EXPECT_LT(served.first_started_at - served.submit_at, 90);
 }
 
 // Two that each need more than half of all room do not hold half of it each.
 TEST_P(Gang, TwoDoNotWaitForEachOther) {
   Options day = options();
-  day.market = 1;
+  day.market_machines = 1;
   day.zones = {"a"};
-  day.team_max = 400;
+  day.team_max_cpus = 400;
   World world(day);
   for (int i = 0; i < 4; i++) {
     UserJob gang = gang_job(world, 90 + i, 3 + 0.1 * i, 7, 20, 2);
@@ -431,7 +434,7 @@
 TEST_P(Gang, TheTeamsLimitIsGathered) {
   Options day = options();
   day.team_cpus = 20;
-  day.team_max = 24;  // 8 a shard
+  day.team_max_cpus = 24;  // 8 a shard
   World world(day);
   for (int i = 0; i < 3; i++) {
     UserJob gang = gang_job(world, 90 + i, 3 + i, 8, 15, 2);
@@ -450,14 +453,14 @@
   World world(options());
   add_gangs(world, 3, 20);
   UserJob bad = gang_job(world, 90, 5, 4, 20, 1);
-  bad.mistaken = true;
+  bad.always_fails = true;
   bad.cancel_at = 120;
   world.submit(bad);
 
   world.run_until(300);
 
-  expect_kept(world);
-  for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done || job.mistaken) << ref;
+  expect_invariants_hold(world);
+  for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.user_saw_done || job.always_fails) << ref;
 }
 
 // Not accepted while a controller of the version before is known to live; then accepted by all.
@@ -484,17 +487,17 @@
   });
   for (int i = 0; i < 4; i++) world.submit(gang_job(world, 95 + i, 70 + i, 4, 15));
   world.at(80, [&world] { world.state.lower_limits(2, 4, 20); });
-  world.at(85, [&world] { world.nodes.crash(some_node(world), 0.3); });
-  world.troubles_end = 100;
+  world.at(85, [&world] { world.nodes.crash(random_node(world), 0.3); });
+  world.faults_end_at = 100;
 
   world.run_until(300);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_EQ(told_to_wait, 503);
   EXPECT_GT(accepted_at, 60);
   for (const auto& [ref, job] : world.jobs) {
     if (job.submit_at > 60) {
-      EXPECT_TRUE(job.told_done) << ref;
+      EXPECT_TRUE(job.user_saw_done) << ref;
     }
   }
 }
@@ -502,7 +505,7 @@
 // Not a gang: the failure of one task says nothing of the others.
 TEST_P(Gang, AnArrayGoesOnWhenSomeOfItsTasksFail) {
   Options day = options();
-  day.loss = 0;
+  day.message_loss_share = 0;
   World world(day);
   UserJob job = plain_job(world, 1, 3, 90, 25, 2);
   const std::string ref = job.ref;
@@ -518,12 +521,12 @@
   world.at(26, [&world] {
     for (auto& [name, worker] : world.workers) worker->faulty = false;
   });
-  world.troubles_end = 60;
+  world.faults_end_at = 60;
 
   world.run_until(200);
 
-  expect_kept(world);
-  EXPECT_TRUE(world.jobs.at(ref).told_done);
+  expect_invariants_hold(world);
+  EXPECT_TRUE(world.jobs.at(ref).user_saw_done);
   int starts = 0;
   for (const auto& [index, count] : world.jobs.at(ref).starts) starts += count;
   EXPECT_LE(starts, 90 + 16);  // two rounds of failures on a machine that holds eight
@@ -559,4 +562,4 @@
   EXPECT_EQ(unschedulable_reason(spec, settings, types), "");
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Gang, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, Gang, ::testing::Range(1, 1 + seed_count()));
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -23,10 +23,10 @@
   static Options options() {
     Options out;
     out.seed = static_cast<std::uint64_t>(GetParam());
-    out.loss = 0.002;
-    out.market = 8;
+    out.message_loss_share = 0.002;
+    out.market_machines = 8;
     out.team_cpus = 150;
-    out.team_max = 600;
+    out.team_max_cpus = 600;
     out.next_value_kb = kSmallValues;
     out.next_txn_ops = kSmallTransactions;
     out.next_write_rps = 20;
@@ -80,12 +80,12 @@
   add_many_tasks(world, 5, 40);
   world.at(60, [&world] { world.nodes.crash(1, 8); });
   world.at(62, [&world] { lower(world); });
-  world.troubles_end = 75;
+  world.faults_end_at = 75;
 
   world.run_until(330);
 
-  expect_kept(world);
-  EXPECT_EQ(world.state.too_large, 0);
+  expect_invariants_hold(world);
+  EXPECT_EQ(world.state.oversized_transactions, 0);
 }
 
 // What the version before wrote is larger than what may be written later. It stays readable, and nothing in
@@ -100,14 +100,14 @@
   for (int i = 0; i < 3; i++) world.at(60 + 8 * i, [&world, i] { world.nodes.upgrade(i, 2); });
   world.at(95, [&world] { lower(world); });
   world.at(100, [&world] { world.nodes.crash(0, 0.3); });
-  world.troubles_end = 110;
+  world.faults_end_at = 110;
 
   world.run_until(420);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(before, static_cast<std::size_t>(1024 * kSmallValues));
-  EXPECT_EQ(world.state.too_large, 0);
-  for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done) << ref;
+  EXPECT_EQ(world.state.oversized_transactions, 0);
+  for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.user_saw_done) << ref;
 }
 
 // Processes of both versions end and come back while the journal segments change hands, and back.
@@ -122,12 +122,12 @@
   world.at(95, [&world] { world.nodes.upgrade(1, 1); });
   world.at(96, [&world] { world.nodes.crash(2, 5); });  // comes back old
   world.at(110, [&world] { world.nodes.upgrade(2, 1); });
-  world.troubles_end = 125;
+  world.faults_end_at = 125;
 
   world.run_until(420);
 
-  expect_kept(world);
-  EXPECT_EQ(world.state.too_large, 0);
+  expect_invariants_hold(world);
+  EXPECT_EQ(world.state.oversized_transactions, 0);
 }
 
 // Nothing was announced, and the service takes less all the same: writes are made smaller, and no shard is
@@ -138,25 +138,25 @@
   day.next_txn_ops = 0;
   day.next_write_rps = 0;
   World world(day);
-  world.state.may_be_too_large = true;
+  world.state.allows_oversized = true;
   add_many_tasks(world, 2, 60);
   world.at(50, [&world] { world.state.lower_limits(kSmallValues, kSmallTransactions, 20); });
-  world.troubles_end = 60;
+  world.faults_end_at = 60;
 
   world.run_until(420);
 
-  expect_kept(world);
-  EXPECT_GT(world.state.too_large, 0);
-  EXPECT_LT(world.state.too_large, 40);
+  expect_invariants_hold(world);
+  EXPECT_GT(world.state.oversized_transactions, 0);
+  EXPECT_LT(world.state.oversized_transactions, 40);
 }
 
 // A hundred thousand tasks of which every other one is done: the completions fit no record of this size.
 TEST(LimitsOfRecords, ScatteredCompletionsOfAHugeJobAreKept) {
   set_up_log();
   Options day;
-  day.loss = 0;
+  day.message_loss_share = 0;
   day.nodes = 1;
-  day.page = 500;
+  day.items_per_page = 500;
   day.next_value_kb = kSmallValues;
   day.next_txn_ops = kSmallTransactions;
   World world(day);
@@ -201,11 +201,11 @@
 TEST(LimitsOfRecords, RentalsOfManyKinds) {
   set_up_log();
   Options day;
-  day.loss = 0;
-  day.market = 1;
+  day.message_loss_share = 0;
+  day.market_machines = 1;
   day.zones.clear();
   for (int i = 0; i < 30; i++) day.zones.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
-  day.team_max = 2000;
+  day.team_max_cpus = 2000;
   day.next_value_kb = 1;
   day.next_txn_ops = 4;
   day.cloud_rps = 50;
@@ -222,17 +222,17 @@
 
   world.run_until(240);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(largest, 600u);
   EXPECT_LE(largest, 1024u);
-  EXPECT_EQ(world.state.too_large, 0);
+  EXPECT_EQ(world.state.oversized_transactions, 0);
 }
 
 // The machine types fit no single record: a node that starts while the cloud is away finds them in several.
 TEST(LimitsOfRecords, MachineTypesInSeveralRecords) {
   set_up_log();
   Options day;
-  day.loss = 0;
+  day.message_loss_share = 0;
   day.zones.clear();
   for (int i = 0; i < 20; i++) day.zones.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
   day.next_value_kb = 1;
@@ -248,10 +248,10 @@
 
   world.run_until(140);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_EQ(world.state.values().count(keys::kTypes), 0u);
-  EXPECT_EQ(world.state.too_large, 0);
-  for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done) << ref;
+  EXPECT_EQ(world.state.oversized_transactions, 0);
+  for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.user_saw_done) << ref;
 }
 
 // A list of machine types and a job's list of allowed types that fit no record.
@@ -264,4 +264,4 @@
   EXPECT_EQ(*spec.machine_types, std::vector<std::string>{"c4"});
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Limits, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, Limits, ::testing::Range(1, 1 + seed_count()));
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -29,13 +29,14 @@
   static sim::Options options() {
     sim::Options out;
     out.external_nodes = true;
-    out.loss = 0;
+    out.message_loss_share = 0;
     out.seed = 3;
     return out;
   }
   static bool all_told(sim::World& world) {
-    return std::all_of(world.jobs.begin(), world.jobs.end(),
-                       [](const auto& item) { return item.second.told_done || item.second.told_aborted; });
+    return std::all_of(world.jobs.begin(), world.jobs.end(), [](const auto& item) {
+      return item.second.user_saw_done || item.second.user_saw_aborted;
+    });
   }
   std::filesystem::path directory_;
 };
@@ -47,11 +48,11 @@
   sim::World& world = cluster.world();
   for (int number = 0; number < 6; number++) world.submit(sim::plain_job(world, number, 2, 4, 4 + number));
   ASSERT_TRUE(cluster.run_until([&world] { return world.starts >= 8; }, kPatience));
-  world.state.empty();
+  world.state.clear();
   ASSERT_TRUE(cluster.run_until([&world] { return all_told(world); }, kPatience));
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   for (const auto& [ref, job] : world.jobs) {
-    EXPECT_TRUE(job.told_done) << ref;
+    EXPECT_TRUE(job.user_saw_done) << ref;
     for (const auto& [task, starts] : job.starts) EXPECT_EQ(starts, 1) << ref << "/" << task;
   }
   const RealCluster::Output status = cluster.control("--json recovery status");
@@ -68,7 +69,7 @@
   for (int number = 0; number < 3; number++) world.submit(sim::plain_job(world, number, 2, 2, 40));
   ASSERT_TRUE(cluster.run_until([&world] { return world.starts >= 4; }, kPatience));
   // All that remember end, and workers alone know what runs.
-  world.state.empty();
+  world.state.clear();
   for (int node = 0; node < world.options.nodes; node++) cluster.restart_node(node);
   const auto rebuilt = [&cluster] {
     const Json status = parse_json(cluster.control("--json recovery status").text);
@@ -90,7 +91,7 @@
   EXPECT_EQ(decision.text, ref + ": done\n");
   const Json after = parse_json(cluster.control("--json recovery unaccounted").text);
   for (const Json& entry : after["unaccounted"]) EXPECT_NE(entry["job"], ref);
-  ASSERT_TRUE(cluster.run_until([&world, &ref] { return world.jobs.at(ref).told_done; }, kPatience));
+  ASSERT_TRUE(cluster.run_until([&world, &ref] { return world.jobs.at(ref).user_saw_done; }, kPatience));
 }
 
 TEST_F(Loopback, TheClientEndsWithAClearErrorWhereNobodyAnswers) {
--- a/tests/measure_recovery.cpp
+++ b/tests/measure_recovery.cpp
@@ -38,9 +38,9 @@
   int open = 0;
   int answered = 0;
   for (const auto& [ref, job] : world.jobs) {
-    if (!job.accepted || job.told_done || job.told_aborted || job.submit_at > kLossAt) continue;
+    if (!job.accepted || job.user_saw_done || job.user_saw_aborted || job.submit_at > kLossAt) continue;
     open++;
-    answered += job.asked_since < 0 ? 1 : 0;
+    answered += job.unanswered_since < 0 ? 1 : 0;
   }
   return open == 0 ? 1 : static_cast<double>(answered) / open;
 }
@@ -52,7 +52,7 @@
     out.published = since;
     starts_at_loss = world.starts;
   }
-  if (serving && out.first_start < 0 && world.starts > starts_at_loss) out.first_start = since;
+  if (serving && out.first_start < 0 && world.starts > starts_at_loss) out.first_started_at = since;
   // (Users ask every 5 s: before that nobody has asked again.)
   constexpr double kAskedAgain = 6;
   if (serving && out.nine_tenths_answered < 0 && since > out.published + kAskedAgain &&
@@ -69,30 +69,30 @@
   const std::string loss = argc > 2 ? argv[2] : "emptied";
   Options options = large_fleet(1, market);
   options.recovery = true;
-  options.team_cpus = options.team_max * market / kLargeMarket;
+  options.team_cpus = options.team_max_cpus * market / kLargeMarketMachines;
   World world(options);
-  add_crowd(world, std::max(20, 4 * market), 250);
+  add_mixed_load(world, std::max(20, 4 * market), 250);
   Measured measured;
-  StateService::Copy copy;
-  if (loss != "emptied") world.at(kLossAt - std::atof(loss.c_str()), [&] { copy = world.state.copy(); });
+  StateService::Snapshot copy;
+  if (loss != "emptied") world.at(kLossAt - std::atof(loss.c_str()), [&] { copy = world.state.snapshot(); });
   world.at(kLossAt, [&] {
     for (const auto& [name, worker] : world.workers) {
-      if (!worker->up()) continue;
+      if (!worker->is_up()) continue;
       measured.machines++;
-      for (const Task& task : worker->tasks) measured.placed_before += worker->on_machine(task) ? 1 : 0;
+      for (const Task& task : worker->tasks) measured.placed_before += worker->occupies_machine(task) ? 1 : 0;
     }
-    measured.changes = world.state.changes_made;
-    measured.lost_tasks = world.lost_to_leases;
+    measured.changes = world.state.requested_changes;
+    measured.lost_tasks = world.tasks_lost_with_lease;
     world.state.restore(copy);
     observe(world, measured, world.starts);
   });
   world.at(kLossAt + 60, [&] {
-    measured.changes = world.state.changes_made - measured.changes;
-    measured.lost_tasks = world.lost_to_leases - measured.lost_tasks;
+    measured.changes = world.state.requested_changes - measured.changes;
+    measured.lost_tasks = world.tasks_lost_with_lease - measured.lost_tasks;
   });
   world.run_until(kEnd);
   int told = 0;
-  for (const auto& [ref, job] : world.jobs) told += job.told_done || job.told_aborted ? 1 : 0;
+  for (const auto& [ref, job] : world.jobs) told += job.user_saw_done || job.user_saw_aborted ? 1 : 0;
   std::cout << "machines " << measured.machines << ", tasks on them " << measured.placed_before << ", loss "
             << loss << ": serving after " << measured.published << " s, first start after "
             << measured.first_start << " s, nine tenths of open jobs answered after "
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -28,7 +28,7 @@
 Worker* busy_worker(World& world) {
   std::vector<Worker*> busy;
   for (auto& [name, worker] : world.workers) {
-    if (worker->up() && !worker->hung && !worker->tasks.empty()) busy.push_back(worker.get());
+    if (worker->is_up() && !worker->hung && !worker->tasks.empty()) busy.push_back(worker.get());
   }
   return busy.empty() ? nullptr : busy[world.rng() % busy.size()];
 }
@@ -69,7 +69,7 @@
   RedTasks out;
   for (const auto& [name, worker] : world.workers) {
     for (const Task& task : worker->tasks) {
-      if (!worker->on_machine(task) || task.job->team != "red") continue;
+      if (!worker->occupies_machine(task) || task.job->team != "red") continue;
       out.cores += task.job->cores;
       if (shard_of(task.ref, 3) == shard_of(name, 3)) continue;
       out.delegated++;
@@ -84,7 +84,7 @@
   std::vector<std::string> out;
   for (int i = 20; i < 25; i++) {
     UserJob job = plain_job(world, i + 20, 25 + 1.5 * (i - 20), 20, 10, 1);
-    job.mistaken = true;
+    job.always_fails = true;
     job.cancel_at = 120;
     out.push_back(job.ref);
     world.submit(job);
@@ -102,8 +102,8 @@
 
 // One of the troubles of the scenarios below, at a node or a machine drawn by lot.
 void trouble_by_lot(World& world) {
-  const int node = some_node(world);
-  Worker* worker = some_worker(world);
+  const int node = random_node(world);
+  Worker* worker = random_worker(world);
   const double for_s = world.uniform(2, 40);
   switch (world.rng() % 9) {
     case 0:
@@ -114,8 +114,8 @@
       world.in(world.rng() % 3 == 0 ? for_s + 15 : 5, [&world] { world.state.set_outage(false); });
       break;
     case 2:
-      world.network.cut_node(node, world.rng() % 2 == 0);
-      world.in(for_s, [&world] { world.network.mend_nodes(); });
+      world.network.partition_node(node, world.rng() % 2 == 0);
+      world.in(for_s, [&world] { world.network.heal_partitions(); });
       break;
     case 3:
       world.nodes.freeze(node, for_s);
@@ -138,7 +138,7 @@
       break;
     default:
       for (auto& [ref, job] : world.jobs) {
-        if (job.accepted && !job.told_done && world.rng() % 6 == 0) world.cancel_job(ref);
+        if (job.accepted && !job.user_saw_done && world.rng() % 6 == 0) world.cancel_job(ref);
       }
   }
 }
@@ -149,50 +149,50 @@
 // them come copies of reports from before, also of earlier incarnations.
 TEST_P(Meeting, HeldBackReportsArriveAtANewOwner) {
   Options late = options();
-  late.copies = 0.3;
+  late.message_copy_share = 0.3;
   World world(late);
-  world.network.hold_share = 1;
+  world.network.delayed_share = 1;
   add_jobs(world, 2, 100);
   int handovers = 0;
   for (double t = 30; t < 120; t += 22) {
     world.at(t, [&world] {
       int cut = 0;
       for (auto& [name, worker] : world.workers) {
-        if (worker->up() && !worker->tasks.empty() && cut++ < 4) world.network.cut_off(name);
+        if (worker->is_up() && !worker->tasks.empty() && cut++ < 4) world.network.partition_machine(name);
       }
     });
     world.at(t + 1.5, [&] {
-      const int node = some_node(world);
+      const int node = random_node(world);
       handovers += world.nodes.owner_of(node) == node ? 1 : 0;
       world.nodes.crash(node, 9);
     });
-    world.at(t + 8, [&world] { world.network.cuts.clear(); });
+    world.at(t + 8, [&world] { world.network.partitions.clear(); });
   }
-  world.troubles_end = 220;
+  world.faults_end_at = 220;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(handovers, 1);
-  EXPECT_EQ(world.rules.orders_to_copies, 0);
+  EXPECT_EQ(world.rules.launches_to_copies, 0);
 }
 
 // A share of all transactions gets no answer and is carried out seconds later, after newer ones of the same
 // node; nodes end meanwhile, and users cancel, ask and submit again.
 TEST_P(Meeting, TransactionsAreCarriedOutLate) {
   Options late = options();
-  late.late_writes = 0.25;
+  late.late_commit_share = 0.25;
   World world(late);
   add_jobs(world, 2, 100);
   for (double t = 25; t < 110; t += world.uniform(12, 25)) {
-    world.at(t, [&world] { world.nodes.crash(some_node(world), world.uniform(0.1, 9)); });
+    world.at(t, [&world] { world.nodes.crash(random_node(world), world.uniform(0.1, 9)); });
   }
-  world.at(120, [&world] { world.options.late_writes = 0; });
-  world.troubles_end = 135;
+  world.at(120, [&world] { world.options.late_commit_share = 0; });
+  world.faults_end_at = 135;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // Machines reach no node, while direct commands still reach them; their shard's owner changes meanwhile, and
@@ -213,11 +213,11 @@
         world.in(world.uniform(0.5, 6), [&world, owner] { world.nodes.crash(owner, world.uniform(0.1, 9)); });
     });
   }
-  world.troubles_end = 165;
+  world.faults_end_at = 165;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(outbound_unreachable, 1);
 }
 
@@ -229,16 +229,16 @@
   for (const double t : {45.0, 90.0}) {
     world.at(t, [&] {
       for (auto& [name, worker] : world.workers) {
-        for (const Task& task : worker->tasks) ran += worker->on_machine(task) ? 1 : 0;
+        for (const Task& task : worker->tasks) ran += worker->occupies_machine(task) ? 1 : 0;
       }
       for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, world.options.lease_s + 3 + i);
     });
   }
-  world.troubles_end = 115;
+  world.faults_end_at = 115;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(ran, 0);
 }
 
@@ -258,11 +258,11 @@
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + 11, [&world] { world.state.set_outage(false); });
   }
-  world.troubles_end = 145;
+  world.faults_end_at = 145;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GE(fencing_tokens.size(), 8u);
 }
 
@@ -280,18 +280,18 @@
   for (double t = 25; t < 110; t += 8) {
     world.at(t, [&] {
       for (auto& [name, worker] : world.workers) {
-        if (!worker->up() || worker->zone != "b" || worker->tasks.empty()) continue;
+        if (!worker->is_up() || worker->zone != "b" || worker->tasks.empty()) continue;
         worker->dead = true;
         lost++;
         break;
       }
     });
   }
-  world.troubles_end = 115;
+  world.faults_end_at = 115;
 
   world.run_until(700);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(lost, 3);
 }
 
@@ -299,9 +299,9 @@
 // teams' limits and the order of things hold, and all of it runs in the end.
 TEST_P(Meeting, MoreWorkThanRoomOverSlowLinks) {
   Options slow = options();
-  slow.loss = 0.02;
+  slow.message_loss_share = 0.02;
   slow.nodes = 3;
-  slow.market = 1;
+  slow.market_machines = 1;
   World world(slow);
   for (int i = 0; i < 30; i++) {
     UserJob job = plain_job(world, i, world.uniform(2, 60), 8, 8, i % 3 == 0 ? 4 : 2);
@@ -309,17 +309,17 @@
     job.body["workload"] = i % 2 == 0 ? "urgent" : "idle";
     world.submit(job);
   }
-  world.at(20, [&world] { world.state.slow_s = 0.5; });
-  world.at(90, [&world] { world.state.slow_s = 0; });
+  world.at(20, [&world] { world.state.answer_delay_s = 0.5; });
+  world.at(90, [&world] { world.state.answer_delay_s = 0; });
   int waiting = 0;
   world.at(70, [&] {
     for (const auto& [ref, job] : world.jobs) waiting += job.task_count - static_cast<int>(job.starts.size());
   });
-  world.troubles_end = 95;
+  world.faults_end_at = 95;
 
   world.run_until(700);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(waiting, 20) << "tasks that have not begun";
 }
 
@@ -327,24 +327,24 @@
 // done, nothing runs again, and the job is done once the last one is.
 TEST_P(Meeting, TasksThatEndFarApartAcrossAChangeOfOwner) {
   Options calm = options();
-  calm.loss = 0;
+  calm.message_loss_share = 0;
   World world(calm);
   for (int i = 0; i < 10; i++) {
     UserJob job = plain_job(world, i, 5, 2 + i % 2, 40, 1);
-    job.spread_ends = 50;  // task k takes so much longer than task k - 1
+    job.run_increment_s = 50;  // task k takes so much longer than task k - 1
     world.submit(job);
   }
   int half = 0;
   world.at(85, [&] {
-    for (const auto& [ref, job] : world.jobs) half += job.completed.empty() || job.told_done ? 0 : 1;
+    for (const auto& [ref, job] : world.jobs) half += job.completed.empty() || job.user_saw_done ? 0 : 1;
     crash_all(world, 0.3);
   });
   world.at(100, [&world] { world.nodes.crash(0, 9); });
-  world.troubles_end = 115;
+  world.faults_end_at = 115;
 
   world.run_until(400);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(half, 3);
   for (const auto& [ref, job] : world.jobs) {
     for (const auto& [index, starts] : job.starts) EXPECT_EQ(starts, 1) << ref << "/" << index;
@@ -355,15 +355,15 @@
 // no other trouble: it is done or cancelled, and stays what its users were told.
 TEST_P(Meeting, ACancellationAtTheEndOfTheLastTask) {
   Options calm = options();
-  calm.loss = 0;
+  calm.message_loss_share = 0;
   World world(calm);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, world.uniform(2, 60), 1 + i % 3, 6, 1));
   int met = 0;
-  world.on_last_done = [&](const std::string& ref) {
+  world.on_job_completed = [&](const std::string& ref) {
     met++;
     const double when = world.rng() % 2 == 0 ? 0 : world.uniform(0, 1.5);  // before or after it is known
     world.in(when, [&world, ref] { world.cancel_job(ref); });
-    world.in(world.uniform(0, 2), [&world, ref] { world.submit_again(ref); });
+    world.in(world.uniform(0, 2), [&world, ref] { world.resubmit(ref); });
   };
 
   world.run_until(300);
@@ -373,9 +373,9 @@
   int done = 0;
   int aborted = 0;
   for (const auto& [ref, job] : world.jobs) {
-    EXPECT_TRUE(job.told_done || job.told_aborted) << ref;
-    done += job.told_done ? 1 : 0;
-    aborted += job.told_aborted ? 1 : 0;
+    EXPECT_TRUE(job.user_saw_done || job.user_saw_aborted) << ref;
+    done += job.user_saw_done ? 1 : 0;
+    aborted += job.user_saw_aborted ? 1 : 0;
   }
   EXPECT_GT(done, 0);
   EXPECT_GT(aborted, 0);
@@ -386,27 +386,28 @@
 // not count it, and others of the team's tasks were started beyond the limit.
 TEST_P(Meeting, ATeamAtItsLimitWhileItsMachinesCannotBeAskedAndJobsAreCancelled) {
   Options tight = options();
-  tight.loss = 0;
+  tight.message_loss_share = 0;
   tight.nodes = 3;
-  tight.team_max = 40;
+  tight.team_max_cpus = 40;
   World world(tight);
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   submit_red_and_blue(world);
   RedTasks red;
   world.at(60, [&] {
     red = find_red_tasks(world);
-    for (const std::string& name : red.machines) world.network.cut_off(name);  // they cannot be asked
+    for (const std::string& name : red.machines)
+      world.network.partition_machine(name);  // they cannot be asked
     for (auto& [ref, job] : world.jobs) {
       if (job.run_s > 100) world.cancel_job(ref);
     }
   });
   world.at(61.5, [&world] { crash_all(world, 0.2); });
-  world.at(74, [&world] { world.network.cuts.clear(); });
-  world.troubles_end = 76;
+  world.at(74, [&world] { world.network.partitions.clear(); });
+  world.faults_end_at = 76;
 
   world.run_until(1500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GE(red.cores, 36);
   EXPECT_GE(red.delegated, 1);
 }
@@ -415,7 +416,7 @@
 // meanwhile, cut ones get it late.
 TEST_P(Meeting, HeldUpCommandsReachMachinesThatGoOn) {
   World world(options());
-  world.network.hold_share = 1;
+  world.network.delayed_share = 1;
   add_jobs(world, 2, 100);
   int held = 0;
   for (double t = 25; t < 110; t += 7) {
@@ -426,9 +427,9 @@
       if (world.rng() % 2 == 0) {
         worker->hang(world.uniform(2, 11));
       } else {
-        world.network.cut_off(worker->name);
+        world.network.partition_machine(worker->name);
         world.in(world.uniform(2, 11), [&world, name = worker->name] {
-          for (int i = 0; i < world.options.nodes; i++) world.network.cuts.erase({name, node_name(i)});
+          for (int i = 0; i < world.options.nodes; i++) world.network.partitions.erase({name, node_name(i)});
         });
       }
       for (const Task& task : worker->tasks) {
@@ -437,14 +438,14 @@
           break;
         }
       }
-      if (world.rng() % 3 == 0) world.nodes.crash(some_node(world), world.uniform(0.1, 5));
+      if (world.rng() % 3 == 0) world.nodes.crash(random_node(world), world.uniform(0.1, 5));
     });
   }
-  world.troubles_end = 200;
+  world.faults_end_at = 200;
 
   world.run_until(700);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(held, 5);
 }
 
@@ -455,22 +456,22 @@
   add_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 20) {
     world.at(t, [&world] {
-      const int node = some_node(world);
+      const int node = random_node(world);
       world.nodes.freeze(node, world.rng() % 2 == 0 ? world.uniform(3, 9) : world.uniform(30, 70));
       if (world.rng() % 2 == 0) {
         world.in(6, [&world] {
           for (auto& [ref, job] : world.jobs) {
-            if (job.accepted && !job.told_done && world.rng() % 3 == 0) world.cancel_job(ref);
+            if (job.accepted && !job.user_saw_done && world.rng() % 3 == 0) world.cancel_job(ref);
           }
         });
       }
     });
   }
-  world.troubles_end = 225;
+  world.faults_end_at = 225;
 
   world.run_until(700);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // Jobs submitted with a mistake fail on every machine, until their users cancel them; one machine is faulty,
@@ -478,18 +479,18 @@
 // goes on, and the mistaken jobs are tried seldom.
 TEST_P(Meeting, MistakenJobsAndAFaultyMachine) {
   Options calm = options();
-  calm.loss = 0;
+  calm.message_loss_share = 0;
   calm.nodes = 3;
-  calm.market = 6;
-  calm.team_max = 160;
+  calm.market_machines = 6;
+  calm.team_max_cpus = 160;
   World world(calm);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, 2 + i * 1.8, 16, 10, 4));
-  const std::vector<std::string> mistaken = submit_mistaken(world);
+  const std::vector<std::string> always_fails = submit_mistaken(world);
   std::string faulty;
   std::set<std::string> good;
   world.at(24, [&] {
     for (auto& [name, worker] : world.workers) {
-      if (!worker->up()) continue;
+      if (!worker->is_up()) continue;
       if (faulty.empty()) {
         faulty = name;
         worker->faulty = true;
@@ -503,11 +504,11 @@
 
   world.run_until(400);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_TRUE(world.workers.at(faulty)->dead) << "the faulty machine is still kept";
   EXPECT_GT(good.size(), 6u);
   EXPECT_LE(4u * static_cast<unsigned>(lost), good.size()) << "good machines were given back as faulty";
-  const int tries = count_starts(world, mistaken);
+  const int tries = count_starts(world, always_fails);
   EXPECT_GE(tries, 15);
   EXPECT_LT(tries, 250);
 }
@@ -516,14 +517,14 @@
 // report. They are up, and must not go back as if they had never come.
 TEST_P(Meeting, IdleMachinesOutlastATakeover) {
   Options calm = options();
-  calm.loss = 0;
+  calm.message_loss_share = 0;
   calm.nodes = 3;
   World world(calm);
   for (int i = 0; i < 8; i++) world.submit(plain_job(world, i, 2, 8, 25, 2));
   std::map<int, std::set<std::string>> idle;  // by shard
   world.at(72, [&] {
     for (auto& [name, worker] : world.workers) {
-      if (worker->up() && worker->tasks.empty()) idle[shard_of(name, 3)].insert(name);
+      if (worker->is_up() && worker->tasks.empty()) idle[shard_of(name, 3)].insert(name);
     }
     idle.erase(0);  // its owner rents and returns: that one goes on
     ASSERT_FALSE(idle.empty());
@@ -533,36 +534,36 @@
   world.at(84, [&] {
     for (const auto& [shard, names] : idle) lost += count_dead(world, names);
   });
-  world.troubles_end = 95;
+  world.faults_end_at = 95;
 
   world.run_until(300);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_EQ(lost, 0);
 }
 
 // Everything of the above, drawn by lot, overlapping.
 TEST_P(Meeting, ManyAtOnce) {
   Options mix = options();
-  mix.loss = 0.005;
-  mix.copies = 0.1;
-  mix.late_writes = 0.05;
+  mix.message_loss_share = 0.005;
+  mix.message_copy_share = 0.1;
+  mix.late_commit_share = 0.05;
   World world(mix);
-  world.network.hold_share = 0.6;
+  world.network.delayed_share = 0.6;
   add_jobs(world, 2, 140);
   for (double t = 20; t < 150; t += world.uniform(2, 9)) {
     world.at(t, [&world] { trouble_by_lot(world); });
   }
   world.at(190, [&world] {
-    world.options.late_writes = world.options.copies = 0;
-    world.network.mend_nodes();
+    world.options.late_commit_share = world.options.message_copy_share = 0;
+    world.network.heal_partitions();
     world.state.set_outage(false);
   });
-  world.troubles_end = 250;
+  world.faults_end_at = 250;
 
   world.run_until(800);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Meeting, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, Meeting, ::testing::Range(1, 1 + seed_count()));
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -21,8 +21,8 @@
     Options out;
     out.seed = static_cast<std::uint64_t>(GetParam()) + 900;
     out.nodes = GetParam() % 2 == 0 ? 5 : 3;
-    out.market = 1;
-    out.team_max = 200;
+    out.market_machines = 1;
+    out.team_max_cpus = 200;
     return out;
   }
   // A long job of blue's that can save what it has done.
@@ -71,21 +71,21 @@
   double used = 0;
   world.at(60, [&] {
     for (const auto& [name, worker] : world.workers) {
-      for (const Task& task : worker->tasks) used += worker->on_machine(task) ? task.job->cores : 0;
+      for (const Task& task : worker->tasks) used += worker->occupies_machine(task) ? task.job->cores : 0;
     }
     world.cloud.outage = true;
   });
   for (int i = 10; i < 14; i++) world.submit(urgent_work(world, i, 62 + 6 * (i - 10)));
   world.at(110, [&world] { world.cloud.outage = false; });
-  world.troubles_end = 115;
+  world.faults_end_at = 115;
 
   world.run_until(1500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GE(used, 32) << "cores in use, of 40 on spot machines";
   for (const auto& [ref, job] : world.jobs) {
     if (job.body["urgency"] == "urgent") {
-      EXPECT_LE(job.first_start - job.submit_at, 15) << ref;
+      EXPECT_LE(job.first_started_at - job.submit_at, 15) << ref;
       continue;
     }
     for (const auto& [index, starts] : job.starts) EXPECT_LE(starts, 5) << ref << "/" << index;
@@ -95,7 +95,7 @@
 // A swarm of small long tasks leaves room for large ones: it is packed onto a few machines.
 TEST_P(BestEffort, ASwarmOfSmallTasksLeavesRoomForLargeOnes) {
   Options calm = options();
-  calm.market = 2;
+  calm.market_machines = 2;
   World world(calm);
   // Machines are up, and idle, when the swarm comes.
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2, 4, 20, 4));
@@ -112,7 +112,7 @@
   int with_pings = 0;
   world.at(95, [&] {
     for (const auto& [name, worker] : world.workers) {
-      if (!worker->up()) continue;
+      if (!worker->is_up()) continue;
       up++;
       with_pings += worker->tasks.empty() ? 0 : 1;
     }
@@ -120,10 +120,10 @@
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(up, 5);
   EXPECT_GT(with_pings, 0);
   EXPECT_LT(2 * with_pings, up + options().nodes) << "machines with small tasks, of " << up;
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, BestEffort, ::testing::Range(0, seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, BestEffort, ::testing::Range(0, seed_count()));
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -26,8 +26,8 @@
     Options out;
     out.seed = static_cast<std::uint64_t>(GetParam()) + 500;
     out.nodes = GetParam() % 2 == 0 ? 5 : 3;
-    out.market = 3;
-    out.loss = 0;
+    out.market_machines = 3;
+    out.message_loss_share = 0;
     return out;
   }
   // Tasks that last about as long as the trouble does.
@@ -111,21 +111,21 @@
   int on_its_machines = 0;
   int lost_before = 0;
   world.at(45, [&] {
-    lost_before = world.lost_to_leases;
+    lost_before = world.tasks_lost_with_lease;
     for (auto& [name, worker] : world.workers) {
       if (world.nodes.owner_of(shard_of(name, world.options.nodes)) == 0)
         on_its_machines += static_cast<int>(worker->tasks.size());
     }
-    world.network.cut_from_workers(0);
+    world.network.partition_node_from_workers(0);
   });
-  world.at(95, [&world] { world.network.mend_nodes(); });
-  world.troubles_end = 100;
+  world.at(95, [&world] { world.network.heal_partitions(); });
+  world.faults_end_at = 100;
 
   world.run_until(400);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(on_its_machines, 0);
-  EXPECT_EQ(world.lost_to_leases, lost_before) << "of " << on_its_machines << " tasks on its machines";
+  EXPECT_EQ(world.tasks_lost_with_lease, lost_before) << "of " << on_its_machines << " tasks on its machines";
 }
 
 // The machines of one zone cannot reach a node and some of the others; they are served all the same.
@@ -137,22 +137,22 @@
   int cut = 0;
   int lost_before = 0;
   world.at(45, [&] {
-    lost_before = world.lost_to_leases;
+    lost_before = world.tasks_lost_with_lease;
     for (auto& [name, worker] : world.workers) {
-      if (!worker->up() || worker->zone != "a") continue;
-      world.network.cuts.insert({name, node_name(1)});
+      if (!worker->is_up() || worker->zone != "a") continue;
+      world.network.partitions.insert({name, node_name(1)});
       cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
     }
-    world.network.cuts.insert({node_name(1), node_name(2)});  // the next node that they try
+    world.network.partitions.insert({node_name(1), node_name(2)});  // the next node that they try
   });
-  world.at(95, [&world] { world.network.mend_nodes(); });
-  world.troubles_end = 100;
+  world.at(95, [&world] { world.network.heal_partitions(); });
+  world.faults_end_at = 100;
 
   world.run_until(400);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(cut, 0);
-  EXPECT_EQ(world.lost_to_leases, lost_before);
+  EXPECT_EQ(world.tasks_lost_with_lease, lost_before);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Reachability, ::testing::Range(0, seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, Reachability, ::testing::Range(0, seed_count()));
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -19,11 +19,11 @@
 // Gives, once it has happened, how many revisions were lost. (Nothing may have changed since the copy was
 // made.)
 std::shared_ptr<std::uint64_t> set_back(World& world, double copied_at, double lost_at, bool leases = true) {
-  auto copy = std::make_shared<StateService::Copy>();
+  auto copy = std::make_shared<StateService::Snapshot>();
   auto lost = std::make_shared<std::uint64_t>(0);
-  world.at(copied_at, [&world, copy] { *copy = world.state.copy(); });
+  world.at(copied_at, [&world, copy] { *copy = world.state.snapshot(); });
   world.at(lost_at, [&world, copy, lost, leases] {
-    *lost = world.state.copy().revision - copy->revision;
+    *lost = world.state.snapshot().revision - copy->revision;
     if (!leases) copy->leases.clear();
     world.state.restore(*copy);
   });
@@ -42,7 +42,7 @@
 // Looks at what is listed as unaccounted and decides by what the world knows: jobs that have completed are
 // done, the others run again. Repeats itself until the list is empty.
 void decide_as_operator(World& world) {
-  const int node = some_node(world);
+  const int node = random_node(world);
   world.network.send(
       "operator", {peer_address_of(node), "GET", "/ops/recovery/unaccounted", "", 2.0},
       [&world, node](const HttpReply& reply) {
@@ -52,7 +52,7 @@
           const std::string ref = entry["job"];
           const UserJob& job = world.jobs.at(ref);
           const bool done = static_cast<int>(job.completed.size()) == job.task_count;
-          const bool cancelled = job.told_aborted || (job.cancel_asked && !done);
+          const bool cancelled = job.user_saw_aborted || (job.cancel_requested && !done);
           const Json decision = {{"job", ref}, {"as", cancelled ? "cancelled" : done ? "done" : "rerun"}};
           world.network.send(
               "operator", {peer_address_of(node), "POST", "/ops/recovery/resolve", dump_json(decision), 2.0},
@@ -84,10 +84,10 @@
   // An operator decides from `decides_at` on about what is listed as unaccounted; half a minute later the
   // troubles are over. What is then expected of the day's end.
   static void end_with_operator(World& world, double decides_at, double ends_at, int least_incarnation) {
-    world.troubles_end = decides_at + kDecisionsTake;
+    world.faults_end_at = decides_at + kDecisionsTake;
     world.at(decides_at, [&world] { decide_as_operator(world); });
     world.run_until(ends_at);
-    expect_kept(world);
+    expect_invariants_hold(world);
     expect_incarnation(world, least_incarnation);
   }
 };
@@ -100,14 +100,15 @@
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
-    world.at(t + world.uniform(0, 18), [&world] { world.nodes.crash(some_node(world), 3); });
-    world.at(t + 22, [&world] { world.network.state_refuses.insert(node_name(some_node(world))); });
-    world.at(t + 30, [&world] { world.network.state_refuses.clear(); });
+    world.at(t + world.uniform(0, 18), [&world] { world.nodes.crash(random_node(world), 3); });
+    world.at(t + 22,
+             [&world] { world.network.nodes_refused_by_state.insert(node_name(random_node(world))); });
+    world.at(t + 30, [&world] { world.network.nodes_refused_by_state.clear(); });
   }
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   expect_incarnation(world, 1);
   EXPECT_TRUE(world.nodes.front().node->incarnation().is_first());
 }
@@ -115,14 +116,14 @@
 TEST_P(LostState, TheStoreIsEmptiedWhileAllControllersLive) {
   World world(options());
   add_jobs(world, 2, 120);
-  world.at(world.uniform(30, 90), [&world] { world.state.empty(); });
-  world.troubles_end = 130;
+  world.at(world.uniform(30, 90), [&world] { world.state.clear(); });
+  world.faults_end_at = 130;
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   expect_incarnation(world, 2);
-  EXPECT_EQ(world.lost_to_leases, 0) << "tasks went on meanwhile";
+  EXPECT_EQ(world.tasks_lost_with_lease, 0) << "tasks went on meanwhile";
 }
 
 // The copy that is restored is as old as a day's backup would be on this scale: jobs were accepted, begun,
@@ -132,11 +133,11 @@
   add_jobs(world, 2, 120);
   const double loss = world.uniform(40, 90);
   const auto lost = set_back(world, loss - world.uniform(0.2, 30), loss);
-  world.troubles_end = loss + 40;
+  world.faults_end_at = loss + 40;
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
 
@@ -145,11 +146,11 @@
   add_jobs(world, 2, 120);
   const double loss = world.uniform(40, 90);
   const auto lost = set_back(world, loss - world.uniform(0.2, 30), loss, false);
-  world.troubles_end = loss + 40;
+  world.faults_end_at = loss + 40;
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
 
@@ -160,11 +161,11 @@
   const auto lost = set_back(world, loss - world.uniform(1, 30), loss, false);
   world.at(loss - world.uniform(1, 10), [&world] { world.state.set_outage(true); });
   world.at(loss + world.uniform(1, 10), [&world] { world.state.set_outage(false); });
-  world.troubles_end = loss + 60;
+  world.faults_end_at = loss + 60;
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
 
@@ -192,11 +193,11 @@
   set_back(world, 55, loss);
   world.at(loss - 0.5, [&world] {
     for (const auto& [name, worker] : world.workers) {
-      if (!worker->tasks.empty()) world.network.cut_off(name);
+      if (!worker->tasks.empty()) world.network.partition_machine(name);
     }
   });
-  world.at(loss + 40, [&world] { world.network.cuts.clear(); });
-  world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 3)); });
+  world.at(loss + 40, [&world] { world.network.partitions.clear(); });
+  world.at(loss, [&world] { world.nodes.crash(random_node(world), world.uniform(0.2, 3)); });
 
   end_with_operator(world, loss + kOperatorAfter, 600, 2);
 }
@@ -207,7 +208,7 @@
   add_witnesses(world);
   const double loss = world.uniform(60, 80);
   set_back(world, 55, loss);
-  world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 20)); });
+  world.at(loss, [&world] { world.nodes.crash(random_node(world), world.uniform(0.2, 20)); });
 
   end_with_operator(world, loss + kOperatorAfter, 600, 2);
 }
@@ -236,9 +237,9 @@
   World world(options());
   add_jobs(world, 2, 120);
   const double loss = world.uniform(40, 90);
-  world.at(loss, [&world] { world.state.empty(); });
-  world.at(loss + world.uniform(0.5, 4), [&world] { world.state.empty(); });
-  world.at(loss + world.uniform(20, 60), [&world] { world.state.empty(); });
+  world.at(loss, [&world] { world.state.clear(); });
+  world.at(loss + world.uniform(0.5, 4), [&world] { world.state.clear(); });
+  world.at(loss + world.uniform(20, 60), [&world] { world.state.clear(); });
   // (A shard whose new owner had not read its records yet when they were lost again is not known in full.)
 
   end_with_operator(world, loss + 60 + kOperatorAfter, 500, 3);
@@ -250,42 +251,42 @@
   add_jobs(world, 2, 40);
   add_witnesses(world);
   const double loss = world.uniform(60, 80);
-  const int cut = some_node(world);
+  const int cut = random_node(world);
   set_back(world, 50, loss);
-  world.at(loss - world.uniform(0, 4), [&world, cut] { world.network.cut_node(cut, true); });
-  world.at(loss + 80, [&world] { world.network.mend_nodes(); });
+  world.at(loss - world.uniform(0, 4), [&world, cut] { world.network.partition_node(cut, true); });
+  world.at(loss + 80, [&world] { world.network.heal_partitions(); });
 
   end_with_operator(world, loss + 80 + kOperatorAfter, 700, 2);
 }
 
 TEST_P(LostState, MachinesHangAndAreSilentAndMessagesAndWritesComeLate) {
   Options day = options();
-  day.copies = 0.05;
-  day.late_writes = 0.05;
-  day.state_copies = 0.05;
+  day.message_copy_share = 0.05;
+  day.late_commit_share = 0.05;
+  day.commit_copy_share = 0.05;
   World world(day);
   add_jobs(world, 2, 120);
   const double loss = world.uniform(40, 90);
   for (double t = loss - 15; t < loss + 15; t += world.uniform(2, 6)) {
     world.at(t, [&world] {
-      if (Worker* worker = some_worker(world); worker != nullptr) {
+      if (Worker* worker = random_worker(world); worker != nullptr) {
         if (world.rng() % 2 == 0) {
           worker->hang(world.uniform(3, 40));
         } else {
           const std::string name = worker->name;
-          world.network.cut_off(name);
-          world.in(world.uniform(5, 60), [&world] { world.network.cuts.clear(); });
+          world.network.partition_machine(name);
+          world.in(world.uniform(5, 60), [&world] { world.network.partitions.clear(); });
         }
       }
     });
   }
   const auto lost = set_back(world, loss - world.uniform(1, 20), loss, world.rng() % 2 == 0);
   world.at(loss + kOperatorAfter + 30, [&world] { decide_as_operator(world); });
-  world.troubles_end = loss + kOperatorAfter + 60;
+  world.faults_end_at = loss + kOperatorAfter + 60;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   expect_incarnation(world, *lost > 0 ? 2 : 1);
 }
 
@@ -309,10 +310,10 @@
       EXPECT_TRUE(harmless) << key;
     }
     EXPECT_EQ(world.state.values().at("meta"), meta.to_json());
-    EXPECT_EQ(world.cloud.rented, 0);
+    EXPECT_EQ(world.cloud.machines_rented, 0);
     EXPECT_EQ(world.starts, 0);
     EXPECT_FALSE(world.jobs.begin()->second.accepted);
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, LostState, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, LostState, ::testing::Range(1, 1 + seed_count()));
--- a/tests/sim/answer_history.cpp
+++ b/tests/sim/answer_history.cpp
@@ -8,21 +8,21 @@
 bool is_terminal(const std::string& phase) { return phase == "done" || phase == "aborted"; }
 }  // namespace
 
-std::optional<std::string> AnswerHistory::take(const JobAnswer& answer) {
+std::optional<std::string> AnswerHistory::record(const JobAnswer& answer) {
   if (!answer.known) {
-    if (answer.asked >= accepted_at_) return "forgotten: accepted, then unknown";
+    if (answer.asked_at >= accepted_at_) return "forgotten: accepted, then unknown";
     return std::nullopt;
   }
-  accepted_at_ = std::min(accepted_at_, answer.received);
+  accepted_at_ = std::min(accepted_at_, answer.received_at);
   if (is_terminal(answer.phase)) {
     // A job has one terminal state: it does not matter which of two was asked for first.
     if (!terminal_.empty() && terminal_ != answer.phase)
       return "went_back: " + terminal_ + ", then " + answer.phase;
     terminal_ = answer.phase;
-    ended_at_ = std::min(ended_at_, answer.received);
+    ended_at_ = std::min(ended_at_, answer.received_at);
     return std::nullopt;
   }
-  if (answer.asked >= ended_at_) return "went_back: " + terminal_ + ", then " + answer.phase;
+  if (answer.asked_at >= ended_at_) return "went_back: " + terminal_ + ", then " + answer.phase;
   return std::nullopt;
 }
 
--- a/tests/sim/answer_history.hpp
+++ b/tests/sim/answer_history.hpp
@@ -10,17 +10,17 @@
 
 // One answer to a poll, a submission or a cancellation, by any node.
 struct JobAnswer {
-  double asked = 0;     // when the question left the user
-  double received = 0;  // when the answer reached it
-  bool known = true;    // false: 404, the job is unknown
-  std::string phase;    // of a known job
+  double asked_at = 0;     // when the question left the user
+  double received_at = 0;  // when the answer reached it
+  bool known = true;       // false: 404, the job is unknown
+  std::string phase;       // of a known job
 };
 
 // All users of a job together: answers are compared whoever got them and whichever node gave them.
 class AnswerHistory {
  public:
   // Takes the answer down. The rule that it breaks, with what was told before; nothing where it is in order.
-  std::optional<std::string> take(const JobAnswer& answer);
+  std::optional<std::string> record(const JobAnswer& answer);
 
  private:
   static constexpr double kNever = std::numeric_limits<double>::infinity();
--- a/tests/sim/checks.cpp
+++ b/tests/sim/checks.cpp
@@ -21,7 +21,7 @@
 void expect_half_served(const World& world) {
   std::map<std::string, std::pair<int, int>> served;  // of tasks: done, all
   for (const auto& [ref, job] : world.jobs) {
-    if (!job.accepted || job.cancel_at >= 0 || job.cancel_asked) continue;
+    if (!job.accepted || job.cancel_at >= 0 || job.cancel_requested) continue;
     for (const char* group : {"workload", "owner"}) {
       auto& [done, all] = served[job.body[group].get<std::string>()];
       done += static_cast<int>(job.completed.size());
@@ -35,7 +35,7 @@
 std::vector<const UserJob*> largest_of_each_class(const World& world) {
   std::map<std::string, std::vector<const UserJob*>> classes;
   for (const auto& [ref, job] : world.jobs) {
-    if (job.accepted && job.cancel_at < 0 && !job.cancel_asked && !job.mistaken)
+    if (job.accepted && job.cancel_at < 0 && !job.cancel_requested && !job.always_fails)
       classes[job.body["workload"].get<std::string>()].push_back(&job);
   }
   std::vector<const UserJob*> out;
@@ -52,24 +52,24 @@
 // They begin within four minutes of their submission, or of the troubles' end.
 void expect_largest_begun(const World& world) {
   for (const UserJob* job : largest_of_each_class(world)) {
-    const bool troubled = world.troubles_end < 1e17 && job->submit_at < world.troubles_end;
-    const double since = troubled ? world.troubles_end : job->submit_at;
-    EXPECT_GE(job->first_start, 0) << job->ref;
-    EXPECT_LE(job->first_start - since, kLargestBeginWithinS) << job->ref;
+    const bool troubled = world.faults_end_at < 1e17 && job->submit_at < world.faults_end_at;
+    const double since = troubled ? world.faults_end_at : job->submit_at;
+    EXPECT_GE(job->first_started_at, 0) << job->ref;
+    EXPECT_LE(job->first_started_at - since, kLargestBeginWithinS) << job->ref;
   }
 }
 
 void expect_all_told(const World& world) {
   for (const auto& [ref, job] : world.jobs) {
     if (job.accepted) {
-      EXPECT_TRUE(job.told_done || job.told_aborted) << ref << "\n" << world.summary();
+      EXPECT_TRUE(job.user_saw_done || job.user_saw_aborted) << ref << "\n" << world.summary();
     }
   }
 }
 
 }  // namespace
 
-void expect_kept(World& world) {
+void expect_invariants_hold(World& world) {
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   EXPECT_GT(world.starts, 0);
   expect_shards_owned(world);
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -44,7 +44,8 @@
 }
 
 void Cloud::return_machines(const Json& request, const Reply& reply) {
-  if (request["hosts"].size() > kMostReturned) world_.broken("more than 100 machines returned in one call");
+  if (request["hosts"].size() > kMostReturned)
+    world_.report_violation("more than 100 machines returned in one call");
   for (const Json& machine_name : request["hosts"]) {
     const auto worker = world_.workers.find(machine_name);
     if (worker != world_.workers.end()) worker->second->dead = true;
@@ -61,7 +62,7 @@
                       row.item["loaner"] == request["loaner"];
     return same && row.gone > world_.now;
   });
-  return world_.options.market - static_cast<int>(taken);
+  return world_.options.market_machines - static_cast<int>(taken);
 }
 
 std::string Cloud::create_machine(const Json& request) {
@@ -70,12 +71,13 @@
   const std::string address =
       "10.1." + std::to_string(next_ / 250) + "." + std::to_string(next_ % 250) + ":9000";
   next_++;
-  rented++;
-  auto worker = std::make_unique<Worker>(world_, ref.str(), address, request["flavour"], request["hall"],
-                                         request["loaner"], world_.uniform(kSlowestClock, kFastestClock));
+  machines_rented++;
+  auto worker =
+      std::make_unique<Worker>(world_, ref.str(), address, request["flavour"], request["hall"],
+                               request["loaner"], world_.uniform(kSlowestClockRate, kFastestClockRate));
   Worker* raw = worker.get();
   world_.workers.emplace(ref.str(), std::move(worker));
-  world_.by_address[address] = raw;
+  world_.workers_by_address[address] = raw;
   rows_[ref.str()] = {{{"ref", ref.str()},
                        {"address", address},
                        {"flavour", request["flavour"]},
@@ -83,7 +85,7 @@
                        {"loaner", request["loaner"]},
                        {"phase", "running"}},
                       world_.now};
-  if (world_.uniform(0, 1) >= fail_share) world_.in(world_.uniform(3, 15), [raw] { raw->boot(); });
+  if (world_.uniform(0, 1) >= boot_failure_share) world_.in(world_.uniform(3, 15), [raw] { raw->boot(); });
   return ref.str();
 }
 
@@ -91,7 +93,7 @@
   const std::string rental = request["rental"];
   if (rentals_.count(rental) > 0) return reply(200, rentals_[rental]);
   const int wanted = request["how_many"].get<int>();
-  if (wanted > kMostRented) world_.broken("more than 50 machines rented in one call");
+  if (wanted > kMostRented) world_.report_violation("more than 50 machines rented in one call");
   const int count = std::min(wanted, room_for(request));
   if (count <= 0) return reply(503, {{"error", "no capacity"}});
   Json machine_names = Json::array();
@@ -102,8 +104,8 @@
 
 void Cloud::list_machines(const std::string& target, const Reply& reply) {
   const double as_of = world_.now - world_.uniform(0, 6);  // the list is up to 6 s old
-  const std::string from = query(target, "from");
-  const std::size_t most = std::stoul(query(target, "most"));
+  const std::string from = query_parameter(target, "from");
+  const std::size_t most = std::stoul(query_parameter(target, "most"));
   if (most > kMostListed) return reply(400, {{"error", "too many at once"}});
   bool more = false;
   Json machines = Json::array();
--- a/tests/sim/cloud.hpp
+++ b/tests/sim/cloud.hpp
@@ -18,9 +18,9 @@
   using Reply = std::function<void(int status, Json body)>;
   explicit Cloud(World& world);
   void handle(const std::string& target, const std::string& body, const Reply& reply);
-  bool outage = false;    // every call is answered 503
-  double fail_share = 0;  // machines that never come up
-  int rented = 0;         // machines, since the world began
+  bool outage = false;            // every call is answered 503
+  double boot_failure_share = 0;  // machines that never come up
+  int machines_rented = 0;        // machines, since the world began
 
  private:
   // A machine as it is listed.
--- a/tests/sim/days.cpp
+++ b/tests/sim/days.cpp
@@ -5,12 +5,12 @@
 
 namespace mothslip::sim {
 
-UserJob make_job(World& world, int number, double from, double to) {
+UserJob make_job(World& world, int number, double earliest_at, double latest_at) {
   UserJob job;
   job.ref = "job-" + std::to_string(100 + number * 7 % 1000) + std::to_string(number);
   job.task_count = 1 + static_cast<int>(world.rng() % 12);
   job.run_s = world.uniform(2, 20);
-  job.submit_at = world.uniform(from, to);
+  job.submit_at = world.uniform(earliest_at, latest_at);
   if (world.rng() % 5 == 0) job.cancel_at = job.submit_at + world.uniform(0, 30);
   const int cores = 1 + static_cast<int>(world.rng() % 8);
   const bool together = world.rng() % 5 == 0;
@@ -37,36 +37,36 @@
   return job;
 }
 
-Options large_fleet(std::uint64_t seed, int market) {
+Options large_fleet(std::uint64_t seed, int market_machines) {
   constexpr int kZones = 4;
   Options out;
   out.seed = seed;
   out.nodes = 5;
-  out.market = market;
+  out.market_machines = market_machines;
   out.zones.clear();
   for (int i = 0; i < kZones; i++) out.zones.push_back("hall-" + std::to_string(i));
   out.report_s = 4;
   out.lease_s = 20;
   out.team_cpus = 4000;
-  out.team_max = 9000;
+  out.team_max_cpus = 9000;
   out.state_rps = 200;
   out.write_rps = 50;
   out.txn_ops = 12;
   out.cloud_rps = 8;
-  out.page = 500;
+  out.items_per_page = 500;
   out.rate_limits = true;
   return out;
 }
 
 // Jobs of three sizes, a third of them in the first seconds.
-void add_crowd(World& world, int jobs, double until) {
+void add_mixed_load(World& world, int jobs, double last_submit_at) {
   for (int i = 0; i < jobs; i++) {
     UserJob job;
     job.ref = "job-" + std::to_string(100000 + i * 7919 % 100000);
     const int kind = i % 4;
     job.task_count = kind == 0 ? 10 : 40;
     job.run_s = world.uniform(15, 40);
-    job.submit_at = i < jobs / 3 ? world.uniform(2, 12) : world.uniform(12, until);
+    job.submit_at = i < jobs / 3 ? world.uniform(2, 12) : world.uniform(12, last_submit_at);
     if (i % 20 == 19) job.cancel_at = job.submit_at + world.uniform(1, 40);
     const int cores = kind == 0 ? 12 : kind == 1 ? 4 : 2;
     job.body = {{"ref", job.ref},
@@ -95,15 +95,15 @@
   }
 }
 
-int some_node(World& world) {
+int random_node(World& world) {
   return static_cast<int>(world.rng() % static_cast<std::uint64_t>(world.options.nodes));
 }
 
-void add_jobs(World& world, double from, double to) {
-  for (int i = 0; i < world.options.jobs; i++) world.submit(make_job(world, i, from, to));
+void add_jobs(World& world, double earliest_at, double latest_at) {
+  for (int i = 0; i < world.options.jobs; i++) world.submit(make_job(world, i, earliest_at, latest_at));
 }
 
-Worker* some_worker(World& world) {
+Worker* random_worker(World& world) {
   std::vector<Worker*> alive;
   for (auto& [name, worker] : world.workers) {
     if (!worker->dead) alive.push_back(worker.get());
@@ -111,8 +111,8 @@
   return alive.empty() ? nullptr : alive[world.rng() % alive.size()];
 }
 
-UserJob plain_job(World& world, int number, double at, int task_count, double run_s, int cores) {
-  UserJob job = make_job(world, number, at, at + 1);
+UserJob plain_job(World& world, int number, double earliest_at, int task_count, double run_s, int cores) {
+  UserJob job = make_job(world, number, earliest_at, earliest_at + 1);
   job.cancel_at = -1;
   job.task_count = task_count;
   job.run_s = run_s;
@@ -126,8 +126,8 @@
   return job;
 }
 
-UserJob gang_job(World& world, int number, double at, int task_count, double run_s, int cores) {
-  UserJob job = plain_job(world, number, at, task_count, run_s, cores);
+UserJob gang_job(World& world, int number, double earliest_at, int task_count, double run_s, int cores) {
+  UserJob job = plain_job(world, number, earliest_at, task_count, run_s, cores);
   job.body["shape"] = "ensemble";
   job.body["workload"] = "g";
   job.body["together"] = true;
@@ -137,7 +137,7 @@
   return job;
 }
 
-int seeds() {
+int seed_count() {
   const char* const given = std::getenv("SIM_SEEDS");
   return given == nullptr ? 4 : std::max(1, std::atoi(given));
 }
--- a/tests/sim/gangs.cpp
+++ b/tests/sim/gangs.cpp
@@ -48,33 +48,33 @@
   if (!present(*member.task)) return;
   member.task->phase = "exited";
   member.task->cause = cause;
-  member.worker->note_change();
+  member.worker->mark_changed();
 }
 
 void Gangs::start(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
   int waiting = 0;
   for (Member& member : members) {
     if (member.task->phase != "waiting" || member.worker->hung) continue;
-    if (world_.now > member.task->until) {
-      alone++;
+    if (world_.now > member.task->phase_ends_at) {
+      tasks_without_peers++;
       exit(member, "alone");
     } else {
       waiting++;
     }
   }
   if (waiting < job.task_count) return;
-  attempts++;
-  replaced += attempt.lost_one ? 1 : 0;
+  attempts_started++;
+  attempts_started_after_loss += attempt.lost_one ? 1 : 0;
   attempt.started = true;
   attempt.begun_at = world_.now;
-  attempt.begun_with = job.progress;
-  attempt.ends = world_.now + job.run_s - job.progress;
-  job.gang_began = world_.now;
-  if (job.first_start < 0) job.first_start = world_.now;
+  attempt.begun_with = job.progress_s;
+  attempt.ends = world_.now + job.run_s - job.progress_s;
+  job.gang_started_at = world_.now;
+  if (job.first_started_at < 0) job.first_started_at = world_.now;
   for (Member& member : members) {
     if (!present(*member.task)) continue;
     member.task->phase = "running";
-    member.worker->note_change();
+    member.worker->mark_changed();
   }
 }
 
@@ -84,14 +84,14 @@
   const double until = attempt.broken_at >= 0 ? attempt.broken_at : attempt.first_stop;
   const double reached = attempt.begun_with + until - attempt.begun_at;
   const double kept = every > 0 ? std::floor(reached / every) * every : 0;
-  job.progress = std::max(job.progress, std::min(kept, job.run_s));
+  job.progress_s = std::max(job.progress_s, std::min(kept, job.run_s));
 }
 
 void Gangs::run(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
   int running = 0;
   for (Member& member : members) {
     if (member.task->phase == "running" && !member.worker->hung) running++;
-    const bool fails = member.worker->faulty || job.mistaken;
+    const bool fails = member.worker->faulty || job.always_fails;
     if (fails && member.task->phase == "running" && world_.now - attempt.begun_at > kFailsAfter)
       exit(member, "error");
   }
@@ -100,15 +100,15 @@
     for (Member& member : members) {
       if (!present(*member.task)) continue;
       exit(member, "done");
-      world_.on_done(*member.task);
+      world_.on_task_completed(*member.task);
     }
     attempt.broken_at = world_.now;
-    job.progress = job.run_s;
+    job.progress_s = job.run_s;
     return;
   }
   if (attempt.broken_at < 0) {
     attempt.broken_at = world_.now;
-    if (static_cast<int>(job.completed.size()) < job.task_count) failures++;
+    if (static_cast<int>(job.completed.size()) < job.task_count) attempts_failed++;
     fall_back(job, attempt);
   }
   if (world_.now - attempt.broken_at < world_.options.gang_peer_s) return;
@@ -124,7 +124,7 @@
       job.body["snapshot_every_s"].get<double>() > 0 && grace_s >= job.body["snapshot_cost_s"].get<double>();
   if (task.phase == "running" && can_save && attempt.broken_at < 0) {
     task.phase = "saving";
-    task.until = world_.now + job.body["snapshot_cost_s"].get<double>();
+    task.phase_ends_at = world_.now + job.body["snapshot_cost_s"].get<double>();
     if (attempt.first_stop < 0) attempt.first_stop = world_.now;
     return;
   }
@@ -136,17 +136,18 @@
 void Gangs::save(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
   const double since = world_.now - attempt.first_stop;
   const auto told = std::count_if(members.begin(), members.end(), [](const Member& each) {
-    return each.task->phase == "saving" || (each.task->phase == "exited" && each.task->stored);
+    return each.task->phase == "saving" || (each.task->phase == "exited" && each.task->is_progress_saved);
   });
   if (told == job.task_count) {
     for (Member& member : members) {
-      if (member.task->phase != "saving" || member.worker->hung || world_.now < member.task->until) continue;
-      member.task->stored = true;
+      if (member.task->phase != "saving" || member.worker->hung || world_.now < member.task->phase_ends_at)
+        continue;
+      member.task->is_progress_saved = true;
       exit(member, "halted");
       if (!attempt.saved) {
         attempt.saved = true;
-        saves++;
-        job.progress = attempt.begun_with + attempt.first_stop - attempt.begun_at;
+        attempts_saved++;
+        job.progress_s = attempt.begun_with + attempt.first_stop - attempt.begun_at;
       }
     }
     return;
@@ -154,7 +155,7 @@
   if (since < world_.options.gang_peer_s) return;
   if (!attempt.saved && attempt.broken_at < 0) {
     attempt.broken_at = world_.now;
-    failed_saves++;
+    attempts_not_saved++;
     fall_back(job, attempt);
   }
   for (Member& member : members) {
--- a/tests/sim/gangs.hpp
+++ b/tests/sim/gangs.hpp
@@ -22,12 +22,12 @@
   // A task of a gang is told to stop.
   void stop(Task& task, double grace_s);
 
-  int attempts = 0;      // that started
-  int failures = 0;      // attempts that lost a task after they had started
-  int saves = 0;         // orderly stops that kept the progress
-  int failed_saves = 0;  // and those that did not
-  int alone = 0;         // tasks that gave up waiting
-  int replaced = 0;      // attempts that started although a task of theirs had been lost
+  int attempts_started = 0;             // that started
+  int attempts_failed = 0;              // attempts that lost a task after they had started
+  int attempts_saved = 0;               // orderly stops that kept the progress
+  int attempts_not_saved = 0;           // and those that did not
+  int tasks_without_peers = 0;          // tasks that gave up waiting
+  int attempts_started_after_loss = 0;  // attempts that started although a task of theirs had been lost
 
  private:
   struct Member {
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -28,41 +28,42 @@
   [[nodiscard]] bool reachable(const std::string& a, const std::string& b) const;
 
   // The state service refuses the node (nobody else), and with `peers` no other node reaches it.
-  void cut_node(int index, bool peers);
+  void partition_node(int index, bool peers);
   // No machine reaches the node, nor it any of them; everybody else does.
-  void cut_from_workers(int index);
+  void partition_node_from_workers(int index);
   // All such cuts are over.
-  void mend_nodes();
+  void heal_partitions();
   // No node reaches the machine, nor it any of them.
-  void cut_off(const std::string& machine);
+  void partition_machine(const std::string& machine);
 
-  std::set<std::pair<std::string, std::string>> cuts;  // by name, in either order
-  std::set<std::string> state_refuses;  // nodes that get 503 from the state service while others are served
+  std::set<std::pair<std::string, std::string>> partitions;  // by name, in either order
   std::set<std::string>
-      state_unheard;                 // nodes that no answer of the state service reaches; their calls arrive
-  std::set<std::string> no_workers;  // nodes that no machine reaches
-  std::map<std::string, double> isolated;  // nodes that reach their workers only, and since when
-  double hold_share = 0.5;                 // of what meets a cut: delivered late rather than lost
-  int drop_state_answers = 0;  // so many answers to commits get lost, though the commits are carried out
-  double watch_delay_s = 0;    // answers to watches come up to so much later than other answers
+      nodes_refused_by_state;  // nodes that get 503 from the state service while others are served
+  std::set<std::string>
+      nodes_without_state_answers;  // nodes that no answer of the state service reaches; their calls arrive
+  std::set<std::string> nodes_without_workers;   // nodes that no machine reaches
+  std::map<std::string, double> isolated_since;  // nodes that reach their workers only, and since when
+  double delayed_share = 0.5;                    // of what meets a cut: delivered late rather than lost
+  int commit_answers_to_drop = 0;  // so many answers to commits get lost, though the commits are carried out
+  double max_watch_delay_s = 0;    // answers to watches come up to so much later than other answers
   // Transactions with a change wait until this is over, whoever gives up meanwhile.
-  bool hold_commits = false;
+  bool delay_commits = false;
   // Which transactions are lost on their way: they are never carried out.
-  std::function<bool(const std::string& from, const Json& body)> lose_commit;
+  std::function<bool(const std::string& from, const Json& body)> should_lose_commit;
   // How much later than usual the answer to a commit arrives, in seconds; negative: it is lost.
-  std::function<double(const std::string& from, const Json& body)> commit_answer;
+  std::function<double(const std::string& from, const Json& body)> commit_answer_delay_s;
 
   // Hears of each transaction that was carried out, before its answer leaves.
   std::function<void(const std::string& from, const Json& body)> on_commit;
   // Hears of each message between nodes that was answered.
   std::function<void(const HttpCall& call, const HttpAnswer& answer)> on_peer_message;
   // Hears what is sent to an address that nobody has.
-  std::function<void(const HttpCall&)> outside;
+  std::function<void(const HttpCall&)> on_unknown_destination;
   // Carries messages to nodes that are processes of their own.
-  std::function<void(const HttpCall&, const Reply&)> call_node;
+  std::function<void(const HttpCall&, const Reply&)> send_to_external_node;
 
-  std::map<std::string, std::size_t> largest;  // message seen: by kind, bytes
-  std::map<std::string, int> counts;           // messages: by kind
+  std::map<std::string, std::size_t> largest_bytes;  // message seen: by kind, bytes
+  std::map<std::string, int> message_counts;         // messages: by kind
 
  private:
   // To a node: at which of its two addresses, and whether it is a copy of an earlier message.
--- a/tests/sim/nodes.cpp
+++ b/tests/sim/nodes.cpp
@@ -30,11 +30,11 @@
   out.cloud = kCloudAddress;
   out.state = kStateAddress;
   out.zones = options.zones;
-  out.teams = {{"red", options.team_cpus, options.team_max, 0, 0},
-               {"blue", options.team_cpus, options.team_max, 0, 0}};
+  out.teams = {{"red", options.team_cpus, options.team_max_cpus, 0, 0},
+               {"blue", options.team_cpus, options.team_max_cpus, 0, 0}};
   out.report_s = options.report_s;
   out.lease_s = options.lease_s;
-  out.cancel_s = kCancelS;
+  out.cancel_s = kMaxCancelSeconds;
   out.gang_wait_s = options.gang_wait_s;
   out.gang_peer_s = options.gang_peer_s;
   out.state_rps = out.next_state_rps = options.state_rps;
@@ -52,18 +52,18 @@
 
 // ---------------------------------------------------------------- a node's environment
 
-NodeEnv::NodeEnv(World& world, int index, double drift, double skew)
-    : world_(world), index_(index), drift_(drift), skew_(skew) {}
-double NodeEnv::now() const { return 1000 + world_.now * drift_; }
-double NodeEnv::wall_time() const { return 1.7e9 + world_.now + skew_; }
+NodeEnv::NodeEnv(World& world, int index, double clock_rate, double skew_s)
+    : world_(world), index_(index), clock_rate_(clock_rate), skew_s_(skew_s) {}
+double NodeEnv::now() const { return 1000 + world_.now * clock_rate_; }
+double NodeEnv::wall_time() const { return 1.7e9 + world_.now + skew_s_; }
 std::uint64_t NodeEnv::random() { return world_.rng(); }
 
 TimerId NodeEnv::after(double delay_s, std::function<void()> action) {
   const TimerId id = next_++;
-  world_.in(std::max(0.0, delay_s) / drift_,
+  world_.in(std::max(0.0, delay_s) / clock_rate_,
             [this, id, token = std::weak_ptr<bool>(alive_), action = std::move(action)]() mutable {
               if (token.expired()) return;
-              world_.nodes.run_or_hold(index_, [this, id, action = std::move(action)] {
+              world_.nodes.run_or_defer(index_, [this, id, action = std::move(action)] {
                 if (cancelled_.erase(id) == 0) action();
               });
             });
@@ -76,7 +76,7 @@
       [this, token = std::weak_ptr<bool>(alive_), handler = std::move(handler)](HttpReply reply) {
         if (token.expired()) return;
         // (What a frozen node holds goes with its process.)
-        world_.nodes.run_or_hold(index_, [handler, reply = std::move(reply)] { handler(reply); });
+        world_.nodes.run_or_defer(index_, [handler, reply = std::move(reply)] { handler(reply); });
       });
 }
 
@@ -89,26 +89,26 @@
 void Nodes::start(int index) {
   Process& started = process(index);
   started.settings = settings_for(index, world_.options, started.earlier_version);
-  started.env = std::make_unique<NodeEnv>(world_, index, world_.uniform(kSlowestClock, kFastestClock),
+  started.env = std::make_unique<NodeEnv>(world_, index, world_.uniform(kSlowestClockRate, kFastestClockRate),
                                           world_.uniform(-0.1, 0.1));
   started.node = std::make_unique<recovery::Controller>(*started.env, started.settings,
                                                         Capabilities{!started.earlier_version});
   started.node->start();
 }
 
-void Nodes::crash(int index, double back_after) {
+void Nodes::crash(int index, double restart_after_s) {
   Process& killed = process(index);
   if (!killed.node) return;
   killed.node.reset();
   killed.env.reset();
   killed.frozen = false;
-  killed.held.clear();
-  world_.in(back_after, [this, index] { start(index); });
+  killed.deferred.clear();
+  world_.in(restart_after_s, [this, index] { start(index); });
 }
 
-void Nodes::upgrade(int index, double back_after) {
+void Nodes::upgrade(int index, double restart_after_s) {
   process(index).earlier_version = false;
-  crash(index, back_after);
+  crash(index, restart_after_s);
 }
 
 void Nodes::freeze(int index, double for_s) {
@@ -118,23 +118,23 @@
   world_.in(for_s, [&frozen] {
     if (!frozen.frozen) return;  // it ended meanwhile
     frozen.frozen = false;
-    const auto held = std::move(frozen.held);
-    frozen.held.clear();
-    for (const auto& action : held) action();
+    const auto deferred = std::move(frozen.deferred);
+    frozen.deferred.clear();
+    for (const auto& action : deferred) action();
   });
 }
 
 void Nodes::kill_all() {
   for (Process& each : processes_) {
     each.node.reset();
-    each.held.clear();
+    each.deferred.clear();
   }
 }
 
-void Nodes::run_or_hold(int index, std::function<void()> action) {
+void Nodes::run_or_defer(int index, std::function<void()> action) {
   Process& receiver = process(index);
   if (receiver.frozen) {
-    receiver.held.push_back(std::move(action));
+    receiver.deferred.push_back(std::move(action));
   } else {
     action();
   }
--- a/tests/sim/nodes.hpp
+++ b/tests/sim/nodes.hpp
@@ -20,7 +20,7 @@
 // What a node sees of the world. It dies with its process: late timers and replies find nothing.
 class NodeEnv final : public Env {
  public:
-  NodeEnv(World& world, int index, double drift, double skew);
+  NodeEnv(World& world, int index, double clock_rate, double skew_s);
   [[nodiscard]] double now() const override;
   [[nodiscard]] double wall_time() const override;
   std::uint64_t random() override;
@@ -31,8 +31,8 @@
  private:
   World& world_;
   int index_;
-  double drift_;  // how much faster its clock runs than the world's
-  double skew_;   // seconds by which its time of day is wrong
+  double clock_rate_;  // how much faster its clock runs than the world's
+  double skew_s_;      // seconds by which its time of day is wrong
   TimerId next_ = 1;
   std::set<TimerId> cancelled_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -46,21 +46,21 @@
     std::unique_ptr<recovery::Controller> node;  // null: it has ended
     bool frozen = false;
     bool earlier_version = false;
-    std::vector<std::function<void()>> held;  // what happened while it was frozen, in order
+    std::vector<std::function<void()>> deferred;  // what happened while it was frozen, in order
   };
 
   explicit Nodes(World& world);
   void start(int index);
   // Killed, and started again so many seconds later.
-  void crash(int index, double back_after);
+  void crash(int index, double restart_after_s);
   // Killed, and started again with the present version.
-  void upgrade(int index, double back_after);
+  void upgrade(int index, double restart_after_s);
   // Stands still: nothing is received or sent, no timer fires; its clocks run on.
   void freeze(int index, double for_s);
   // All processes end, and nothing that they hold is done.
   void kill_all();
   // Runs it now, or when the node goes on; not at all if the process has ended since.
-  void run_or_hold(int index, std::function<void()> action);
+  void run_or_defer(int index, std::function<void()> action);
 
   // False for a node whose process has ended; true for every address that is no node's.
   [[nodiscard]] bool is_up(const std::string& address) const;
--- a/tests/sim/query.hpp
+++ b/tests/sim/query.hpp
@@ -7,7 +7,7 @@
 namespace mothslip::sim {
 
 // The value of a field in what follows the question mark; empty where there is none.
-inline std::string query(const std::string& target, const std::string& field) {
+inline std::string query_parameter(const std::string& target, const std::string& field) {
   const auto mark = target.find('?');
   if (mark == std::string::npos) return "";
   std::stringstream in(target.substr(mark + 1));
--- a/tests/sim/rule_checker.cpp
+++ b/tests/sim/rule_checker.cpp
@@ -27,23 +27,24 @@
 void RuleChecker::check_start(const Worker& worker, const Task& task) {
   const UserJob& job = *task.job;
   if (job.gang) check_attempt(task);
-  if (job.told_aborted) {
-    late_starts++;
+  if (job.user_saw_aborted) {
+    starts_after_cancellation++;
     // Who has not heard of it by then has lost its lease.
     if (world_.now - job.aborted_at > world_.options.lease_s)
-      world_.broken("started after its cancellation: " + task.ref);
+      world_.report_violation("started after its cancellation: " + task.ref);
   }
   check_runs_once(worker, task);
   check_quota(job.team);
   check_places(worker, task);
-  if (job.told_aborted && world_.now - job.aborted_at > kCancelS)
-    world_.broken("ran_cancelled: " + task.ref + " starts");
+  if (job.user_saw_aborted && world_.now - job.aborted_at > kMaxCancelSeconds)
+    world_.report_violation("ran_cancelled: " + task.ref + " starts");
 }
 
 void RuleChecker::check_attempt(const Task& task) {
   UserJob& job = *task.job;
   if (task.attempt < job.last_attempt)
-    world_.broken("attempt " + std::to_string(task.attempt) + " of " + task.ref + " after a newer one");
+    world_.report_violation("attempt " + std::to_string(task.attempt) + " of " + task.ref +
+                            " after a newer one");
   job.last_attempt = std::max(job.last_attempt, task.attempt);
 }
 
@@ -51,10 +52,10 @@
   for (const auto& [name, other] : world_.workers) {
     if (other->dead) continue;
     for (const Task& each : other->tasks) {
-      if (!other->on_machine(each) || each.job != task.job || each.index != task.index) continue;
+      if (!other->occupies_machine(each) || each.job != task.job || each.index != task.index) continue;
       if (other.get() == &worker && each.attempt == task.attempt) continue;
-      world_.broken("ran_twice: " + task.ref + "/" + std::to_string(task.index) + " on " + worker.name +
-                    " and " + name);
+      world_.report_violation("ran_twice: " + task.ref + "/" + std::to_string(task.index) + " on " +
+                              worker.name + " and " + name);
     }
   }
 }
@@ -64,11 +65,11 @@
   for (const auto& [name, worker] : world_.workers) {
     if (worker->dead) continue;
     for (const Task& each : worker->tasks) {
-      if (worker->on_machine(each) && each.job->team == team) used += each.job->cores;
+      if (worker->occupies_machine(each) && each.job->team == team) used += each.job->cores;
     }
   }
-  if (used > world_.options.team_max + kRounding)
-    world_.broken("quota: " + team + " uses " + std::to_string(used));
+  if (used > world_.options.team_max_cpus + kRounding)
+    world_.report_violation("quota: " + team + " uses " + std::to_string(used));
 }
 
 void RuleChecker::check_places(const Worker& worker, const Task& task) const {
@@ -77,14 +78,15 @@
   for (const auto& [name, other] : world_.workers) {
     if (other->dead) continue;
     for (const Task& each : other->tasks) {
-      if (other->on_machine(each) && each.job == &job) in_zone[other->zone]++;
+      if (other->occupies_machine(each) && each.job == &job) in_zone[other->zone]++;
     }
   }
-  if (worker.spot && !may_use_spot(job)) world_.broken("wrong_place: " + task.ref + " on spot");
-  if (!may_run_in(job, worker.zone)) world_.broken("wrong_place: " + task.ref + " hall");
-  if (is_bound_to_one_zone(job) && in_zone.size() > 1) world_.broken("wrong_place: " + task.ref + " apart");
-  if (is_scattered(job) && in_zone[worker.zone] > most_in_one_zone(job))
-    world_.broken("wrong_place: " + task.ref + " not scattered");
+  if (worker.spot && !may_use_spot(job)) world_.report_violation("wrong_place: " + task.ref + " on spot");
+  if (!may_run_in(job, worker.zone)) world_.report_violation("wrong_place: " + task.ref + " hall");
+  if (is_bound_to_one_zone(job) && in_zone.size() > 1)
+    world_.report_violation("wrong_place: " + task.ref + " apart");
+  if (is_scattered(job) && in_zone[worker.zone] > max_tasks_per_zone(job))
+    world_.report_violation("wrong_place: " + task.ref + " not scattered");
 }
 
 // ---------------------------------------------------------------- answers
@@ -95,15 +97,15 @@
   const Json body = parse_json(out.body);
   for (const Json& order : body["orders"]) {
     if (order["verb"] != "launch") continue;
-    if (copy) orders_to_copies++;
+    if (copy) launches_to_copies++;
     check_launch(from, node, order);
   }
 }
 
 void RuleChecker::check_launch(const std::string& from, const std::string& node, const Json& order) {
-  const auto since = world_.network.isolated.find(node);
-  if (since != world_.network.isolated.end() && world_.now - since->second > kAloneS)
-    world_.broken(std::string("started alone: ").append(node).append(" on ").append(from));
+  const auto since = world_.network.isolated_since.find(node);
+  if (since != world_.network.isolated_since.end() && world_.now - since->second > kAloneS)
+    world_.report_violation(std::string("started alone: ").append(node).append(" on ").append(from));
   const auto worker = world_.workers.find(from);
   if (worker == world_.workers.end() || !worker->second->inbound_unreachable) return;
   std::string attempt = from;
@@ -116,10 +118,10 @@
 // From the troubles' end on every question finds an answer.
 void RuleChecker::check_forgotten() {
   for (auto& [ref, job] : world_.jobs) {
-    if (job.asked_since < 0 || !job.accepted) continue;
-    if (world_.now - std::max(job.asked_since, world_.troubles_end) <= kUnansweredS) continue;
-    world_.broken("forgotten: " + ref + " without an answer for 75 s");
-    job.asked_since = world_.now;
+    if (job.unanswered_since < 0 || !job.accepted) continue;
+    if (world_.now - std::max(job.unanswered_since, world_.faults_end_at) <= kUnansweredS) continue;
+    world_.report_violation("forgotten: " + ref + " without an answer for 75 s");
+    job.unanswered_since = world_.now;
   }
 }
 
@@ -127,10 +129,10 @@
   for (const auto& [name, worker] : world_.workers) {
     if (worker->dead) continue;
     for (const Task& task : worker->tasks) {
-      if (!worker->on_machine(task)) continue;
+      if (!worker->occupies_machine(task)) continue;
       const UserJob& job = *task.job;
-      if (job.told_aborted && world_.now - job.aborted_at > kCancelS)
-        world_.broken("ran_cancelled: " + task.ref + " on " + name);
+      if (job.user_saw_aborted && world_.now - job.aborted_at > kMaxCancelSeconds)
+        world_.report_violation("ran_cancelled: " + task.ref + " on " + name);
     }
   }
 }
@@ -139,7 +141,7 @@
 std::optional<double> RuleChecker::cores_of_team_without(const UserJob& job) const {
   double used = 0;
   for (const auto& [name, worker] : world_.workers) {
-    if (!worker->up()) continue;
+    if (!worker->is_up()) continue;
     for (const Task& task : worker->tasks) {
       if (task.phase == "exited" || task.job->team != job.team) continue;
       if (task.job == &job) return std::nullopt;
@@ -155,7 +157,7 @@
   if (!used) return false;
   std::map<std::string, int> in_zone;
   for (const auto& [name, worker] : world_.workers) {
-    if (!worker->up()) continue;
+    if (!worker->is_up()) continue;
     const bool well = worker->is_healthy() && worker->eviction_notice_s < 0;
     const bool allowed = (!worker->spot || may_use_spot(job)) && may_run_in(job, worker->zone);
     if (well && allowed) in_zone[worker->zone] += static_cast<int>(worker->free_cores() / job.cores);
@@ -165,10 +167,10 @@
     if (is_bound_to_one_zone(job)) {
       places = std::max(places, slots);
     } else {
-      places += is_scattered(job) ? std::min(slots, most_in_one_zone(job)) : slots;
+      places += is_scattered(job) ? std::min(slots, max_tasks_per_zone(job)) : slots;
     }
   }
-  return places >= job.task_count && *used + job.task_count * job.cores <= world_.options.team_max &&
+  return places >= job.task_count && *used + job.task_count * job.cores <= world_.options.team_max_cpus &&
          !has_completed(job);
 }
 
@@ -181,26 +183,26 @@
   const bool room =
       std::any_of(world_.workers.begin(), world_.workers.end(), [&job](const auto& named_worker) {
         const Worker& worker = *named_worker.second;
-        return worker.up() && worker.is_healthy() && worker.free_cores() >= job.cores &&
+        return worker.is_up() && worker.is_healthy() && worker.free_cores() >= job.cores &&
                (!worker.spot || may_use_spot(job)) && may_run_in(job, worker.zone);
       });
   const bool bound = is_bound_to_one_zone(job) || is_scattered(job);
   if (bound && !job.completed.empty()) return false;
-  return room && *used + job.cores <= world_.options.team_max && !has_completed(job);
+  return room && *used + job.cores <= world_.options.team_max_cpus && !has_completed(job);
 }
 
 // Once the troubles are over, no job waits for 90 s while a machine has room for it.
 void RuleChecker::check_waiting() {
-  if (!all_runs) return;
+  if (!checks_starvation) return;
   for (auto& [ref, job] : world_.jobs) {
-    if (!job.accepted || job.cancel_asked || job.told_done || !could_run(job)) {
-      job.waits_beside_room = -1;
+    if (!job.accepted || job.cancel_requested || job.user_saw_done || !could_run(job)) {
+      job.could_run_since = -1;
       continue;
     }
-    if (job.waits_beside_room < 0) job.waits_beside_room = world_.now;
-    if (world_.now - std::max(job.waits_beside_room, world_.troubles_end) <= kWaitingS) continue;
-    world_.broken("waits: " + ref + " has waited for 90 s beside a machine with room");
-    job.waits_beside_room = world_.now;
+    if (job.could_run_since < 0) job.could_run_since = world_.now;
+    if (world_.now - std::max(job.could_run_since, world_.faults_end_at) <= kWaitingS) continue;
+    world_.report_violation("waits: " + ref + " has waited for 90 s beside a machine with room");
+    job.could_run_since = world_.now;
   }
 }
 
--- a/tests/sim/rule_checker.hpp
+++ b/tests/sim/rule_checker.hpp
@@ -26,10 +26,11 @@
   void check_node_answer(const std::string& from, const std::string& node, const HttpCall& call,
                          const HttpAnswer& out, bool copy);
 
-  bool all_runs = true;  // no job may wait for 90 s beside a machine with room, once the troubles are over
-  int orders_to_copies = 0;  // launches in answers to copies of reports: they go nowhere
+  bool checks_starvation =
+      true;  // no job may wait for 90 s beside a machine with room, once the troubles are over
+  int launches_to_copies = 0;  // launches in answers to copies of reports: they go nowhere
   std::map<std::string, int> launches_to_unreachable;  // by attempt
-  int late_starts = 0;                                 // after the user was told that the job is cancelled
+  int starts_after_cancellation = 0;                   // after the user was told that the job is cancelled
 
  private:
   void check_all();
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -66,39 +66,39 @@
   serve_watches();
 }
 
-StateService::Copy StateService::copy() const {
-  Copy out{values_, revisions_, lease_ids_, {}, revision_, next_lease_};
+StateService::Snapshot StateService::snapshot() const {
+  Snapshot out{values_, revisions_, lease_ids_, {}, revision_, next_lease_};
   for (const auto& [id, lease] : leases_) out.leases[id] = lease.ttl;
   return out;
 }
 
 // As when an operator restores a backup: leases get their full time, watches stay open and wait for revisions
 // that they take for new.
-void StateService::restore(const Copy& copy) {
-  values_ = copy.values;
-  revisions_ = copy.revisions;
-  lease_ids_ = copy.lease_ids;
-  revision_ = copy.revision;
-  next_lease_ = copy.next_lease;
+void StateService::restore(const Snapshot& snapshot) {
+  values_ = snapshot.values;
+  revisions_ = snapshot.revisions;
+  lease_ids_ = snapshot.lease_ids;
+  revision_ = snapshot.revision;
+  next_lease_ = snapshot.next_lease;
   leases_.clear();
-  for (const auto& [id, ttl] : copy.leases) leases_[id] = {ttl, world_.now + ttl};
+  for (const auto& [id, ttl] : snapshot.leases) leases_[id] = {ttl, world_.now + ttl};
   std::erase_if(changes_, [this](const Change& change) { return change.revision > revision_; });
 }
 
-void StateService::write_again(const std::string& key) {
+void StateService::rewrite_unchanged(const std::string& key) {
   revision_++;
   revisions_[key] = revision_;
   changed(key, {{"put", key}, {"data", values_.at(key)}, {"stamp", revision_}});
   serve_watches();
 }
 
-void StateService::release_watches() {
-  hold_watches = false;
+void StateService::resume_watches() {
+  are_watches_paused = false;
   serve_watches();
 }
 
 bool StateService::answer_watch(Watch& watch) {
-  if (outage_ || hold_watches) return false;
+  if (outage_ || are_watches_paused) return false;
   Json events = Json::array();
   const auto first =
       std::upper_bound(changes_.begin(), changes_.end(), watch.from,
@@ -127,7 +127,7 @@
   const std::string path = target.substr(0, target.find('?'));
   if (world_.options.rate_limits) {
     if (!calls_.can_take(1, 0, world_.now)) {
-      too_many++;
+      rate_limited_calls++;
       return reply(429, Json::object());
     }
     calls_.take(1, world_.now);
@@ -146,26 +146,26 @@
 
 void StateService::open_watch(const std::string& target, const Reply& reply) {
   auto watch = std::make_shared<Watch>();
-  watch->prefix = query(target, "prefix");
-  watch->from = std::stoull(query(target, "from"));
+  watch->prefix = query_parameter(target, "prefix");
+  watch->from = std::stoull(query_parameter(target, "from"));
   watch->reply = reply;
   if (answer_watch(*watch)) return;
   watches_.push_back(watch);
-  world_.in(std::stod(query(target, "wait_ms")) / 1000, [this, watch] {
-    if (watch->over || outage_ || hold_watches) return;
+  world_.in(std::stod(query_parameter(target, "wait_ms")) / 1000, [this, watch] {
+    if (watch->over || outage_ || are_watches_paused) return;
     watch->over = true;
     watch->reply(200, {{"epoch", revision_}, {"events", Json::array()}});
   });
 }
 
 void StateService::list_keys(const std::string& target, const Reply& reply) {
-  const std::string prefix = query(target, "prefix");
-  const std::string from = query(target, "from");
+  const std::string prefix = query_parameter(target, "prefix");
+  const std::string from = query_parameter(target, "from");
   Json items = Json::array();
   bool more = false;
   for (auto it = values_.lower_bound(prefix); it != values_.end() && starts_with(it->first, prefix); ++it) {
     if (!from.empty() && it->first <= from) continue;
-    if (items.size() == world_.options.page) {
+    if (items.size() == world_.options.items_per_page) {
       more = true;
       break;
     }
@@ -217,15 +217,15 @@
 void StateService::commit(const Json& transaction, const std::string& text, const Reply& reply) {
   const Json& changes = transaction["then"];
   if (over_size(changes, transaction["guards"].size())) {
-    too_large++;
-    if (!may_be_too_large) world_.broken("a transaction that is too large: " + text.substr(0, 300));
+    oversized_transactions++;
+    if (!allows_oversized) world_.report_violation("a transaction that is too large: " + text.substr(0, 300));
     return reply(400, {{"error", "too large"}});
   }
   if (!take_writes(changes.size())) {
-    too_many++;
+    rate_limited_calls++;
     return reply(429, Json::object());
   }
-  changes_made += static_cast<int>(changes.size());
+  requested_changes += static_cast<int>(changes.size());
   const Json failed = failed_guards(transaction);
   if (has_unknown_lease(changes)) return reply(400, {{"error", "no such lease"}});
   if (!failed.empty()) return reply(409, {{"failed", failed}, {"epoch", revision_}});
--- a/tests/sim/state_service.hpp
+++ b/tests/sim/state_service.hpp
@@ -28,19 +28,19 @@
 
   // Every call is answered 503, no lease expires; when it is over, all leases get their full time again.
   void set_outage(bool out);
-  double slow_s = 0;              // every answer takes so much longer
-  int too_many = 0;               // calls answered 429
-  int too_large = 0;              // transactions answered 400 for their size or that of a value
-  bool may_be_too_large = false;  // without this such a transaction breaks a rule of the simulated cluster
-  int changes_made = 0;           // asked for in transactions
+  double answer_delay_s = 0;       // every answer takes so much longer
+  int rate_limited_calls = 0;      // calls answered 429
+  int oversized_transactions = 0;  // transactions answered 400 for their size or that of a value
+  bool allows_oversized = false;   // without this such a transaction breaks a rule of the simulated cluster
+  int requested_changes = 0;       // asked for in transactions
   // From now on; what is stored stays.
   void lower_limits(double value_kb, int txn_ops, double write_rps);
-  void spoil(const std::string& key) { values_[key] = "spoiled"; }  // as if written by something else
-  void write_again(const std::string& key);  // the same value under a new revision, by something else
-  bool hold_watches = false;                 // open watches tell nothing
-  void release_watches();
+  void corrupt(const std::string& key) { values_[key] = "spoiled"; }  // as if written by something else
+  void rewrite_unchanged(const std::string& key);  // the same value under a new revision, by something else
+  bool are_watches_paused = false;                 // open watches tell nothing
+  void resume_watches();
   // What the service holds now, to be set back to later. It may forget the leases.
-  struct Copy {
+  struct Snapshot {
     std::map<std::string, Json> values;
     std::map<std::string, std::uint64_t> revisions;
     std::map<std::string, std::uint64_t> lease_ids;  // of keys that are bound to a lease
@@ -48,9 +48,9 @@
     std::uint64_t revision = 1;
     std::uint64_t next_lease = 1;
   };
-  [[nodiscard]] Copy copy() const;
-  void restore(const Copy& copy);
-  void empty() { restore({}); }
+  [[nodiscard]] Snapshot snapshot() const;
+  void restore(const Snapshot& snapshot);
+  void clear() { restore({}); }
 
  private:
   struct Watch {
--- a/tests/sim/user_job.hpp
+++ b/tests/sim/user_job.hpp
@@ -20,23 +20,23 @@
   int task_count = 1;
   double run_s = 5;
   bool gang = false;
-  double progress = 0;             // of a gang, saved
-  double gang_began = -1;          // its last attempt started
+  double progress_s = 0;           // of a gang, saved
+  double gang_started_at = -1;     // its last attempt started
   std::uint64_t last_attempt = 0;  // of a gang: the largest number that reached a machine
-  bool mistaken = false;           // submitted with a mistake: its tasks fail on every machine
-  double spread_ends = 0;  // each task takes so much longer than the one before, and no chance comes in
+  bool always_fails = false;       // submitted with a mistake: its tasks fail on every machine
+  double run_increment_s = 0;  // each task takes so much longer than the one before, and no chance comes in
   double submit_at = 0;
   double cancel_at = -1;  // negative: it is not cancelled
   bool accepted = false;
-  bool told_done = false;
-  bool told_aborted = false;
+  bool user_saw_done = false;
+  bool user_saw_aborted = false;
   double aborted_at = 0;
-  bool cancel_asked = false;
-  double first_start = -1;
-  double waits_beside_room = -1;  // since when a task waits while a machine has room for it
-  std::map<int, int> starts;      // by task
-  double asked_since = -1;        // questions that nobody has answered yet go back to here
-  AnswerHistory told;
+  bool cancel_requested = false;
+  double first_started_at = -1;
+  double could_run_since = -1;   // since when a task waits while a machine has room for it
+  std::map<int, int> starts;     // by task
+  double unanswered_since = -1;  // questions that nobody has answered yet go back to here
+  AnswerHistory answers;
   std::set<int> completed;  // indices of tasks
 };
 
@@ -48,7 +48,7 @@
   return job.body["hall"].is_null() || job.body["hall"] == zone;
 }
 // Of a scattered job, in one zone.
-inline int most_in_one_zone(const UserJob& job) { return (job.task_count + 1) / 2; }
+inline int max_tasks_per_zone(const UserJob& job) { return (job.task_count + 1) / 2; }
 inline bool has_completed(const UserJob& job) {
   return static_cast<int>(job.completed.size()) >= job.task_count;
 }
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -41,27 +41,27 @@
 void Users::check(Question question, const std::string& ref, double asked, const HttpReply& reply) {
   UserJob& job = world_.jobs.at(ref);
   if (question == Question::kSubmission && (reply.status == 400 || reply.status == 422)) {
-    world_.broken("forgotten: " + ref + " got " + std::to_string(reply.status));
+    world_.report_violation("forgotten: " + ref + " got " + std::to_string(reply.status));
     return;
   }
   const bool known = reply.status == 200 || reply.status == 201;
   if (!known && reply.status != 404) return;
   const std::string phase = known ? phase_of(reply) : "";
-  const auto broken_rule = job.told.take({asked, world_.now, known, phase});
-  if (broken_rule) world_.broken(*broken_rule + " (" + ref + ")");
-  if (phase == "running" && job.gang && job.gang_began < 0)
-    world_.broken("told that a gang runs that never started: " + ref);
+  const auto broken_rule = job.answers.record({asked, world_.now, known, phase});
+  if (broken_rule) world_.report_violation(*broken_rule + " (" + ref + ")");
+  if (phase == "running" && job.gang && job.gang_started_at < 0)
+    world_.report_violation("told that a gang runs that never started: " + ref);
   if (phase == "done") {
-    if (static_cast<int>(job.completed.size()) < job.task_count) world_.broken("not_done: " + ref);
-    job.told_done = true;
+    if (static_cast<int>(job.completed.size()) < job.task_count) world_.report_violation("not_done: " + ref);
+    job.user_saw_done = true;
   } else if (phase == "aborted") {
-    if (!job.cancel_asked) world_.broken("went_back: " + ref + " cancelled by nobody");
-    if (!std::exchange(job.told_aborted, true)) {
+    if (!job.cancel_requested) world_.report_violation("went_back: " + ref + " cancelled by nobody");
+    if (!std::exchange(job.user_saw_aborted, true)) {
       job.aborted_at = world_.now;
-      if (world_.options.close_looks) look_closely(ref, 20, 0.1);
+      if (world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 20, 0.1);
     }
   } else if (known && question == Question::kCancellation) {
-    world_.broken("cancel of " + ref + " answered " + phase);
+    world_.report_violation("cancel of " + ref + " answered " + phase);
   }
 }
 
@@ -71,7 +71,7 @@
     UserJob& job = world_.jobs.at(ref);
     if (reply.status == 201 || reply.status == 200) {
       const bool first = !std::exchange(job.accepted, true);
-      if (first && world_.options.close_looks) look_closely(ref, 4, 0.02);
+      if (first && world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 4, 0.02);
       // Some repeat it much later.
       if (world_.uniform(0, 1) < 0.1) {
         world_.in(world_.uniform(1, 40), [this, ref] { submit(ref, world_.now + 1); });
@@ -87,16 +87,16 @@
   ask(Question::kPoll, ref, pick_node(), [this, ref](const HttpReply& reply) {
     UserJob& job = world_.jobs.at(ref);
     if (reply.status == 200) {
-      job.asked_since = -1;
-    } else if (job.asked_since < 0) {
-      job.asked_since = world_.now;
+      job.unanswered_since = -1;
+    } else if (job.unanswered_since < 0) {
+      job.unanswered_since = world_.now;
     }
-    if (reply.status != 200 || (!job.told_done && !job.told_aborted)) {
+    if (reply.status != 200 || (!job.user_saw_done && !job.user_saw_aborted)) {
       world_.in(kPollEvery, [this, ref] { poll(ref); });
     } else if (world_.uniform(0, 1) < 0.5) {
       world_.in(world_.uniform(5, 60), [this, ref] { poll(ref); });  // asks again much later
     } else {
-      job.asked_since = -1;  // this user asks no more
+      job.unanswered_since = -1;  // this user asks no more
     }
   });
 }
@@ -107,27 +107,27 @@
     world_.in(2, [this, ref] { cancel(ref); });
     return;
   }
-  const bool first = !std::exchange(job.cancel_asked, true);
-  if (first && world_.options.close_looks) look_closely(ref, 40, 0.1);
+  const bool first = !std::exchange(job.cancel_requested, true);
+  if (first && world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 40, 0.1);
   ask(Question::kCancellation, ref, pick_node(), [this, ref](const HttpReply& reply) {
     if (reply.status == 200) return;
     world_.in(world_.uniform(1, 2), [this, ref] { cancel(ref); });
   });
 }
 
-void Users::look_closely(const std::string& ref, int rounds, double gap_s) {
+void Users::poll_all_nodes_repeatedly(const std::string& ref, int rounds, double gap_s) {
   for (int i = 0; i < rounds; i++) {
-    world_.in(0.001 + i * gap_s, [this, ref] { look_at_all_nodes(ref); });
+    world_.in(0.001 + i * gap_s, [this, ref] { poll_each_node(ref); });
   }
 }
 
-void Users::look_at_all_nodes(const std::string& ref) {
+void Users::poll_each_node(const std::string& ref) {
   constexpr double kRepeats = 0.05;  // share of looks that repeat a submission or a cancellation
   const auto nothing = [](const HttpReply&) {};
   for (int node = 0; node < world_.options.nodes; node++) {
     ask(Question::kPoll, ref, node, nothing);
     if (world_.uniform(0, 1) < kRepeats) ask(Question::kSubmission, ref, node, nothing);
-    if (world_.jobs.at(ref).cancel_asked && world_.uniform(0, 1) < kRepeats)
+    if (world_.jobs.at(ref).cancel_requested && world_.uniform(0, 1) < kRepeats)
       ask(Question::kCancellation, ref, node, nothing);
   }
 }
--- a/tests/sim/users.hpp
+++ b/tests/sim/users.hpp
@@ -22,14 +22,14 @@
   void cancel(const std::string& ref);
   // So many rounds, `gap_s` apart, of polls at every node within milliseconds. Some repeat the submission
   // too, and the cancellation of a job whose cancellation was asked for.
-  void look_closely(const std::string& ref, int rounds, double gap_s);
+  void poll_all_nodes_repeatedly(const std::string& ref, int rounds, double gap_s);
 
  private:
   enum class Question { kPoll, kSubmission, kCancellation };
   using Handler = std::function<void(const HttpReply&)>;
   void ask(Question question, const std::string& ref, int node, Handler handler);
   void check(Question question, const std::string& ref, double asked, const HttpReply& reply);
-  void look_at_all_nodes(const std::string& ref);
+  void poll_each_node(const std::string& ref);
   int pick_node();
 
   World& world_;
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -16,16 +16,16 @@
 }  // namespace
 
 Worker::Worker(World& world, std::string name_in, std::string address_in, std::string machine_type_in,
-               std::string zone_in, bool spot_in, double drift)
+               std::string zone_in, bool spot_in, double clock_rate)
     : name(std::move(name_in)),
       address(std::move(address_in)),
       machine_type(std::move(machine_type_in)),
       zone(std::move(zone_in)),
       spot(spot_in),
       world_(world),
-      drift_(drift) {}
+      clock_rate_(clock_rate) {}
 
-double Worker::now() const { return world_.now * drift_; }
+double Worker::now() const { return world_.now * clock_rate_; }
 
 void Worker::boot() {
   if (dead) return;
@@ -36,7 +36,7 @@
 }
 
 bool Worker::is_healthy() const {
-  return !hung && !inbound_unreachable && !answers_lost && !outbound_unreachable && !faulty;
+  return !hung && !inbound_unreachable && !loses_report_answers && !outbound_unreachable && !faulty;
 }
 
 double Worker::free_cores() const {
@@ -44,18 +44,18 @@
   for (const Task& task : tasks) {
     if (task.phase != "exited") used += task.job->cores;
   }
-  return capacity() - used;
+  return total_cores() - used;
 }
 
-void Worker::reboot(bool forgets) {
+void Worker::reboot(bool forgets_incarnation) {
   tasks.clear();
   images_.clear();
-  held_.clear();
+  deferred_.clear();
   in_flight_ = false;
   flight_++;
   fencing_token_ = 0;
-  worker_incarnation_ = forgets ? 1 : worker_incarnation_ + 1;
-  if (forgets) heartbeat_sequence_ = 0;
+  worker_incarnation_ = forgets_incarnation ? 1 : worker_incarnation_ + 1;
+  if (forgets_incarnation) heartbeat_sequence_ = 0;
   last_answered_sent_ = now();
   changed_ = true;
 }
@@ -68,14 +68,14 @@
 void Worker::resume() {
   hung = false;
   check_lease();
-  const auto held = std::move(held_);
-  held_.clear();
-  for (const auto& action : held) action();
+  const auto deferred = std::move(deferred_);
+  deferred_.clear();
+  for (const auto& action : deferred) action();
 }
 
-void Worker::run_or_hold(std::function<void()> action) {
+void Worker::run_or_defer(std::function<void()> action) {
   if (hung) {
-    held_.push_back(std::move(action));
+    deferred_.push_back(std::move(action));
   } else {
     action();
   }
@@ -83,7 +83,7 @@
 
 void Worker::check_lease() {
   if (now() - last_answered_sent_ <= world_.options.lease_s) return;
-  for (const Task& task : tasks) world_.lost_to_leases += on_machine(task) ? 1 : 0;
+  for (const Task& task : tasks) world_.tasks_lost_with_lease += occupies_machine(task) ? 1 : 0;
   tasks.clear();
   worker_incarnation_++;
   last_answered_sent_ = now();
@@ -104,35 +104,35 @@
     if (!in_flight_ && due) send_report();
   } else {
     for (Task& task : tasks) {
-      if (task.phase != "exited") task.until += kStep;
+      if (task.phase != "exited") task.phase_ends_at += kStep;
     }
   }
   world_.in(kStep, [this] { step(); });
 }
 
 void Worker::step_task(Task& task) {
-  if (task.phase == "exited" || world_.now < task.until) return;
+  if (task.phase == "exited" || world_.now < task.phase_ends_at) return;
   const UserJob& job = *task.job;
   if (job.gang && task.phase != "pulling") return;  // Gangs plays them
   changed_ = true;
-  const bool fails = faulty || job.mistaken;
+  const bool fails = faulty || job.always_fails;
   if (task.phase != "pulling") {
     task.phase = "exited";
     task.cause = fails ? "error" : "done";
-    if (!fails) world_.on_done(task);
+    if (!fails) world_.on_task_completed(task);
     return;
   }
   images_.insert(job.body["bundle"]);
   if (job.gang) {
     task.phase = "waiting";
-    task.until = world_.now + world_.options.gang_wait_s;
+    task.phase_ends_at = world_.now + world_.options.gang_wait_s;
   } else {
     task.phase = "running";
-    const double takes =
-        job.spread_ends > 0 ? job.run_s + job.spread_ends * task.index : job.run_s * world_.uniform(0.7, 1.3);
-    task.until = world_.now + (fails ? kFailsAfter : takes);
+    const double takes = job.run_increment_s > 0 ? job.run_s + job.run_increment_s * task.index
+                                                 : job.run_s * world_.uniform(0.7, 1.3);
+    task.phase_ends_at = world_.now + (fails ? kFailsAfter : takes);
   }
-  world_.on_start(*this, task);
+  world_.on_task_started(*this, task);
 }
 
 // ---------------------------------------------------------------- reports
@@ -144,7 +144,7 @@
                  {"try_no", task.attempt},
                  {"phase", task.phase}};
     if (task.phase == "exited") item["exit_cause"] = task.cause;
-    if (task.stored) item["stored"] = true;
+    if (task.is_progress_saved) item["stored"] = true;
     reported.push_back(item);
   }
   return {{"host", name},
@@ -169,14 +169,14 @@
   world_.in(kReportPatience + 0.05, [this, number = flight.number] { give_up_report(number); });
   if (outbound_unreachable) return;
   world_.network.send(name, call, [this, flight](const HttpReply& reply) {
-    run_or_hold([this, flight, reply] { on_report_answered(flight, reply); });
+    run_or_defer([this, flight, reply] { on_report_answered(flight, reply); });
   });
 }
 
 // Of one that nobody answers because of the machine's own faults. (In all other cases the network says so.)
 void Worker::give_up_report(std::uint64_t flight) {
   if (dead || hung || flight != flight_ || !in_flight_) return;
-  if (!inbound_unreachable && !answers_lost && !outbound_unreachable) return;
+  if (!inbound_unreachable && !loses_report_answers && !outbound_unreachable) return;
   in_flight_ = false;
   node_ = node_name((node_index(node_) + 1) % world_.options.nodes);
   next_report_ = now() + 1;
@@ -184,7 +184,8 @@
 
 void Worker::on_report_answered(const Flight& flight, const HttpReply& reply) {
   if (dead || flight.number != flight_ || !in_flight_) return;
-  if ((inbound_unreachable || answers_lost) && reply.status != 0) return;  // the time-out comes instead
+  if ((inbound_unreachable || loses_report_answers) && reply.status != 0)
+    return;  // the time-out comes instead
   in_flight_ = false;
   if (reply.status == 200) {
     on_report_accepted(flight, parse_json(reply.body));
@@ -223,7 +224,7 @@
 
 void Worker::handle(const std::string& target, const std::string& body, const Reply& reply) {
   if (inbound_unreachable) return;
-  run_or_hold([this, target, body, reply] { on_command(target, body, reply); });
+  run_or_defer([this, target, body, reply] { on_command(target, body, reply); });
 }
 
 void Worker::on_command(const std::string& target, const std::string& body, const Reply& reply) {
@@ -289,7 +290,8 @@
   }
   task.job = &job->second;
   if (job->second.cores > free_cores()) return refuse("no_room");
-  task.until = world_.now + (images_.count(job->second.body["bundle"]) > 0 ? 0.05 : world_.uniform(0.5, 2));
+  task.phase_ends_at =
+      world_.now + (images_.count(job->second.body["bundle"]) > 0 ? 0.05 : world_.uniform(0.5, 2));
   tasks.push_back(task);
 }
 
--- a/tests/sim/worker.hpp
+++ b/tests/sim/worker.hpp
@@ -21,10 +21,10 @@
   std::string ref;
   int index = 0;
   std::uint64_t attempt = 0;
-  std::string phase = "pulling";  // as on the wire
-  std::string cause;              // of its exit
-  double until = 0;               // the time at which its phase ends
-  bool stored = false;            // of a gang: its progress was saved as it was stopped
+  std::string phase = "pulling";   // as on the wire
+  std::string cause;               // of its exit
+  double phase_ends_at = 0;        // the time at which its phase ends
+  bool is_progress_saved = false;  // of a gang: its progress was saved as it was stopped
 };
 
 class Worker {
@@ -32,14 +32,14 @@
   using Reply = std::function<void(int status, Json body)>;
   // `drift`: how much faster its clock runs than the world's.
   Worker(World& world, std::string name, std::string address, std::string machine_type, std::string zone,
-         bool spot, double drift);
+         bool spot, double clock_rate);
   // The machine is up: the worker reports to a node that it picks.
   void boot();
   // A command of a node.
   void handle(const std::string& target, const std::string& body, const Reply& reply);
-  void note_change() { changed_ = true; }
+  void mark_changed() { changed_ = true; }
   // Its image is there, and it has begun.
-  [[nodiscard]] bool on_machine(const Task& task) const {
+  [[nodiscard]] bool occupies_machine(const Task& task) const {
     return task.phase == "running" || task.phase == "saving" || task.phase == "waiting";
   }
 
@@ -50,20 +50,20 @@
   bool faulty = false;                // every task fails on it
   double eviction_notice_s = -1;      // the cloud takes it away in so long; negative: it does not
   bool inbound_unreachable = false;   // its reports arrive; answers and commands do not reach it
-  bool answers_lost = false;          // only the answers to its reports are lost; commands arrive
+  bool loses_report_answers = false;  // only the answers to its reports are lost; commands arrive
   bool ignores_stops = false;         // it takes no notice of stops
   bool outbound_unreachable = false;  // its reports reach nobody; commands arrive
   std::vector<Task> tasks;
   // It stands still: what arrives meanwhile waits. Its tasks, too.
   void hang(double for_s);
-  [[nodiscard]] bool up() const { return !dead && booted_; }
+  [[nodiscard]] bool is_up() const { return !dead && booted_; }
   // Nothing is wrong with it that a test has done.
   [[nodiscard]] bool is_healthy() const;
-  [[nodiscard]] double capacity() const { return machine_type == "c4" ? 4.0 : 16.0; }  // cores
+  [[nodiscard]] double total_cores() const { return machine_type == "c4" ? 4.0 : 16.0; }  // cores
   [[nodiscard]] double free_cores() const;
   // The machine is back at once after losing power: all on it is gone. It may have forgotten which
   // incarnation it was in.
-  void reboot(bool forgets);
+  void reboot(bool forgets_incarnation);
 
  private:
   // A report that is under way.
@@ -82,7 +82,7 @@
   void on_report_accepted(const Flight& flight, const Json& body);
   void on_report_refused(const Flight& flight, const HttpReply& reply);
   void on_command(const std::string& target, const std::string& body, const Reply& reply);
-  void run_or_hold(std::function<void()> action);
+  void run_or_defer(std::function<void()> action);
   void resume();
   void execute(const Json& orders);
   void launch(const std::string& name_of_task, std::uint64_t attempt);
@@ -91,7 +91,7 @@
   [[nodiscard]] double now() const;
 
   World& world_;
-  double drift_;
+  double clock_rate_;
   std::uint64_t worker_incarnation_ = 1;
   std::uint64_t heartbeat_sequence_ = 0;
   std::uint64_t fencing_token_ = 0;
@@ -104,7 +104,7 @@
   bool booted_ = false;
   std::string node_;  // to which it reports
   std::set<std::string> images_;
-  std::vector<std::function<void()>> held_;  // what arrives while hung
+  std::vector<std::function<void()>> deferred_;  // what arrives while hung
 };
 
 }  // namespace mothslip::sim
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -75,33 +75,33 @@
   }
 }
 
-void World::broken(const std::string& rule) {
+void World::report_violation(const std::string& rule) {
   std::ostringstream out;
   out << now << " s: " << rule;
   violations.push_back(out.str());
 }
 
-void World::on_start(const Worker& worker, const Task& task) {
+void World::on_task_started(const Worker& worker, const Task& task) {
   starts++;
   UserJob& job = *task.job;
-  if (job.first_start < 0 && !job.gang) job.first_start = now;
+  if (job.first_started_at < 0 && !job.gang) job.first_started_at = now;
   job.starts[task.index]++;
   rules.check_start(worker, task);
 }
 
-void World::on_done(const Task& task) {
+void World::on_task_completed(const Task& task) {
   UserJob& job = *task.job;
   const bool last = job.completed.insert(task.index).second && has_completed(job);
   if (!last) return;
-  if (on_last_done) on_last_done(task.ref);
-  if (options.close_looks) users.look_closely(task.ref, 40, 0.1);
+  if (on_job_completed) on_job_completed(task.ref);
+  if (options.poll_all_nodes) users.poll_all_nodes_repeatedly(task.ref, 40, 0.1);
 }
 
 std::string World::summary() const {
   std::ostringstream out;
   int open = 0;
   for (const auto& [ref, job] : jobs) {
-    if (job.accepted && !job.told_done && !job.told_aborted) {
+    if (job.accepted && !job.user_saw_done && !job.user_saw_aborted) {
       open++;
       out << ref << " open: " << job.completed.size() << " of " << job.task_count << " completed; "
           << dump_json(job.body) << "\n";
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -47,13 +47,13 @@
   // A user submits it, and cancels it, at the times that it names.
   void submit(UserJob job);
   void cancel_job(const std::string& ref) { users.cancel(ref); }
-  void submit_again(const std::string& ref) { users.submit(ref, now + 1); }
+  void resubmit(const std::string& ref) { users.submit(ref, now + 1); }
 
   // A rule of the protocol has been broken.
-  void broken(const std::string& rule);
+  void report_violation(const std::string& rule);
   // A task has come onto a machine, or has completed there.
-  void on_start(const Worker& worker, const Task& task);
-  void on_done(const Task& task);
+  void on_task_started(const Worker& worker, const Task& task);
+  void on_task_completed(const Task& task);
   // What is open and what was broken, for the message of a test that fails.
   [[nodiscard]] std::string summary() const;
 
@@ -67,13 +67,13 @@
   Network network;
   RuleChecker rules;
   std::map<std::string, std::unique_ptr<Worker>> workers;  // by name of the machine
-  std::unordered_map<std::string, Worker*> by_address;
+  std::unordered_map<std::string, Worker*> workers_by_address;
   std::map<std::string, UserJob> jobs;
   std::vector<std::string> violations;
-  double troubles_end = 1e18;  // from here on every question must find an answer within 75 s
+  double faults_end_at = 1e18;  // from here on every question must find an answer within 75 s
   int starts = 0;
-  int lost_to_leases = 0;  // tasks that were on a machine when its lease ended
-  std::function<void(const std::string& ref)> on_last_done;  // the last task of a job has just completed
+  int tasks_lost_with_lease = 0;  // tasks that were on a machine when its lease ended
+  std::function<void(const std::string& ref)> on_job_completed;  // the last task of a job has just completed
   Nodes nodes;
 
  private:
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -47,7 +47,7 @@
 
   world.run_until(400);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.accepted) << ref;
 }
 
@@ -57,7 +57,7 @@
   for (double t = 15; t < 150; t += world.uniform(6, 20)) {
     world.at(t, [&world] {
       const bool all = world.rng() % 5 == 0;
-      const int which = some_node(world);
+      const int which = random_node(world);
       for (int i = 0; i < world.options.nodes; i++) {
         if (which == i || all) world.nodes.crash(i, world.uniform(0.1, 9));
       }
@@ -67,7 +67,7 @@
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 TEST_P(Cluster, TheStateServiceAndTheCloudGoAwayWhileNodesCrash) {
@@ -76,14 +76,14 @@
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
-    world.at(t + world.uniform(0, 18), [&world] { world.nodes.crash(some_node(world), 3); });
+    world.at(t + world.uniform(0, 18), [&world] { world.nodes.crash(random_node(world), 3); });
     world.at(t + 5, [&world] { world.cloud.outage = true; });
     world.at(t + 30, [&world] { world.cloud.outage = false; });
   }
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 TEST_P(Cluster, OneNodeAloneIsRefusedByTheStateService) {
@@ -91,24 +91,24 @@
   add_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 25) {
     world.at(t, [&world] {
-      world.network.state_refuses.clear();
-      world.network.state_refuses.insert(node_name(some_node(world)));
+      world.network.nodes_refused_by_state.clear();
+      world.network.nodes_refused_by_state.insert(node_name(random_node(world)));
     });
-    world.at(t + world.uniform(3, 20), [&world] { world.network.state_refuses.clear(); });
+    world.at(t + world.uniform(3, 20), [&world] { world.network.nodes_refused_by_state.clear(); });
   }
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 TEST_P(Cluster, MachinesHangDieAreCutOffAndFailTheirTasks) {
   World world(options());
-  world.cloud.fail_share = 0.1;
+  world.cloud.boot_failure_share = 0.1;
   add_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(5, 12)) {
     world.at(t, [&world] {
-      Worker* worker = some_worker(world);
+      Worker* worker = random_worker(world);
       if (worker == nullptr) return;
       const std::string name = worker->name;
       switch (world.rng() % 4) {
@@ -122,9 +122,10 @@
           worker->faulty = true;
           break;
         default:
-          world.network.cut_off(name);
+          world.network.partition_machine(name);
           world.in(world.uniform(5, 40), [&world, name] {
-            for (int i = 0; i < world.options.nodes; i++) world.network.cuts.erase({name, node_name(i)});
+            for (int i = 0; i < world.options.nodes; i++)
+              world.network.partitions.erase({name, node_name(i)});
           });
       }
     });
@@ -132,19 +133,19 @@
 
   world.run_until(700);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 TEST_P(Cluster, EverythingAtOnceWithLateMessages) {
   Options mix = options();
-  mix.loss = 0.01;
+  mix.message_loss_share = 0.01;
   World world(mix);
-  world.network.hold_share = 0.8;
+  world.network.delayed_share = 0.8;
   add_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(4, 10)) {
     world.at(t, [&world] {
-      Worker* worker = some_worker(world);
-      const int node = some_node(world);
+      Worker* worker = random_worker(world);
+      const int node = random_node(world);
       const std::string name = node_name(node);
       switch (world.rng() % 6) {
         case 0:
@@ -155,17 +156,18 @@
           world.in(world.uniform(1, 12), [&world] { world.state.set_outage(false); });
           break;
         case 2:
-          world.network.state_refuses.insert(name);
-          world.in(world.uniform(1, 15), [&world, name] { world.network.state_refuses.erase(name); });
+          world.network.nodes_refused_by_state.insert(name);
+          world.in(world.uniform(1, 15),
+                   [&world, name] { world.network.nodes_refused_by_state.erase(name); });
           break;
         case 3: {
           const std::string other = node_name((node + 1) % world.options.nodes);
-          world.network.cuts.insert({name, other});
-          if (worker != nullptr) world.network.cuts.insert({worker->name, name});
+          world.network.partitions.insert({name, other});
+          if (worker != nullptr) world.network.partitions.insert({worker->name, name});
           const std::string cut = worker == nullptr ? other : worker->name;
           world.in(world.uniform(3, 30), [&world, name, other, cut] {
-            world.network.cuts.erase({name, other});
-            world.network.cuts.erase({cut, name});
+            world.network.partitions.erase({name, other});
+            world.network.partitions.erase({cut, name});
           });
           break;
         }
@@ -182,7 +184,7 @@
 
   world.run_until(700);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // The old owner is refused by the state service and cut off from the other nodes, but goes on renewing the
@@ -190,7 +192,7 @@
 // still running.
 TEST_P(Cluster, ASilentMachineMayStillBeRenewedByTheOldOwner) {
   World world(options());
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   // (There is room left on other machines: what would be freed wrongly starts there.)
   for (int i = 0; i < 10; i++) {
     UserJob job = make_job(world, i, 2, 20);
@@ -202,26 +204,26 @@
   }
   world.at(45, [&world] {
     world.cloud.outage = true;
-    world.network.state_refuses.insert("roost-0");
-    world.network.isolated["roost-0"] = world.now;
+    world.network.nodes_refused_by_state.insert("roost-0");
+    world.network.isolated_since["roost-0"] = world.now;
     for (int i = 1; i < world.options.nodes; i++) {
-      world.network.cuts.insert({"roost-0", node_name(i)});
+      world.network.partitions.insert({"roost-0", node_name(i)});
       for (auto& [name, worker] : world.workers) {
-        if (shard_of(name, world.options.nodes) == 0) world.network.cuts.insert({name, node_name(i)});
+        if (shard_of(name, world.options.nodes) == 0) world.network.partitions.insert({name, node_name(i)});
       }
     }
   });
   world.at(100, [&world] {
-    world.network.cuts.clear();
-    world.network.state_refuses.clear();
-    world.network.isolated.clear();
+    world.network.partitions.clear();
+    world.network.nodes_refused_by_state.clear();
+    world.network.isolated_since.clear();
   });
   world.at(120, [&world] { world.cloud.outage = false; });
-  world.troubles_end = 120;
+  world.faults_end_at = 120;
 
   world.run_until(1500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // Several machines that fall silent together are more likely cut off than dead: they are waited for, and
@@ -229,27 +231,27 @@
 // (No message is lost on this day: a shard that is taken over meanwhile counts its machines' silence anew.)
 TEST_P(Cluster, MachinesThatAreCutOffTogetherAreNotReturned) {
   Options quiet = options();
-  quiet.loss = 0;
+  quiet.message_loss_share = 0;
   World world(quiet);
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   add_jobs(world, 2, 60);
   std::vector<Worker*> away;
   world.at(50, [&world, &away] {
     for (auto& [name, worker] : world.workers) {
       if (away.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
       away.push_back(worker.get());
-      world.network.cut_off(name);
+      world.network.partition_machine(name);
     }
   });
   world.at(74, [&world, &away] {
-    world.network.cuts.clear();
+    world.network.partitions.clear();
     EXPECT_GE(away.size(), 3u);
     for (const Worker* worker : away) EXPECT_FALSE(worker->dead) << worker->name;
   });
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // Their reports come, nothing that is sent reaches them; or only the answers are lost. Their leases run out,
@@ -261,10 +263,10 @@
   std::vector<std::string> for_good;
   for (double t = 25; t < 150; t += 12) {
     world.at(t, [&world, &for_good] {
-      Worker* worker = some_worker(world);
-      if (worker == nullptr || worker->inbound_unreachable || worker->answers_lost) return;
+      Worker* worker = random_worker(world);
+      if (worker == nullptr || worker->inbound_unreachable || worker->loses_report_answers) return;
       if (world.rng() % 3 == 0) {
-        worker->answers_lost = true;
+        worker->loses_report_answers = true;
       } else {
         worker->inbound_unreachable = true;
       }
@@ -272,15 +274,15 @@
         for_good.push_back(worker->name);
       } else {
         world.in(world.uniform(3, 60),
-                 [worker] { worker->inbound_unreachable = worker->answers_lost = false; });
+                 [worker] { worker->inbound_unreachable = worker->loses_report_answers = false; });
       }
     });
   }
-  world.troubles_end = 250;
+  world.faults_end_at = 250;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   for (const auto& [attempt, count] : world.rules.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
   for (const std::string& name : for_good)
     EXPECT_TRUE(world.workers.at(name)->dead) << name << " is still kept";
@@ -290,16 +292,16 @@
 // leases; across takeovers, restarts, and the return of the machines that sent them.
 TEST_P(Cluster, LateCopiesOfMessagesChangeNothing) {
   Options copied = options();
-  copied.copies = 0.3;
-  copied.state_copies = 0.2;
+  copied.message_copy_share = 0.3;
+  copied.commit_copy_share = 0.2;
   World world(copied);
   add_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += world.uniform(8, 20)) {
     world.at(t, [&world] {
-      Worker* worker = some_worker(world);
+      Worker* worker = random_worker(world);
       switch (world.rng() % 3) {
         case 0:
-          world.nodes.crash(some_node(world), world.uniform(0.1, 9));
+          world.nodes.crash(random_node(world), world.uniform(0.1, 9));
           break;
         case 1:
           if (worker != nullptr) worker->dead = true;
@@ -310,12 +312,12 @@
       }
     });
   }
-  world.troubles_end = 200;
+  world.faults_end_at = 200;
 
   world.run_until(500);
 
-  expect_kept(world);
-  EXPECT_EQ(world.rules.orders_to_copies, 0);
+  expect_invariants_hold(world);
+  EXPECT_EQ(world.rules.launches_to_copies, 0);
 }
 
 // A node reaches neither the state service nor the other nodes, but its workers (and sometimes the others do
@@ -323,49 +325,49 @@
 // up its role again.
 TEST_P(Cluster, ANodeWithItsWorkersOnly) {
   World world(options());
-  world.network.hold_share = 0.3;
+  world.network.delayed_share = 0.3;
   add_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 45) {
     world.at(t, [&world] {
-      const std::string name = node_name(some_node(world));
+      const std::string name = node_name(random_node(world));
       const bool unreached = world.rng() % 2 == 0;
-      world.network.state_refuses.insert(name);
-      world.network.isolated[name] = world.now;
+      world.network.nodes_refused_by_state.insert(name);
+      world.network.isolated_since[name] = world.now;
       for (int i = 0; i < world.options.nodes; i++) {
         if (node_name(i) == name) continue;
-        world.network.cuts.insert({name, node_name(i)});
+        world.network.partitions.insert({name, node_name(i)});
         for (auto& [machine_name, worker] : world.workers) {
           if (unreached && shard_of(machine_name, world.options.nodes) == node_index(name))
-            world.network.cuts.insert({machine_name, node_name(i)});
+            world.network.partitions.insert({machine_name, node_name(i)});
         }
       }
       world.in(world.uniform(5, 40), [&world] {
-        world.network.cuts.clear();
-        world.network.state_refuses.clear();
-        world.network.isolated.clear();
+        world.network.partitions.clear();
+        world.network.nodes_refused_by_state.clear();
+        world.network.isolated_since.clear();
       });
     });
   }
-  world.troubles_end = 200;
+  world.faults_end_at = 200;
 
   world.run_until(700);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // Processes are back within a fraction of a second: alone, in pairs, while shards are handed back, while an
 // election is under way, and while what they sent before is still being carried out.
 TEST_P(Cluster, ProcessesAreBackWithinAFractionOfASecond) {
   Options late = options();
-  late.loss = 0.02;
-  late.copies = 0.1;
-  late.state_copies = 0.1;
+  late.message_loss_share = 0.02;
+  late.message_copy_share = 0.1;
+  late.commit_copy_share = 0.1;
   World world(late);
   add_jobs(world, 2, 150);
   for (double t = 10; t < 170; t += world.uniform(3, 9)) {
     world.at(t, [&world] {
-      const int node = some_node(world);
-      world.network.drop_state_answers = static_cast<int>(world.rng() % 3);
+      const int node = random_node(world);
+      world.network.commit_answers_to_drop = static_cast<int>(world.rng() % 3);
       world.nodes.crash(node, world.uniform(0.02, 0.4));
       if (world.rng() % 2 == 0) {
         world.in(world.uniform(0, 1),
@@ -375,11 +377,11 @@
         world.in(world.uniform(0.05, 1), [&world, node] { world.nodes.crash(node, 0.05); });
     });
   }
-  world.troubles_end = 180;
+  world.faults_end_at = 180;
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // Machines lose power and are back within a fraction of a second, without anything that ran on them; some
@@ -391,18 +393,18 @@
   int reboots = 0;
   for (double t = 20; t < 160; t += world.uniform(3, 9)) {
     world.at(t, [&world, &reboots] {
-      Worker* worker = some_worker(world);
+      Worker* worker = random_worker(world);
       if (worker == nullptr) return;
       worker->reboot(world.rng() % 2 == 0);
       reboots++;
-      if (world.rng() % 4 == 0) world.nodes.crash(some_node(world), 0.1);
+      if (world.rng() % 4 == 0) world.nodes.crash(random_node(world), 0.1);
     });
   }
-  world.troubles_end = 180;
+  world.faults_end_at = 180;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(reboots, 15);
 }
 
@@ -415,12 +417,12 @@
 
   world.run_until(900);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   for (const std::string& ref : largest) {
     const UserJob& job = world.jobs.at(ref);
     ASSERT_TRUE(job.accepted) << ref;
-    EXPECT_GE(job.first_start, 0) << ref;
-    EXPECT_LT(job.first_start - job.submit_at, 240) << ref;
+    EXPECT_GE(job.first_started_at, 0) << ref;
+    EXPECT_LT(job.first_started_at - job.submit_at, 240) << ref;
   }
 }
 
@@ -432,17 +434,17 @@
   add_jobs(world, 2, 60);
   world.at(40, [&world] {
     const std::string segment = keys::segment(0, 1);
-    if (world.state.values().count(segment) > 0) world.state.spoil(segment);
+    if (world.state.values().count(segment) > 0) world.state.corrupt(segment);
     world.nodes.crash(0, 0.2);
   });
-  world.troubles_end = 45;
-  world.rules.all_runs = false;  // the record stays as it is: this trouble does not end
+  world.faults_end_at = 45;
+  world.rules.checks_starvation = false;  // the record stays as it is: this trouble does not end
 
   world.run_until(400);
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   int ended = 0;
-  for (const auto& [ref, job] : world.jobs) ended += job.told_done || job.told_aborted ? 1 : 0;
+  for (const auto& [ref, job] : world.jobs) ended += job.user_saw_done || job.user_saw_aborted ? 1 : 0;
   EXPECT_GT(ended, 0);
 }
 
@@ -466,8 +468,8 @@
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   const UserJob& after = world.jobs.begin()->second;
-  EXPECT_TRUE(after.told_aborted);
+  EXPECT_TRUE(after.user_saw_aborted);
   EXPECT_GT(after.completed.size(), 300u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Cluster, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, Cluster, ::testing::Range(1, 1 + seed_count()));
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -18,7 +18,7 @@
   Options out;
   out.nodes = 1;
   out.shard_count = 3;
-  out.loss = 0;
+  out.message_loss_share = 0;
   return out;
 }
 
@@ -26,7 +26,7 @@
  public:
   Player() : world_(one_node()) {
     set_up_log();
-    world_.network.outside = [this](const HttpCall& call) {
+    world_.network.on_unknown_destination = [this](const HttpCall& call) {
       const Json body = parse_json(call.body);
       said_.push_back("~ " + call.destination.substr(0, call.destination.find(':')) + " " + orders(body));
     };
@@ -62,7 +62,7 @@
       in >> what;
       if (what == "out") world_.state.set_outage(true);
       if (what == "back") world_.state.set_outage(false);
-      if (what == "loses-answer") world_.network.drop_state_answers = 1;
+      if (what == "loses-answer") world_.network.commit_answers_to_drop = 1;
     } else if (verb == "restart") {
       world_.nodes.crash(0, 0.2);
       world_.run_until(world_.now + 1.5);
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -76,8 +76,8 @@
     job.cancel_at = 50 + 6 * i;
     world.submit(job);
   }
-  world.at(45, [&world] { world.network.cut_from_workers(1); });
-  world.at(70, [&world] { world.network.mend_nodes(); });
+  world.at(45, [&world] { world.network.partition_node_from_workers(1); });
+  world.at(70, [&world] { world.network.heal_partitions(); });
 }
 
 }  // namespace
@@ -133,7 +133,7 @@
 
   world.run_until(330);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   const Json old = samples();
   const auto expect_same = [](const std::string& what, const Json& before, const Json& now) {
     const auto shape = shape_of(now);
@@ -161,9 +161,9 @@
     out.next_value_kb = 2;
     out.next_txn_ops = 4;
     out.next_write_rps = 20;
-    out.market = 6;
+    out.market_machines = 6;
     out.team_cpus = 100;
-    out.team_max = 300;
+    out.team_max_cpus = 300;
     return out;
   }
 };
@@ -178,22 +178,22 @@
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, 40 + i, 5 + 12 * i, 40, 25, 1));
   world.at(40, [&world] { world.nodes.upgrade(0, 2); });
   world.at(46, [&world] { world.nodes.crash(1, 0.3); });  // comes back old
-  world.at(50, [&world] { world.network.cut_node(0, true); });
-  world.at(62, [&world] { world.network.mend_nodes(); });
-  world.at(66, [&world] { world.network.cut_from_workers(2); });
+  world.at(50, [&world] { world.network.partition_node(0, true); });
+  world.at(62, [&world] { world.network.heal_partitions(); });
+  world.at(66, [&world] { world.network.partition_node_from_workers(2); });
   world.at(75, [&world] { world.nodes.upgrade(1, 0.3); });
   world.at(80, [&world] {
     for (int i = 0; i < 3; i++) world.nodes.crash(i, 0.3 + i);  // two new ones, one old
   });
-  world.at(90, [&world] { world.network.mend_nodes(); });
+  world.at(90, [&world] { world.network.heal_partitions(); });
   world.at(95, [&world] { world.nodes.upgrade(2, 8); });
   world.at(100, [&world] { world.state.lower_limits(2, 4, 20); });
-  world.troubles_end = 115;
+  world.faults_end_at = 115;
 
   world.run_until(360);
 
-  expect_kept(world);
-  EXPECT_EQ(world.state.too_large, 0);
+  expect_invariants_hold(world);
+  EXPECT_EQ(world.state.oversized_transactions, 0);
 }
 
 // Stopped half way: both versions serve for as long as it takes.
@@ -203,11 +203,11 @@
   world.at(40, [&world] { world.nodes.upgrade(1, 2); });
   world.at(70, [&world] { world.nodes.crash(1, 9); });
   world.at(110, [&world] { world.nodes.crash(0, 9); });
-  world.troubles_end = 125;
+  world.faults_end_at = 125;
 
   world.run_until(360);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, Upgrade, ::testing::Range(1, 1 + seed_count()));
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -42,32 +42,33 @@
     Options out;
     out.seed = static_cast<std::uint64_t>(GetParam()) + 300;
     out.nodes = GetParam() % 2 == 0 ? 5 : 3;
-    out.loss = 0;
-    out.close_looks = true;
+    out.message_loss_share = 0;
+    out.poll_all_nodes = true;
     return out;
   }
   // No node reaches another.
   static void cut_all_peers(World& world) {
     for (int a = 0; a < world.options.nodes; a++) {
-      for (int b = 0; b < a; b++) world.network.cuts.insert({node_name(a), node_name(b)});
+      for (int b = 0; b < a; b++) world.network.partitions.insert({node_name(a), node_name(b)});
     }
   }
   // From 20 s to 130 s no node reaches another, and the answers to the chosen transactions arrive so much
   // later, or not at all. `disturbed` counts them.
   static void disturb_answers(World& world, const std::function<bool(const Json&)>& chosen,
                               const std::function<double()>& delay_s, int& disturbed) {
-    world.network.hold_share = 0;
-    world.network.commit_answer = [chosen, delay_s, &disturbed](const std::string&, const Json& transaction) {
+    world.network.delayed_share = 0;
+    world.network.commit_answer_delay_s = [chosen, delay_s, &disturbed](const std::string&,
+                                                                        const Json& transaction) {
       if (!chosen(transaction)) return 0.0;
       disturbed++;
       return delay_s();
     };
     world.at(20, [&world] { cut_all_peers(world); });
     world.at(130, [&world] {
-      world.network.mend_nodes();
-      world.network.commit_answer = nullptr;
+      world.network.heal_partitions();
+      world.network.commit_answer_delay_s = nullptr;
     });
-    world.troubles_end = 130;
+    world.faults_end_at = 130;
   }
 };
 
@@ -84,7 +85,7 @@
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(lost, 5);
 }
 
@@ -98,7 +99,7 @@
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(slow, 5);
 }
 
@@ -112,14 +113,14 @@
   for (double t = 25; t < 110; t += 6) {
     world.at(t, [&world] {
       for (auto& [ref, job] : world.jobs) {
-        if (job.accepted && !job.told_done && world.rng() % 4 == 0) world.cancel_job(ref);
+        if (job.accepted && !job.user_saw_done && world.rng() % 4 == 0) world.cancel_job(ref);
       }
     });
   }
 
   world.run_until(500);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(lost, 3);
 }
 
@@ -127,19 +128,19 @@
 // node. The next owner cancels jobs at once, while the old one's lease is still good.
 TEST_P(WentBack, TheAnswerToAHandBackIsLost) {
   World world(options());
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   // More than the machines can hold: a job of which nothing has started is cancelled at once.
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, world.uniform(2, 20), 10, 100));
   world.at(24, [&world] { world.nodes.crash(0, 10); });
   int handed_back = 0;
-  world.network.commit_answer = [&](const std::string& from, const Json& transaction) {
+  world.network.commit_answer_delay_s = [&](const std::string& from, const Json& transaction) {
     if (!changes_key(transaction, "delete", keys::shard_owner(0)) || handed_back++ > 0) return 0.0;
-    world.network.state_unheard.insert(from);
+    world.network.nodes_without_state_answers.insert(from);
     cut_all_peers(world);
-    world.network.cut_from_workers(node_index(from));
+    world.network.partition_node_from_workers(node_index(from));
     world.in(3, [&world] {
-      world.network.state_unheard.clear();
-      world.network.mend_nodes();
+      world.network.nodes_without_state_answers.clear();
+      world.network.heal_partitions();
     });
     for (const double t : {0.1, 0.3, 0.5, 0.8}) {
       world.in(t, [&world] {
@@ -150,14 +151,14 @@
     }
     return kLost;
   };
-  world.troubles_end = 70;
+  world.faults_end_at = 70;
 
   world.run_until(75);
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   EXPECT_GT(handed_back, 0);
   int cancelled = 0;
-  for (const auto& [ref, job] : world.jobs) cancelled += job.told_aborted ? 1 : 0;
+  for (const auto& [ref, job] : world.jobs) cancelled += job.user_saw_aborted ? 1 : 0;
   EXPECT_GT(cancelled, 0);
 }
 
@@ -167,30 +168,30 @@
   Options five = options();
   five.nodes = 5;  // more is delegated among five shards than among three
   World world(five);
-  world.network.hold_share = 0;
+  world.network.delayed_share = 0;
   for (int i = 0; i < 20; i++) world.submit(plain_job(world, i, world.uniform(2, 50), 12, 25));
   std::set<std::string> spoiled;
-  world.network.lose_commit = [&](const std::string&, const Json& transaction) {
+  world.network.should_lose_commit = [&](const std::string&, const Json& transaction) {
     if (!is_ending(transaction)) return false;
     for (const Json& change : transaction["then"]) {
       const std::string delegation = change.value("delete", "");
       if (delegation.rfind(keys::kDelegations, 0) != 0 || !spoiled.insert(delegation).second) continue;
-      world.state.write_again(delegation);
+      world.state.rewrite_unchanged(delegation);
       return true;
     }
     return false;
   };
   world.at(55, [&world] { cut_all_peers(world); });
   world.at(120, [&world] {
-    world.network.lose_commit = nullptr;
-    world.network.mend_nodes();
+    world.network.should_lose_commit = nullptr;
+    world.network.heal_partitions();
   });
-  world.troubles_end = 120;
+  world.faults_end_at = 120;
 
   world.run_until(500);
 
   EXPECT_FALSE(spoiled.empty());
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
 // A node accepts a job, hears of it through its watch, runs it and ends it, and only then the answer to the
@@ -202,7 +203,7 @@
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2, 4, 30));
   for (int i = 6; i < 26; i++) world.submit(plain_job(world, i, 40 + i, 1, 0.2, 1));
   int slow = 0;
-  world.network.commit_answer = [&](const std::string&, const Json& transaction) {
+  world.network.commit_answer_delay_s = [&](const std::string&, const Json& transaction) {
     if (world.now < 40 || is_ending(transaction) || !changes_key(transaction, "put", keys::kJobRecords))
       return 0.0;
     slow++;
@@ -213,7 +214,7 @@
 
   world.run_until(200);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(slow, 10);
   EXPECT_EQ(world.state.revision(keys::shard_owner(0)), token)
       << "a job that had ended made the shard start over";
@@ -223,18 +224,18 @@
 TEST_P(WentBack, AWatchThatLagsBehindManyEndings) {
   Options one = options();
   one.nodes = 1;
-  one.close_looks = false;
+  one.poll_all_nodes = false;
   one.state_rps = 3000;
   one.write_rps = 1500;
-  one.market = 12;
-  one.team_cpus = one.team_max = 400;
+  one.market_machines = 12;
+  one.team_cpus = one.team_max_cpus = 400;
   World world(one);
   for (int i = 0; i < 10; i++) world.submit(plain_job(world, i, 2, 12, 30));
   for (int i = 0; i < 600; i++) {
     world.submit(plain_job(world, 1000 + i, 50 + i * 0.01, 1, 0.2, 1));
   }
-  world.at(49, [&world] { world.state.hold_watches = true; });
-  world.at(58.5, [&world] { world.state.release_watches(); });
+  world.at(49, [&world] { world.state.are_watches_paused = true; });
+  world.at(58.5, [&world] { world.state.resume_watches(); });
   std::uint64_t token = 0;
   world.at(48, [&] { token = world.state.revision(keys::shard_owner(0)); });
   std::size_t ended = 0;
@@ -244,7 +245,7 @@
 
   world.run_until(200);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   EXPECT_GT(ended, 300u) << "too few ended behind the watch";
   EXPECT_EQ(world.state.revision(keys::shard_owner(0)), token)
       << "a job that had ended made the shard start over";
@@ -257,14 +258,14 @@
   five.nodes = 5;
   five.jobs = 60;
   World world(five);
-  world.network.watch_delay_s = 1.2;
+  world.network.max_watch_delay_s = 1.2;
   add_jobs(world, 2, 150);
-  world.at(250, [&world] { world.network.watch_delay_s = 0; });
-  world.troubles_end = 250;
+  world.at(250, [&world] { world.network.max_watch_delay_s = 0; });
+  world.faults_end_at = 250;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
   int tasks_returned = 0;
   for (int i = 0; i < five.nodes; i++) {
     for (int p = 0; p < five.nodes; p++) {
@@ -278,52 +279,52 @@
 // Everything at once, with users who look closely all the time.
 TEST_P(WentBack, ManyTroublesMeet) {
   Options rough = options();
-  rough.loss = 0.01;
-  rough.late_writes = 0.05;
+  rough.message_loss_share = 0.01;
+  rough.late_commit_share = 0.05;
   rough.jobs = 40;
   World world(rough);
   add_jobs(world, 2, 120);
-  world.network.commit_answer = [&world](const std::string&, const Json&) {
+  world.network.commit_answer_delay_s = [&world](const std::string&, const Json&) {
     return world.uniform(0, 1) < 0.3 ? kLost : world.uniform(0, 1) < 0.2 ? world.uniform(0.1, 1.4) : 0.0;
   };
   for (double t = 20; t < 130; t += 9) {
     world.at(t, [&world] {
-      const int node = some_node(world);
+      const int node = random_node(world);
       switch (world.rng() % 5) {
         case 0:
           return cut_all_peers(world);
         case 1:
-          return world.network.cut_node(node, world.rng() % 2 == 0);
+          return world.network.partition_node(node, world.rng() % 2 == 0);
         case 2:
           return world.nodes.freeze(node, world.uniform(0.5, 8));
         case 3:
           return world.nodes.crash(node, world.uniform(0.1, 9));
         default:
-          world.state.slow_s = world.uniform(0, 0.6);
+          world.state.answer_delay_s = world.uniform(0, 0.6);
       }
     });
     world.at(t + 7, [&world] {
-      world.network.mend_nodes();
-      world.state.slow_s = 0;
+      world.network.heal_partitions();
+      world.state.answer_delay_s = 0;
     });
     world.at(t + 3, [&world] {
       for (auto& [ref, job] : world.jobs) {
-        if (job.accepted && !job.told_done && world.rng() % 8 == 0) world.cancel_job(ref);
+        if (job.accepted && !job.user_saw_done && world.rng() % 8 == 0) world.cancel_job(ref);
       }
     });
   }
   world.at(140, [&world] {
-    world.network.commit_answer = nullptr;
-    world.options.late_writes = 0;
+    world.network.commit_answer_delay_s = nullptr;
+    world.options.late_commit_share = 0;
   });
-  world.troubles_end = 155;
+  world.faults_end_at = 155;
 
   world.run_until(600);
 
-  expect_kept(world);
+  expect_invariants_hold(world);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, WentBack, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, WentBack, ::testing::Range(1, 1 + seed_count()));
 
 // ---------------------------------------------------------------- the check itself
 
@@ -335,23 +336,23 @@
 
 TEST(AnswerHistory, AnOlderAnswerIsFoundByTheOrderOfAskingAndReceiving) {
   AnswerHistory told;
-  EXPECT_FALSE(told.take(poll(1, 2, "queued")));
-  EXPECT_FALSE(told.take(poll(3, 4, "done")));
-  EXPECT_FALSE(told.take(poll(3.5, 5, "running"))) << "asked before the end was told";
-  EXPECT_TRUE(told.take(poll(4.001, 5, "running")));
-  EXPECT_FALSE(told.take(poll(6, 7, "done")));
+  EXPECT_FALSE(told.record(poll(1, 2, "queued")));
+  EXPECT_FALSE(told.record(poll(3, 4, "done")));
+  EXPECT_FALSE(told.record(poll(3.5, 5, "running"))) << "asked before the end was told";
+  EXPECT_TRUE(told.record(poll(4.001, 5, "running")));
+  EXPECT_FALSE(told.record(poll(6, 7, "done")));
 }
 
 TEST(AnswerHistory, AJobHasOneTerminalState) {
   AnswerHistory told;
-  EXPECT_FALSE(told.take(poll(1, 9, "aborted")));
-  EXPECT_TRUE(told.take(poll(1, 2, "done")));
+  EXPECT_FALSE(told.record(poll(1, 9, "aborted")));
+  EXPECT_TRUE(told.record(poll(1, 2, "done")));
 }
 
 TEST(AnswerHistory, AnAcceptedJobIsNotUnknown) {
   AnswerHistory told;
-  EXPECT_FALSE(told.take({1, 2, false, ""}));
-  EXPECT_FALSE(told.take(poll(3, 4, "queued")));
-  EXPECT_FALSE(told.take({3.5, 5, false, ""})) << "asked before the acceptance was told";
-  EXPECT_TRUE(told.take({4.5, 5, false, ""}));
+  EXPECT_FALSE(told.record({1, 2, false, ""}));
+  EXPECT_FALSE(told.record(poll(3, 4, "queued")));
+  EXPECT_FALSE(told.record({3.5, 5, false, ""})) << "asked before the acceptance was told";
+  EXPECT_TRUE(told.record({4.5, 5, false, ""}));
 }
