--- a/tests/sim/addresses.hpp
+++ b/tests/sim/addresses.hpp
@@ -25,7 +25,7 @@
 // Which node has an address, and at which of its two it is called.
 struct NodeAddress {
   int index;
-  bool client_address;  // false: the one for other nodes and operators
+  bool is_client_address;  // false: the one for other nodes and operators
 };
 
 // Nothing: none of so many nodes has it.
--- a/tests/sim/checks.cpp
+++ b/tests/sim/checks.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kLargestBeginWithinS = 240;
+constexpr double kMaxLargestJobStartSeconds = 240;
 
 void expect_shards_owned(const World& world) {
   for (int shard = 0; shard < world.options.nodes; shard++) {
@@ -50,16 +50,17 @@
 }
 
 // They begin within four minutes of their submission, or of the troubles' end.
-void expect_largest_begun(const World& world) {
+void expect_largest_started(const World& world) {
   for (const UserJob* job : largest_of_each_class(world)) {
-    const bool troubled = world.faults_end_at < 1e17 && job->submit_at < world.faults_end_at;
-    const double since = troubled ? world.faults_end_at : job->submit_at;
+    const bool was_submitted_during_faults =
+        world.faults_end_at < 1e17 && job->submit_at < world.faults_end_at;
+    const double waiting_since = was_submitted_during_faults ? world.faults_end_at : job->submit_at;
     EXPECT_GE(job->first_started_at, 0) << job->ref;
-    EXPECT_LE(job->first_started_at - since, kLargestBeginWithinS) << job->ref;
+    EXPECT_LE(job->first_started_at - waiting_since, kMaxLargestJobStartSeconds) << job->ref;
   }
 }
 
-void expect_all_told(const World& world) {
+void expect_all_ends_seen(const World& world) {
   for (const auto& [ref, job] : world.jobs) {
     if (job.accepted) {
       EXPECT_TRUE(job.user_saw_done || job.user_saw_aborted) << ref << "\n" << world.summary();
@@ -74,8 +75,8 @@
   EXPECT_GT(world.starts, 0);
   expect_shards_owned(world);
   expect_half_served(world);
-  expect_largest_begun(world);
-  expect_all_told(world);
+  expect_largest_started(world);
+  expect_all_ends_seen(world);
 }
 
 }  // namespace mothslip::sim
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -11,18 +11,19 @@
 
 namespace {
 // Of the protocol: machines in one call.
-constexpr int kMostRented = 50;
-constexpr std::size_t kMostReturned = 100;
-constexpr std::size_t kMostListed = 500;
+constexpr int kMaxRentedPerCall = 50;
+constexpr std::size_t kMaxReturnedPerCall = 100;
+constexpr std::size_t kMaxListedPerCall = 500;
 }  // namespace
 
-Cloud::Cloud(World& world) : world_(world), calls_(world.options.cloud_rps, 2 * world.options.cloud_rps, 0) {}
+Cloud::Cloud(World& world)
+    : world_(world), call_limiter_(world.options.cloud_rps, 2 * world.options.cloud_rps, 0) {}
 
 void Cloud::handle(const std::string& target, const std::string& body, const Reply& reply) {
   if (outage) return reply(503, {{"error", "trouble"}});
   if (world_.options.rate_limits) {
-    if (!calls_.can_take(1, 0, world_.now)) return reply(429, Json::object());
-    calls_.take(1, world_.now);
+    if (!call_limiter_.can_take(1, 0, world_.now)) return reply(429, Json::object());
+    call_limiter_.take(1, world_.now);
   }
   const std::string path = target.substr(0, target.find('?'));
   const Json request = body.empty() ? Json::object() : parse_json(body);
@@ -44,33 +45,34 @@
 }
 
 void Cloud::return_machines(const Json& request, const Reply& reply) {
-  if (request["hosts"].size() > kMostReturned)
+  if (request["hosts"].size() > kMaxReturnedPerCall)
     world_.report_violation("more than 100 machines returned in one call");
   for (const Json& machine_name : request["hosts"]) {
     const auto worker = world_.workers.find(machine_name);
     if (worker != world_.workers.end()) worker->second->dead = true;
     const auto row = rows_.find(machine_name);
-    if (row != rows_.end()) row->second.gone = std::min(row->second.gone, world_.now);
+    if (row != rows_.end()) row->second.returned_at = std::min(row->second.returned_at, world_.now);
   }
   reply(200, Json::object());
 }
 
-int Cloud::room_for(const Json& request) const {
+int Cloud::available_machines(const Json& request) const {
   const auto taken = std::count_if(rows_.begin(), rows_.end(), [&](const auto& named_row) {
     const Row& row = named_row.second;
-    const bool same = row.item["flavour"] == request["flavour"] && row.item["hall"] == request["hall"] &&
-                      row.item["loaner"] == request["loaner"];
-    return same && row.gone > world_.now;
+    const bool is_same_market = row.item["flavour"] == request["flavour"] &&
+                                row.item["hall"] == request["hall"] &&
+                                row.item["loaner"] == request["loaner"];
+    return is_same_market && row.returned_at > world_.now;
   });
   return world_.options.market_machines - static_cast<int>(taken);
 }
 
 std::string Cloud::create_machine(const Json& request) {
   std::ostringstream ref;
-  ref << "host-" << std::string(6 - std::to_string(next_).size(), '0') << next_;
-  const std::string address =
-      "10.1." + std::to_string(next_ / 250) + "." + std::to_string(next_ % 250) + ":9000";
-  next_++;
+  ref << "host-" << std::string(6 - std::to_string(next_machine_number_).size(), '0') << next_machine_number_;
+  const std::string address = "10.1." + std::to_string(next_machine_number_ / 250) + "." +
+                              std::to_string(next_machine_number_ % 250) + ":9000";
+  next_machine_number_++;
   machines_rented++;
   auto worker =
       std::make_unique<Worker>(world_, ref.str(), address, request["flavour"], request["hall"],
@@ -93,8 +95,8 @@
   const std::string rental = request["rental"];
   if (rentals_.count(rental) > 0) return reply(200, rentals_[rental]);
   const int wanted = request["how_many"].get<int>();
-  if (wanted > kMostRented) world_.report_violation("more than 50 machines rented in one call");
-  const int count = std::min(wanted, room_for(request));
+  if (wanted > kMaxRentedPerCall) world_.report_violation("more than 50 machines rented in one call");
+  const int count = std::min(wanted, available_machines(request));
   if (count <= 0) return reply(503, {{"error", "no capacity"}});
   Json machine_names = Json::array();
   for (int i = 0; i < count; i++) machine_names.push_back(create_machine(request));
@@ -106,17 +108,17 @@
   const double as_of = world_.now - world_.uniform(0, 6);  // the list is up to 6 s old
   const std::string from = query_parameter(target, "from");
   const std::size_t most = std::stoul(query_parameter(target, "most"));
-  if (most > kMostListed) return reply(400, {{"error", "too many at once"}});
+  if (most > kMaxListedPerCall) return reply(400, {{"error", "too many at once"}});
   bool more = false;
   Json machines = Json::array();
   for (const auto& [ref, row] : rows_) {
-    if (ref <= from || row.created > as_of || row.gone <= as_of) continue;
+    if (ref <= from || row.created_at > as_of || row.returned_at <= as_of) continue;
     if (machines.size() == most) {
       more = true;
       break;
     }
     Json item = row.item;
-    item["age_s"] = as_of - row.created;
+    item["age_s"] = as_of - row.created_at;
     machines.push_back(item);
   }
   reply(200, {{"hosts", machines}, {"more", more}});
--- a/tests/sim/cloud.hpp
+++ b/tests/sim/cloud.hpp
@@ -26,23 +26,23 @@
   // A machine as it is listed.
   struct Row {
     Json item;
-    double created;
-    double gone = 1e18;  // the time at which it was returned
+    double created_at;
+    double returned_at = 1e18;  // the time at which it was returned
   };
   void list_machine_types(const Reply& reply) const;
   void return_machines(const Json& request, const Reply& reply);
   void rent_machines(const Json& request, const Reply& reply);
   void list_machines(const std::string& target, const Reply& reply);
   // How many more the market has of this type, zone and kind.
-  [[nodiscard]] int room_for(const Json& request) const;
+  [[nodiscard]] int available_machines(const Json& request) const;
   // Gives its name.
   std::string create_machine(const Json& request);
 
   World& world_;
   std::map<std::string, Json> rentals_;  // answers, by the request's name: a repetition gets the same
-  int next_ = 1;
+  int next_machine_number_ = 1;
   std::map<std::string, Row> rows_;
-  TokenBucket calls_;
+  TokenBucket call_limiter_;
 };
 
 }  // namespace mothslip::sim
--- a/tests/sim/collector.hpp
+++ b/tests/sim/collector.hpp
@@ -12,13 +12,13 @@
 
 class Collector {
  public:
-  static constexpr std::size_t kMost = 12;  // of each kind
+  static constexpr std::size_t kMaxPerKind = 12;  // of each kind
 
   explicit Collector(World& world) : world_(world) {
     world.network.on_peer_message = [this](const HttpCall& call, const HttpAnswer& answer) {
-      take(call, answer);
+      record_message(call, answer);
     };
-    look();
+    sample_records();
   }
 
   // "w/j/2/job-000412" is of kind "w/j".
@@ -32,11 +32,11 @@
   std::map<std::string, std::vector<Json>> messages;  // by path: request and answer
 
  private:
-  void look() {
+  void sample_records() {
     for (const auto& [key, value] : world_.state.values()) add(records[kind_of(key)], value);
-    world_.in(0.5, [this] { look(); });
+    world_.in(0.5, [this] { sample_records(); });
   }
-  void take(const HttpCall& call, const HttpAnswer& answer) {
+  void record_message(const HttpCall& call, const HttpAnswer& answer) {
     if (call.path.rfind("/peer/", 0) != 0) return;
     add(messages[call.path],
         {{"request", parse_json(call.body)}, {"status", answer.status}, {"answer", parse_json(answer.body)}});
@@ -44,20 +44,20 @@
   static bool has_new_field(const std::vector<Json>& list, const Json& value) {
     if (!value.is_object()) return false;
     for (const auto& [name, item] : value.items()) {
-      const bool known = std::any_of(list.begin(), list.end(),
-                                     [&name = name](const Json& each) { return each.contains(name); });
-      if (!known) return true;
+      const bool is_known = std::any_of(list.begin(), list.end(),
+                                        [&name = name](const Json& each) { return each.contains(name); });
+      if (!is_known) return true;
     }
     return false;
   }
   static void add(std::vector<Json>& list, const Json& value) {
-    if (list.size() >= kMost && !has_new_field(list, value) &&
+    if (list.size() >= kMaxPerKind && !has_new_field(list, value) &&
         value.dump().size() < 2 * list.back().dump().size())
       return;
     for (const Json& known : list) {
       if (known == value) return;
     }
-    if (list.size() >= kMost) list.erase(list.begin());
+    if (list.size() >= kMaxPerKind) list.erase(list.begin());
     list.push_back(value);
   }
 
--- a/tests/sim/days.cpp
+++ b/tests/sim/days.cpp
@@ -13,7 +13,7 @@
   job.submit_at = world.uniform(earliest_at, latest_at);
   if (world.rng() % 5 == 0) job.cancel_at = job.submit_at + world.uniform(0, 30);
   const int cores = 1 + static_cast<int>(world.rng() % 8);
-  const bool together = world.rng() % 5 == 0;
+  const bool same_zone = world.rng() % 5 == 0;
   job.body = {{"ref", job.ref},
               {"workload", "w"},
               {"owner", world.rng() % 2 == 0 ? "red" : "blue"},
@@ -27,8 +27,8 @@
               {"pull_gb", 1},
               {"flavours", nullptr},
               {"hall", world.rng() % 6 == 0 ? Json("b") : Json(nullptr)},
-              {"together", together},
-              {"scatter", !together && world.rng() % 5 == 0},
+              {"together", same_zone},
+              {"scatter", !same_zone && world.rng() % 5 == 0},
               {"loaner", world.rng() % 3 != 0},
               {"guess_s", job.run_s * world.uniform(0.5, 1.5)},
               {"snapshot_every_s", 0},
--- a/tests/sim/gangs.cpp
+++ b/tests/sim/gangs.cpp
@@ -8,10 +8,10 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr double kStep = 0.1;
-constexpr double kFailsAfter = 0.5;  // a task that fails does so this long after its start
+constexpr double kStepSeconds = 0.1;
+constexpr double kFailDelaySeconds = 0.5;  // a task that fails does so this long after its start
 
-bool present(const Task& task) { return task.phase != "exited"; }
+bool is_present(const Task& task) { return task.phase != "exited"; }
 }  // namespace
 
 void Gangs::begin() { step(); }
@@ -27,17 +27,17 @@
   }
   for (auto& [key, attempt] : attempts_) members[key];  // also those of which every task has vanished
   for (auto& [key, list] : members) play(world_.jobs.at(key.first), attempts_[key], list);
-  world_.in(kStep, [this] { step(); });
+  world_.in(kStepSeconds, [this] { step(); });
 }
 
 void Gangs::play(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
-  const auto here = static_cast<std::size_t>(
-      std::count_if(members.begin(), members.end(), [](const Member& each) { return present(*each.task); }));
-  if (!attempt.started) {
-    attempt.lost_one |= here < attempt.most;
-    attempt.most = std::max(attempt.most, here);
+  const auto present_tasks = static_cast<std::size_t>(std::count_if(
+      members.begin(), members.end(), [](const Member& each) { return is_present(*each.task); }));
+  if (!attempt.has_started) {
+    attempt.lost_task_before_start |= present_tasks < attempt.max_tasks_seen;
+    attempt.max_tasks_seen = std::max(attempt.max_tasks_seen, present_tasks);
     start(job, attempt, members);
-  } else if (attempt.first_stop >= 0) {
+  } else if (attempt.first_stop_at >= 0) {
     save(job, attempt, members);
   } else {
     run(job, attempt, members);
@@ -45,7 +45,7 @@
 }
 
 void Gangs::exit(Member& member, const char* cause) {
-  if (!present(*member.task)) return;
+  if (!is_present(*member.task)) return;
   member.task->phase = "exited";
   member.task->cause = cause;
   member.worker->mark_changed();
@@ -64,15 +64,15 @@
   }
   if (waiting < job.task_count) return;
   attempts_started++;
-  attempts_started_after_loss += attempt.lost_one ? 1 : 0;
-  attempt.started = true;
-  attempt.begun_at = world_.now;
-  attempt.begun_with = job.progress_s;
-  attempt.ends = world_.now + job.run_s - job.progress_s;
+  attempts_started_after_loss += attempt.lost_task_before_start ? 1 : 0;
+  attempt.has_started = true;
+  attempt.started_at = world_.now;
+  attempt.progress_at_start_s = job.progress_s;
+  attempt.completes_at = world_.now + job.run_s - job.progress_s;
   job.gang_started_at = world_.now;
   if (job.first_started_at < 0) job.first_started_at = world_.now;
   for (Member& member : members) {
-    if (!present(*member.task)) continue;
+    if (!is_present(*member.task)) continue;
     member.task->phase = "running";
     member.worker->mark_changed();
   }
@@ -80,11 +80,12 @@
 
 // Falls back to the last checkpoint.
 void Gangs::fall_back(UserJob& job, Attempt& attempt) const {
-  const double every = job.body["snapshot_every_s"].get<double>();
-  const double until = attempt.broken_at >= 0 ? attempt.broken_at : attempt.first_stop;
-  const double reached = attempt.begun_with + until - attempt.begun_at;
-  const double kept = every > 0 ? std::floor(reached / every) * every : 0;
-  job.progress_s = std::max(job.progress_s, std::min(kept, job.run_s));
+  const double checkpoint_interval_s = job.body["snapshot_every_s"].get<double>();
+  const double progress_until = attempt.ended_at >= 0 ? attempt.ended_at : attempt.first_stop_at;
+  const double reached_s = attempt.progress_at_start_s + progress_until - attempt.started_at;
+  const double kept_s =
+      checkpoint_interval_s > 0 ? std::floor(reached_s / checkpoint_interval_s) * checkpoint_interval_s : 0;
+  job.progress_s = std::max(job.progress_s, std::min(kept_s, job.run_s));
 }
 
 void Gangs::run(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
@@ -92,26 +93,26 @@
   for (Member& member : members) {
     if (member.task->phase == "running" && !member.worker->hung) running++;
     const bool fails = member.worker->faulty || job.always_fails;
-    if (fails && member.task->phase == "running" && world_.now - attempt.begun_at > kFailsAfter)
+    if (fails && member.task->phase == "running" && world_.now - attempt.started_at > kFailDelaySeconds)
       exit(member, "error");
   }
-  if (attempt.broken_at < 0 && running == job.task_count) {
-    if (world_.now < attempt.ends) return;
+  if (attempt.ended_at < 0 && running == job.task_count) {
+    if (world_.now < attempt.completes_at) return;
     for (Member& member : members) {
-      if (!present(*member.task)) continue;
+      if (!is_present(*member.task)) continue;
       exit(member, "done");
       world_.on_task_completed(*member.task);
     }
-    attempt.broken_at = world_.now;
+    attempt.ended_at = world_.now;
     job.progress_s = job.run_s;
     return;
   }
-  if (attempt.broken_at < 0) {
-    attempt.broken_at = world_.now;
+  if (attempt.ended_at < 0) {
+    attempt.ended_at = world_.now;
     if (static_cast<int>(job.completed.size()) < job.task_count) attempts_failed++;
     fall_back(job, attempt);
   }
-  if (world_.now - attempt.broken_at < world_.options.gang_peer_s) return;
+  if (world_.now - attempt.ended_at < world_.options.gang_peer_s) return;
   for (Member& member : members) {
     if (!member.worker->hung) exit(member, "mates_gone");
   }
@@ -122,10 +123,10 @@
   Attempt& attempt = attempts_[{task.ref, task.attempt}];
   const bool can_save =
       job.body["snapshot_every_s"].get<double>() > 0 && grace_s >= job.body["snapshot_cost_s"].get<double>();
-  if (task.phase == "running" && can_save && attempt.broken_at < 0) {
+  if (task.phase == "running" && can_save && attempt.ended_at < 0) {
     task.phase = "saving";
     task.phase_ends_at = world_.now + job.body["snapshot_cost_s"].get<double>();
-    if (attempt.first_stop < 0) attempt.first_stop = world_.now;
+    if (attempt.first_stop_at < 0) attempt.first_stop_at = world_.now;
     return;
   }
   if (task.phase == "saving" && grace_s > 0) return;
@@ -134,27 +135,27 @@
 }
 
 void Gangs::save(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
-  const double since = world_.now - attempt.first_stop;
-  const auto told = std::count_if(members.begin(), members.end(), [](const Member& each) {
+  const double since_stop_s = world_.now - attempt.first_stop_at;
+  const auto saving_tasks = std::count_if(members.begin(), members.end(), [](const Member& each) {
     return each.task->phase == "saving" || (each.task->phase == "exited" && each.task->is_progress_saved);
   });
-  if (told == job.task_count) {
+  if (saving_tasks == job.task_count) {
     for (Member& member : members) {
       if (member.task->phase != "saving" || member.worker->hung || world_.now < member.task->phase_ends_at)
         continue;
       member.task->is_progress_saved = true;
       exit(member, "halted");
-      if (!attempt.saved) {
-        attempt.saved = true;
+      if (!attempt.is_saved) {
+        attempt.is_saved = true;
         attempts_saved++;
-        job.progress_s = attempt.begun_with + attempt.first_stop - attempt.begun_at;
+        job.progress_s = attempt.progress_at_start_s + attempt.first_stop_at - attempt.started_at;
       }
     }
     return;
   }
-  if (since < world_.options.gang_peer_s) return;
-  if (!attempt.saved && attempt.broken_at < 0) {
-    attempt.broken_at = world_.now;
+  if (since_stop_s < world_.options.gang_peer_s) return;
+  if (!attempt.is_saved && attempt.ended_at < 0) {
+    attempt.ended_at = world_.now;
     attempts_not_saved++;
     fall_back(job, attempt);
   }
--- a/tests/sim/gangs.hpp
+++ b/tests/sim/gangs.hpp
@@ -35,15 +35,15 @@
     Task* task = nullptr;
   };
   struct Attempt {
-    bool started = false;
-    double ends = 0;
-    double begun_at = 0;    // of the clock,
-    double begun_with = 0;  // and the progress then
-    double broken_at = -1;  // a task was gone at this time
-    double first_stop = -1;
-    bool saved = false;
-    bool lost_one = false;  // before it started
-    std::size_t most = 0;   // tasks seen at once
+    bool has_started = false;
+    double completes_at = 0;
+    double started_at = 0;           // of the clock,
+    double progress_at_start_s = 0;  // and the progress then
+    double ended_at = -1;            // a task was gone at this time
+    double first_stop_at = -1;
+    bool is_saved = false;
+    bool lost_task_before_start = false;  // before it started
+    std::size_t max_tasks_seen = 0;       // tasks seen at once
   };
   using Key = std::pair<std::string, std::uint64_t>;
 
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -8,8 +8,9 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr std::size_t kBody = std::size_t{64} * 1024;  // of a request, a transaction, a line of an answer
-const char* const kCopyMark = "#copy";                 // at the end of a copy's path, on its way
+constexpr std::size_t kMaxBodyBytes =
+    std::size_t{64} * 1024;               // of a request, a transaction, a line of an answer
+const char* const kCopySuffix = "#copy";  // at the end of a copy's path, on its way
 
 bool is_commit(const HttpCall& call) { return call.path == "/commit"; }
 
@@ -18,10 +19,11 @@
 }
 
 // The share of such messages of which a copy comes.
-double copied_share(const std::string& from, const HttpCall& call, const Options& options) {
+double copy_share(const std::string& from, const HttpCall& call, const Options& options) {
   if (is_commit(call)) return options.commit_copy_share;
-  const bool message = call.path == "/hello" || call.path == "/v2/runs" || call.path.ends_with("/cancel");
-  return message && from.rfind(kNodeNamePrefix, 0) != 0 ? options.message_copy_share : 0;
+  const bool is_copied_kind =
+      call.path == "/hello" || call.path == "/v2/runs" || call.path.ends_with("/cancel");
+  return is_copied_kind && from.rfind(kNodeNamePrefix, 0) != 0 ? options.message_copy_share : 0;
 }
 }  // namespace
 
@@ -59,20 +61,20 @@
 // ---------------------------------------------------------------- on the way
 
 void Network::send(const std::string& from, const HttpCall& call, Reply reply) {
-  auto over = std::make_shared<bool>(false);
-  const auto finish = [over, reply = std::move(reply)](HttpReply answer) {
-    if (*over) return;
-    *over = true;
+  auto is_finished = std::make_shared<bool>(false);
+  const auto finish = [is_finished, reply = std::move(reply)](HttpReply answer) {
+    if (*is_finished) return;
+    *is_finished = true;
     reply(std::move(answer));
   };
   world_.in(call.timeout_s, [finish] { finish({}); });
   const double loss = world_.options.message_loss_share;
   if (world_.uniform(0, 1) < loss) return;  // the request is lost
-  const auto delay = draw_delay(from, call);
-  if (!delay || held_back(from, call, *delay)) return;
+  const auto delay_s = draw_delay_s(from, call);
+  if (!delay_s || schedule_late_commit(from, call, *delay_s)) return;
   const auto delivered = std::make_shared<bool>(false);
-  maybe_copy(from, call, *delay, delivered);
-  world_.in(*delay, [this, from, call, finish, delivered] {
+  maybe_copy(from, call, *delay_s, delivered);
+  world_.in(*delay_s, [this, from, call, finish, delivered] {
     *delivered = world_.nodes.is_up(call.destination);
     deliver(from, call, [this, finish, delivered](const HttpReply& answer) {
       *delivered = answer.status != 421 && answer.status != 503;
@@ -90,35 +92,36 @@
   return machine == world_.workers_by_address.end() ? address : machine->second->name;
 }
 
-std::optional<double> Network::draw_delay(const std::string& from, const HttpCall& call) {
+std::optional<double> Network::draw_delay_s(const std::string& from, const HttpCall& call) {
   const std::string to = name_at(call.destination);
-  double delay = world_.uniform(0.001, 0.006) + (world_.uniform(0, 1) < 0.01 ? world_.uniform(0.05, 0.4) : 0);
-  if (to == kStateAddress) delay += world_.state.answer_delay_s;
-  if (reachable(from, to)) return delay;
+  double delay_s =
+      world_.uniform(0.001, 0.006) + (world_.uniform(0, 1) < 0.01 ? world_.uniform(0.05, 0.4) : 0);
+  if (to == kStateAddress) delay_s += world_.state.answer_delay_s;
+  if (reachable(from, to)) return delay_s;
   // Held back and delivered after the cut, or lost.
   if (world_.uniform(0, 1) > delayed_share) return std::nullopt;
-  return delay + world_.uniform(5, 60);
+  return delay_s + world_.uniform(5, 60);
 }
 
-bool Network::held_back(const std::string& from, const HttpCall& call, double delay) {
+bool Network::schedule_late_commit(const std::string& from, const HttpCall& call, double delay_s) {
   if (!has_changes(call)) return false;
   const double late_commit_share = world_.options.late_commit_share;
-  const bool late = delay_commits || (late_commit_share > 0 && world_.uniform(0, 1) < late_commit_share);
-  if (!late) return false;
-  world_.in(delay + world_.uniform(2, 12),
+  const bool is_late = delay_commits || (late_commit_share > 0 && world_.uniform(0, 1) < late_commit_share);
+  if (!is_late) return false;
+  world_.in(delay_s + world_.uniform(2, 12),
             [this, from, call] { deliver(from, call, [](const HttpReply&) {}); });
   return true;
 }
 
-void Network::maybe_copy(const std::string& from, const HttpCall& call, double delay,
+void Network::maybe_copy(const std::string& from, const HttpCall& call, double delay_s,
                          const std::shared_ptr<bool>& delivered) {
-  const double share = copied_share(from, call, world_.options);
+  const double share = copy_share(from, call, world_.options);
   if (share <= 0 || world_.uniform(0, 1) >= share) return;
-  world_.in(delay + world_.uniform(1, world_.options.max_copy_delay_s), [this, from, call, delivered] {
+  world_.in(delay_s + world_.uniform(1, world_.options.max_copy_delay_s), [this, from, call, delivered] {
     HttpCall copy = call;
     // (Nobody can tell one for a copy that overtakes the message itself, held back at a cut, or whose
     // message was turned away where it came to: for the owner of the shard it is the first.)
-    if (*delivered) copy.path += kCopyMark;
+    if (*delivered) copy.path += kCopySuffix;
     deliver(from, copy, [](const HttpReply&) {});
   });
 }
@@ -127,19 +130,19 @@
 
 void Network::deliver(const std::string& from, const HttpCall& sent, const Reply& reply) {
   HttpCall call = sent;
-  const bool copy = call.path.ends_with(kCopyMark);
-  if (copy) call.path.resize(call.path.size() - std::string(kCopyMark).size());
+  const bool is_copy = call.path.ends_with(kCopySuffix);
+  if (is_copy) call.path.resize(call.path.size() - std::string(kCopySuffix).size());
   const auto answer = [reply](int status, const Json& body) { reply({status, body.dump()}); };
   if (call.destination == kStateAddress) return deliver_to_state(from, call, answer);
   if (call.destination == kCloudAddress) return world_.cloud.handle(call.path, call.body, answer);
   const auto node = node_at(call.destination, world_.options.nodes);
   if (node) {
     if (send_to_external_node) return send_to_external_node(call, reply);
-    return deliver_to_node({from, node->index, node->client_address, copy, call}, reply);
+    return deliver_to_node({from, node->index, node->is_client_address, is_copy, call}, reply);
   }
   const auto machine = world_.workers_by_address.find(call.destination);
   if (machine != world_.workers_by_address.end()) {
-    note_size("command", call.body.size(), kBody);
+    record_size("command", call.body.size(), kMaxBodyBytes);
     if (!machine->second->dead) machine->second->handle(call.path, call.body, answer);
     return;
   }
@@ -148,7 +151,7 @@
 
 void Network::deliver_to_state(const std::string& from, const HttpCall& call, const JsonReply& answer) {
   const auto nobody = [](int, const Json&) {};
-  note_size("state request", call.body.size(), kBody);
+  record_size("state request", call.body.size(), kMaxBodyBytes);
   if (nodes_refused_by_state.count(from) > 0) return answer(503, {{"error", "trouble"}});
   if (is_commit(call) && commit_answers_to_drop > 0) {
     commit_answers_to_drop--;
@@ -168,51 +171,52 @@
       call.method, call.path, call.body, [this, from, call, answer](int status, const Json& body) {
         const Json transaction = parse_json(call.body);
         if (status == 200 && on_commit) on_commit(from, transaction);
-        const double later = commit_answer_delay_s ? commit_answer_delay_s(from, transaction) : 0;
-        if (later < 0) return;
-        world_.in(later, [answer, status, body] { answer(status, body); });
+        const double extra_delay_s = commit_answer_delay_s ? commit_answer_delay_s(from, transaction) : 0;
+        if (extra_delay_s < 0) return;
+        world_.in(extra_delay_s, [answer, status, body] { answer(status, body); });
       });
 }
 
 void Network::deliver_watch(const std::string& from, const HttpCall& call, const JsonReply& answer) {
   world_.state.handle(call.method, call.path, call.body, [this, from, answer](int status, const Json& body) {
     if (nodes_without_state_answers.count(from) > 0) return;
-    const double later = max_watch_delay_s > 0 ? world_.uniform(0, max_watch_delay_s) : 0;
-    world_.in(later, [this, from, answer, status, body] {
-      answer_unrefused(from, [answer, status, body] { answer(status, body); });
+    const double extra_delay_s = max_watch_delay_s > 0 ? world_.uniform(0, max_watch_delay_s) : 0;
+    world_.in(extra_delay_s, [this, from, answer, status, body] {
+      answer_unless_refused(from, [answer, status, body] { answer(status, body); });
     });
   });
 }
 
 // Open watches of a node that the state service refuses wait, as in an outage.
-void Network::answer_unrefused(const std::string& node, std::function<void()> answer) {
-  constexpr double kRetry = 0.2;  // seconds
+void Network::answer_unless_refused(const std::string& node, std::function<void()> answer) {
+  constexpr double kRetryDelaySeconds = 0.2;  // seconds
   if (nodes_refused_by_state.count(node) == 0) return answer();
-  world_.in(kRetry, [this, node, answer = std::move(answer)]() mutable {
-    answer_unrefused(node, std::move(answer));
+  world_.in(kRetryDelaySeconds, [this, node, answer = std::move(answer)]() mutable {
+    answer_unless_refused(node, std::move(answer));
   });
 }
 
-void Network::deliver_to_node(const NodeCall& message, const Reply& reply) {
-  recovery::Controller* node = world_.nodes[static_cast<std::size_t>(message.node)].node.get();
+void Network::deliver_to_node(const NodeCall& node_call, const Reply& reply) {
+  recovery::Controller* node = world_.nodes[static_cast<std::size_t>(node_call.node)].node.get();
   if (node == nullptr) return;  // refused: the same as silence here
-  const HttpCall& call = message.call;
-  const bool client = message.client_address;
+  const HttpCall& call = node_call.call;
+  const bool is_client = node_call.is_client_address;
   // What the node's listener would refuse.
-  const bool peer = call.path.rfind("/peer/", 0) == 0;
-  note_size(client ? "request"
-            : peer ? call.path
-                   : "forwarded",
-            call.body.size(), client ? Node::kMaxClientBody : Node::kMaxPeerBody);
+  const bool is_peer = call.path.rfind("/peer/", 0) == 0;
+  record_size(is_client ? "request"
+              : is_peer ? call.path
+                        : "forwarded",
+              call.body.size(), is_client ? Node::kMaxClientBody : Node::kMaxPeerBody);
   const HttpRequest request{call.method, call.path, call.body};
-  const Responder responder([this, reply, message](const HttpAnswer& out) {
-    if (message.client_address) note_size("answer", out.body.size(), kBody);
-    world_.rules.check_node_answer(message.from, node_name(message.node), message.call, out, message.copy);
-    if (!message.client_address && on_peer_message) on_peer_message(message.call, out);
+  const Responder responder([this, reply, node_call](const HttpAnswer& out) {
+    if (node_call.is_client_address) record_size("answer", out.body.size(), kMaxBodyBytes);
+    world_.rules.check_node_answer(node_call.from, node_name(node_call.node), node_call.call, out,
+                                   node_call.is_copy);
+    if (!node_call.is_client_address && on_peer_message) on_peer_message(node_call.call, out);
     reply({out.status, out.body});
   });
-  world_.nodes.run_or_defer(message.node, [node, client, request, responder] {
-    if (client) {
+  world_.nodes.run_or_defer(node_call.node, [node, is_client, request, responder] {
+    if (is_client) {
       node->on_client_request(request, responder);
     } else {
       node->on_peer_request(request, responder);
@@ -220,10 +224,10 @@
   });
 }
 
-void Network::note_size(const std::string& kind, std::size_t bytes, std::size_t limit) {
+void Network::record_size(const std::string& kind, std::size_t bytes, std::size_t limit) {
   message_counts[kind]++;
-  std::size_t& most = largest_bytes[kind];
-  most = std::max(most, bytes);
+  std::size_t& largest_seen_bytes = largest_bytes[kind];
+  largest_seen_bytes = std::max(largest_seen_bytes, bytes);
   if (bytes > limit)
     world_.report_violation("too large: " + kind + " of " + std::to_string(bytes) + " bytes");
 }
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -70,17 +70,17 @@
   struct NodeCall {
     std::string from;
     int node;
-    bool client_address;
-    bool copy;
+    bool is_client_address;
+    bool is_copy;
     HttpCall call;
   };
   using JsonReply = std::function<void(int status, const Json& body)>;
   // In seconds; nothing: the message is lost at a cut.
-  std::optional<double> draw_delay(const std::string& from, const HttpCall& call);
+  std::optional<double> draw_delay_s(const std::string& from, const HttpCall& call);
   // True: it is a transaction that is carried out later, without an answer.
-  bool held_back(const std::string& from, const HttpCall& call, double delay);
+  bool schedule_late_commit(const std::string& from, const HttpCall& call, double delay_s);
   // Some messages are followed by a copy. `delivered`: the message itself has been accepted by then.
-  void maybe_copy(const std::string& from, const HttpCall& call, double delay,
+  void maybe_copy(const std::string& from, const HttpCall& call, double delay_s,
                   const std::shared_ptr<bool>& delivered);
   // The name of whoever has this address; the address itself of one that has no name.
   [[nodiscard]] std::string name_at(const std::string& address) const;
@@ -88,9 +88,9 @@
   void deliver_to_state(const std::string& from, const HttpCall& call, const JsonReply& answer);
   void deliver_watch(const std::string& from, const HttpCall& call, const JsonReply& answer);
   void deliver_commit(const std::string& from, const HttpCall& call, const JsonReply& answer);
-  void deliver_to_node(const NodeCall& message, const Reply& reply);
-  void answer_unrefused(const std::string& node, std::function<void()> answer);
-  void note_size(const std::string& kind, std::size_t bytes, std::size_t limit);
+  void deliver_to_node(const NodeCall& node_call, const Reply& reply);
+  void answer_unless_refused(const std::string& node, std::function<void()> answer);
+  void record_size(const std::string& kind, std::size_t bytes, std::size_t limit);
 
   World& world_;
 };
--- a/tests/sim/nodes.cpp
+++ b/tests/sim/nodes.cpp
@@ -101,7 +101,7 @@
   if (!killed.node) return;
   killed.node.reset();
   killed.env.reset();
-  killed.frozen = false;
+  killed.is_frozen = false;
   killed.deferred.clear();
   world_.in(restart_after_s, [this, index] { start(index); });
 }
@@ -112,14 +112,14 @@
 }
 
 void Nodes::freeze(int index, double for_s) {
-  Process& frozen = process(index);
-  if (!frozen.node || frozen.frozen) return;
-  frozen.frozen = true;
-  world_.in(for_s, [&frozen] {
-    if (!frozen.frozen) return;  // it ended meanwhile
-    frozen.frozen = false;
-    const auto deferred = std::move(frozen.deferred);
-    frozen.deferred.clear();
+  Process& process_to_freeze = process(index);
+  if (!process_to_freeze.node || process_to_freeze.is_frozen) return;
+  process_to_freeze.is_frozen = true;
+  world_.in(for_s, [&process_to_freeze] {
+    if (!process_to_freeze.is_frozen) return;  // it ended meanwhile
+    process_to_freeze.is_frozen = false;
+    const auto deferred = std::move(process_to_freeze.deferred);
+    process_to_freeze.deferred.clear();
     for (const auto& action : deferred) action();
   });
 }
@@ -133,7 +133,7 @@
 
 void Nodes::run_or_defer(int index, std::function<void()> action) {
   Process& receiver = process(index);
-  if (receiver.frozen) {
+  if (receiver.is_frozen) {
     receiver.deferred.push_back(std::move(action));
   } else {
     action();
--- a/tests/sim/nodes.hpp
+++ b/tests/sim/nodes.hpp
@@ -44,7 +44,7 @@
     Settings settings;
     std::unique_ptr<NodeEnv> env;
     std::unique_ptr<recovery::Controller> node;  // null: it has ended
-    bool frozen = false;
+    bool is_frozen = false;
     bool earlier_version = false;
     std::vector<std::function<void()>> deferred;  // what happened while it was frozen, in order
   };
--- a/tests/sim/rule_checker.cpp
+++ b/tests/sim/rule_checker.cpp
@@ -7,18 +7,18 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr double kUnansweredS = 75;  // for which no question may go without an answer
-constexpr double kWaitingS = 90;     // for which no job may wait beside a machine with room
-constexpr double kAloneS = 6;        // after which a node's lease in the state service is over
-constexpr double kRounding = 1e-6;   // cores
+constexpr double kMaxUnansweredSeconds = 75;  // for which no question may go without an answer
+constexpr double kMaxWaitSeconds = 90;        // for which no job may wait beside a machine with room
+constexpr double kNodeLeaseSeconds = 6;       // after which a node's lease in the state service is over
+constexpr double kRoundingCores = 1e-6;       // cores
 }  // namespace
 
 void RuleChecker::begin() { check_all(); }
 
 void RuleChecker::check_all() {
-  check_forgotten();
-  check_waiting();
-  check_cancelled();
+  check_unanswered();
+  check_starvation();
+  check_cancelled_jobs();
   world_.in(1, [this] { check_all(); });
 }
 
@@ -35,7 +35,7 @@
   }
   check_runs_once(worker, task);
   check_quota(job.team);
-  check_places(worker, task);
+  check_placement(worker, task);
   if (job.user_saw_aborted && world_.now - job.aborted_at > kMaxCancelSeconds)
     world_.report_violation("ran_cancelled: " + task.ref + " starts");
 }
@@ -61,50 +61,50 @@
 }
 
 void RuleChecker::check_quota(const std::string& team) const {
-  double used = 0;
+  double used_cores = 0;
   for (const auto& [name, worker] : world_.workers) {
     if (worker->dead) continue;
     for (const Task& each : worker->tasks) {
-      if (worker->occupies_machine(each) && each.job->team == team) used += each.job->cores;
+      if (worker->occupies_machine(each) && each.job->team == team) used_cores += each.job->cores;
     }
   }
-  if (used > world_.options.team_max_cpus + kRounding)
-    world_.report_violation("quota: " + team + " uses " + std::to_string(used));
+  if (used_cores > world_.options.team_max_cpus + kRoundingCores)
+    world_.report_violation("quota: " + team + " uses " + std::to_string(used_cores));
 }
 
-void RuleChecker::check_places(const Worker& worker, const Task& task) const {
+void RuleChecker::check_placement(const Worker& worker, const Task& task) const {
   const UserJob& job = *task.job;
-  std::map<std::string, int> in_zone;  // tasks of the job
+  std::map<std::string, int> tasks_per_zone;  // tasks of the job
   for (const auto& [name, other] : world_.workers) {
     if (other->dead) continue;
     for (const Task& each : other->tasks) {
-      if (other->occupies_machine(each) && each.job == &job) in_zone[other->zone]++;
+      if (other->occupies_machine(each) && each.job == &job) tasks_per_zone[other->zone]++;
     }
   }
   if (worker.spot && !may_use_spot(job)) world_.report_violation("wrong_place: " + task.ref + " on spot");
   if (!may_run_in(job, worker.zone)) world_.report_violation("wrong_place: " + task.ref + " hall");
-  if (is_bound_to_one_zone(job) && in_zone.size() > 1)
+  if (is_bound_to_one_zone(job) && tasks_per_zone.size() > 1)
     world_.report_violation("wrong_place: " + task.ref + " apart");
-  if (is_scattered(job) && in_zone[worker.zone] > max_tasks_per_zone(job))
+  if (is_scattered(job) && tasks_per_zone[worker.zone] > max_tasks_per_zone(job))
     world_.report_violation("wrong_place: " + task.ref + " not scattered");
 }
 
 // ---------------------------------------------------------------- answers
 
 void RuleChecker::check_node_answer(const std::string& from, const std::string& node, const HttpCall& call,
-                                    const HttpAnswer& out, bool copy) {
+                                    const HttpAnswer& out, bool is_copy) {
   if (call.path != "/hello" || out.status != 200) return;
   const Json body = parse_json(out.body);
   for (const Json& order : body["orders"]) {
     if (order["verb"] != "launch") continue;
-    if (copy) launches_to_copies++;
+    if (is_copy) launches_to_copies++;
     check_launch(from, node, order);
   }
 }
 
 void RuleChecker::check_launch(const std::string& from, const std::string& node, const Json& order) {
   const auto since = world_.network.isolated_since.find(node);
-  if (since != world_.network.isolated_since.end() && world_.now - since->second > kAloneS)
+  if (since != world_.network.isolated_since.end() && world_.now - since->second > kNodeLeaseSeconds)
     world_.report_violation(std::string("started alone: ").append(node).append(" on ").append(from));
   const auto worker = world_.workers.find(from);
   if (worker == world_.workers.end() || !worker->second->inbound_unreachable) return;
@@ -116,16 +116,16 @@
 // ---------------------------------------------------------------- once a second
 
 // From the troubles' end on every question finds an answer.
-void RuleChecker::check_forgotten() {
+void RuleChecker::check_unanswered() {
   for (auto& [ref, job] : world_.jobs) {
     if (job.unanswered_since < 0 || !job.accepted) continue;
-    if (world_.now - std::max(job.unanswered_since, world_.faults_end_at) <= kUnansweredS) continue;
+    if (world_.now - std::max(job.unanswered_since, world_.faults_end_at) <= kMaxUnansweredSeconds) continue;
     world_.report_violation("forgotten: " + ref + " without an answer for 75 s");
     job.unanswered_since = world_.now;
   }
 }
 
-void RuleChecker::check_cancelled() const {
+void RuleChecker::check_cancelled_jobs() const {
   for (const auto& [name, worker] : world_.workers) {
     if (worker->dead) continue;
     for (const Task& task : worker->tasks) {
@@ -138,61 +138,62 @@
 }
 
 // What its team's tasks take, while none of its own is on a machine.
-std::optional<double> RuleChecker::cores_of_team_without(const UserJob& job) const {
-  double used = 0;
+std::optional<double> RuleChecker::team_cores_if_job_is_idle(const UserJob& job) const {
+  double used_cores = 0;
   for (const auto& [name, worker] : world_.workers) {
     if (!worker->is_up()) continue;
     for (const Task& task : worker->tasks) {
       if (task.phase == "exited" || task.job->team != job.team) continue;
       if (task.job == &job) return std::nullopt;
-      used += task.job->cores;
+      used_cores += task.job->cores;
     }
   }
-  return used;
+  return used_cores;
 }
 
 // Machines that are well have room for all its tasks, where they may go.
 bool RuleChecker::gang_could_run(const UserJob& job) const {
-  const auto used = cores_of_team_without(job);
-  if (!used) return false;
-  std::map<std::string, int> in_zone;
+  const auto used_cores = team_cores_if_job_is_idle(job);
+  if (!used_cores) return false;
+  std::map<std::string, int> slots_per_zone;
   for (const auto& [name, worker] : world_.workers) {
     if (!worker->is_up()) continue;
-    const bool well = worker->is_healthy() && worker->eviction_notice_s < 0;
-    const bool allowed = (!worker->spot || may_use_spot(job)) && may_run_in(job, worker->zone);
-    if (well && allowed) in_zone[worker->zone] += static_cast<int>(worker->free_cores() / job.cores);
+    const bool is_well = worker->is_healthy() && worker->eviction_notice_s < 0;
+    const bool is_allowed = (!worker->spot || may_use_spot(job)) && may_run_in(job, worker->zone);
+    if (is_well && is_allowed)
+      slots_per_zone[worker->zone] += static_cast<int>(worker->free_cores() / job.cores);
   }
-  int places = 0;
-  for (const auto& [zone, slots] : in_zone) {
+  int total_slots = 0;
+  for (const auto& [zone, slots] : slots_per_zone) {
     if (is_bound_to_one_zone(job)) {
-      places = std::max(places, slots);
+      total_slots = std::max(total_slots, slots);
     } else {
-      places += is_scattered(job) ? std::min(slots, max_tasks_per_zone(job)) : slots;
+      total_slots += is_scattered(job) ? std::min(slots, max_tasks_per_zone(job)) : slots;
     }
   }
-  return places >= job.task_count && *used + job.task_count * job.cores <= world_.options.team_max_cpus &&
-         !has_completed(job);
+  return total_slots >= job.task_count &&
+         *used_cores + job.task_count * job.cores <= world_.options.team_max_cpus && !has_completed(job);
 }
 
 // None of its tasks is on a machine, and one has room for it now, under its team's limit? (Where tasks are
 // bound to each other, only while none is done either.)
 bool RuleChecker::could_run(const UserJob& job) const {
   if (job.gang) return gang_could_run(job);
-  const auto used = cores_of_team_without(job);
-  if (!used) return false;
-  const bool room =
+  const auto used_cores = team_cores_if_job_is_idle(job);
+  if (!used_cores) return false;
+  const bool has_room =
       std::any_of(world_.workers.begin(), world_.workers.end(), [&job](const auto& named_worker) {
         const Worker& worker = *named_worker.second;
         return worker.is_up() && worker.is_healthy() && worker.free_cores() >= job.cores &&
                (!worker.spot || may_use_spot(job)) && may_run_in(job, worker.zone);
       });
-  const bool bound = is_bound_to_one_zone(job) || is_scattered(job);
-  if (bound && !job.completed.empty()) return false;
-  return room && *used + job.cores <= world_.options.team_max_cpus && !has_completed(job);
+  const bool has_placement_bond = is_bound_to_one_zone(job) || is_scattered(job);
+  if (has_placement_bond && !job.completed.empty()) return false;
+  return has_room && *used_cores + job.cores <= world_.options.team_max_cpus && !has_completed(job);
 }
 
 // Once the troubles are over, no job waits for 90 s while a machine has room for it.
-void RuleChecker::check_waiting() {
+void RuleChecker::check_starvation() {
   if (!checks_starvation) return;
   for (auto& [ref, job] : world_.jobs) {
     if (!job.accepted || job.cancel_requested || job.user_saw_done || !could_run(job)) {
@@ -200,7 +201,7 @@
       continue;
     }
     if (job.could_run_since < 0) job.could_run_since = world_.now;
-    if (world_.now - std::max(job.could_run_since, world_.faults_end_at) <= kWaitingS) continue;
+    if (world_.now - std::max(job.could_run_since, world_.faults_end_at) <= kMaxWaitSeconds) continue;
     world_.report_violation("waits: " + ref + " has waited for 90 s beside a machine with room");
     job.could_run_since = world_.now;
   }
--- a/tests/sim/rule_checker.hpp
+++ b/tests/sim/rule_checker.hpp
@@ -24,7 +24,7 @@
   void check_start(const Worker& worker, const Task& task);
   // What a node may not do with its answers. `copy`: to a copy of an earlier message.
   void check_node_answer(const std::string& from, const std::string& node, const HttpCall& call,
-                         const HttpAnswer& out, bool copy);
+                         const HttpAnswer& out, bool is_copy);
 
   bool checks_starvation =
       true;  // no job may wait for 90 s beside a machine with room, once the troubles are over
@@ -34,17 +34,17 @@
 
  private:
   void check_all();
-  void check_forgotten();
-  void check_waiting();
-  void check_cancelled() const;
+  void check_unanswered();
+  void check_starvation();
+  void check_cancelled_jobs() const;
   void check_launch(const std::string& from, const std::string& node, const Json& order);
   void check_attempt(const Task& task);
   void check_runs_once(const Worker& worker, const Task& task) const;
   void check_quota(const std::string& team) const;
   // That it runs where its job may run.
-  void check_places(const Worker& worker, const Task& task) const;
+  void check_placement(const Worker& worker, const Task& task) const;
   [[nodiscard]] bool could_run(const UserJob& job) const;
-  [[nodiscard]] std::optional<double> cores_of_team_without(const UserJob& job) const;
+  [[nodiscard]] std::optional<double> team_cores_if_job_is_idle(const UserJob& job) const;
   [[nodiscard]] bool gang_could_run(const UserJob& job) const;
 
   World& world_;
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -10,15 +10,15 @@
 
 StateService::StateService(World& world)
     : world_(world),
-      calls_(world.options.state_rps, world.options.state_rps, 0),
-      writes_(world.options.write_rps, world.options.write_rps, 0),
+      call_limiter_(world.options.state_rps, world.options.state_rps, 0),
+      write_limiter_(world.options.write_rps, world.options.write_rps, 0),
       value_kb_(world.options.value_kb),
       txn_ops_(static_cast<std::size_t>(world.options.txn_ops)) {}
 
 void StateService::lower_limits(double value_kb, int txn_ops, double write_rps) {
   value_kb_ = value_kb;
   txn_ops_ = static_cast<std::size_t>(txn_ops);
-  writes_.set_rate(write_rps, write_rps, world_.now);
+  write_limiter_.set_rate(write_rps, write_rps, world_.now);
 }
 
 std::uint64_t StateService::revision(const std::string& key) const {
@@ -27,10 +27,11 @@
 }
 
 void StateService::set_outage(bool out) {
-  expire();
+  expire_leases();
   outage_ = out;
   if (!out) {
-    for (auto& [id, lease] : leases_) lease.ends = world_.now + lease.ttl;  // all get their full time again
+    for (auto& [id, lease] : leases_)
+      lease.expires_at = world_.now + lease.ttl_s;  // all get their full time again
     serve_watches();
   }
 }
@@ -41,25 +42,25 @@
   lease_ids_.erase(key);
 }
 
-void StateService::changed(const std::string& key, Json event) {
+void StateService::record_change(const std::string& key, Json event) {
   changes_.push_back({revision_, key, std::move(event)});
 }
 
-void StateService::expire() {
+void StateService::expire_leases() {
   if (outage_) return;
   for (auto it = leases_.begin(); it != leases_.end();) {
-    if (it->second.ends > world_.now) {
+    if (it->second.expires_at > world_.now) {
       ++it;
       continue;
     }
-    std::vector<std::string> gone;
+    std::vector<std::string> expired_keys;
     for (const auto& [key, lease_id] : lease_ids_) {
-      if (lease_id == it->first) gone.push_back(key);
+      if (lease_id == it->first) expired_keys.push_back(key);
     }
-    if (!gone.empty()) revision_++;
-    for (const std::string& key : gone) {
+    if (!expired_keys.empty()) revision_++;
+    for (const std::string& key : expired_keys) {
       erase(key);
-      changed(key, {{"delete", key}, {"stamp", revision_}});
+      record_change(key, {{"delete", key}, {"stamp", revision_}});
     }
     it = leases_.erase(it);
   }
@@ -68,7 +69,7 @@
 
 StateService::Snapshot StateService::snapshot() const {
   Snapshot out{values_, revisions_, lease_ids_, {}, revision_, next_lease_};
-  for (const auto& [id, lease] : leases_) out.leases[id] = lease.ttl;
+  for (const auto& [id, lease] : leases_) out.leases[id] = lease.ttl_s;
   return out;
 }
 
@@ -81,14 +82,14 @@
   revision_ = snapshot.revision;
   next_lease_ = snapshot.next_lease;
   leases_.clear();
-  for (const auto& [id, ttl] : snapshot.leases) leases_[id] = {ttl, world_.now + ttl};
+  for (const auto& [id, ttl_s] : snapshot.leases) leases_[id] = {ttl_s, world_.now + ttl_s};
   std::erase_if(changes_, [this](const Change& change) { return change.revision > revision_; });
 }
 
 void StateService::rewrite_unchanged(const std::string& key) {
   revision_++;
   revisions_[key] = revision_;
-  changed(key, {{"put", key}, {"data", values_.at(key)}, {"stamp", revision_}});
+  record_change(key, {{"put", key}, {"data", values_.at(key)}, {"stamp", revision_}});
   serve_watches();
 }
 
@@ -107,7 +108,7 @@
     if (starts_with(it->key, watch.prefix)) events.push_back(it->event);
   }
   if (events.empty()) return false;
-  watch.over = true;
+  watch.is_closed = true;
   watch.reply(200, {{"epoch", revision_}, {"events", events}});
   return true;
 }
@@ -115,22 +116,22 @@
 void StateService::serve_watches() {
   const auto open = watches_;
   for (const auto& watch : open) {
-    if (!watch->over) answer_watch(*watch);
+    if (!watch->is_closed) answer_watch(*watch);
   }
-  std::erase_if(watches_, [](const auto& watch) { return watch->over; });
+  std::erase_if(watches_, [](const auto& watch) { return watch->is_closed; });
 }
 
 void StateService::handle(const std::string& /*method*/, const std::string& target, const std::string& body,
                           const Reply& reply) {
-  expire();
+  expire_leases();
   if (outage_) return reply(503, {{"error", "trouble"}});
   const std::string path = target.substr(0, target.find('?'));
   if (world_.options.rate_limits) {
-    if (!calls_.can_take(1, 0, world_.now)) {
+    if (!call_limiter_.can_take(1, 0, world_.now)) {
       rate_limited_calls++;
       return reply(429, Json::object());
     }
-    calls_.take(1, world_.now);
+    call_limiter_.take(1, world_.now);
   }
   if (path == "/changes") return open_watch(target, reply);
   if (path == "/keys") return list_keys(target, reply);
@@ -152,8 +153,8 @@
   if (answer_watch(*watch)) return;
   watches_.push_back(watch);
   world_.in(std::stod(query_parameter(target, "wait_ms")) / 1000, [this, watch] {
-    if (watch->over || outage_ || are_watches_paused) return;
-    watch->over = true;
+    if (watch->is_closed || outage_ || are_watches_paused) return;
+    watch->is_closed = true;
     watch->reply(200, {{"epoch", revision_}, {"events", Json::array()}});
   });
 }
@@ -184,18 +185,18 @@
 
 // ---------------------------------------------------------------- transactions
 
-bool StateService::over_size(const Json& changes, std::size_t conditions) const {
+bool StateService::exceeds_limits(const Json& changes, std::size_t conditions) const {
   if (changes.size() > txn_ops_ || conditions > 4 * txn_ops_) return true;
   return std::any_of(changes.begin(), changes.end(), [this](const Json& change) {
     return change.contains("put") && static_cast<double>(change["data"].dump().size()) > 1024 * value_kb_;
   });
 }
 
-bool StateService::take_writes(std::size_t changes) {
+bool StateService::try_take_writes(std::size_t changes) {
   if (!world_.options.rate_limits || changes == 0) return true;
   const auto cost = static_cast<double>(changes);
-  if (!writes_.can_take(cost, 0, world_.now)) return false;
-  writes_.take(cost, world_.now);
+  if (!write_limiter_.can_take(cost, 0, world_.now)) return false;
+  write_limiter_.take(cost, world_.now);
   return true;
 }
 
@@ -216,12 +217,12 @@
 // `text`: of the transaction as it came.
 void StateService::commit(const Json& transaction, const std::string& text, const Reply& reply) {
   const Json& changes = transaction["then"];
-  if (over_size(changes, transaction["guards"].size())) {
+  if (exceeds_limits(changes, transaction["guards"].size())) {
     oversized_transactions++;
     if (!allows_oversized) world_.report_violation("a transaction that is too large: " + text.substr(0, 300));
     return reply(400, {{"error", "too large"}});
   }
-  if (!take_writes(changes.size())) {
+  if (!try_take_writes(changes.size())) {
     rate_limited_calls++;
     return reply(429, Json::object());
   }
@@ -242,27 +243,27 @@
     revisions_[key] = revision_;
     lease_ids_.erase(key);
     if (change.contains("hold")) lease_ids_[key] = change["hold"].get<std::uint64_t>();
-    changed(key, {{"put", key}, {"data", change["data"]}, {"stamp", revision_}});
+    record_change(key, {{"put", key}, {"data", change["data"]}, {"stamp", revision_}});
     return;
   }
   const std::string key = change["delete"];
   if (values_.count(key) == 0) return;
   erase(key);
-  changed(key, {{"delete", key}, {"stamp", revision_}});
+  record_change(key, {{"delete", key}, {"stamp", revision_}});
 }
 
 // ---------------------------------------------------------------- leases
 
 void StateService::grant_lease(const Json& request, const Reply& reply) {
-  const double ttl = request["ttl_ms"].get<double>() / 1000;
-  leases_[next_lease_] = {ttl, world_.now + ttl};
+  const double ttl_s = request["ttl_ms"].get<double>() / 1000;
+  leases_[next_lease_] = {ttl_s, world_.now + ttl_s};
   reply(200, {{"hold", next_lease_++}});
 }
 
 void StateService::renew_lease(std::uint64_t id, const Reply& reply) {
   const auto it = leases_.find(id);
   if (it == leases_.end()) return reply(404, Json::object());
-  it->second.ends = world_.now + it->second.ttl;
+  it->second.expires_at = world_.now + it->second.ttl_s;
   reply(200, {{"hold", it->first}});
 }
 
--- a/tests/sim/state_service.hpp
+++ b/tests/sim/state_service.hpp
@@ -57,11 +57,11 @@
     std::string prefix;
     std::uint64_t from;
     Reply reply;
-    bool over = false;
+    bool is_closed = false;
   };
   struct Lease {
-    double ttl;
-    double ends;
+    double ttl_s;
+    double expires_at;
   };
   struct Change {
     std::uint64_t revision;
@@ -75,16 +75,16 @@
   void grant_lease(const Json& request, const Reply& reply);
   void renew_lease(std::uint64_t id, const Reply& reply);
 
-  [[nodiscard]] bool over_size(const Json& changes, std::size_t conditions) const;
+  [[nodiscard]] bool exceeds_limits(const Json& changes, std::size_t conditions) const;
   // False: the rate of writes does not allow so many changes now.
-  bool take_writes(std::size_t changes);
+  bool try_take_writes(std::size_t changes);
   // Keys whose revision is another.
   [[nodiscard]] Json failed_guards(const Json& transaction) const;
   [[nodiscard]] bool has_unknown_lease(const Json& changes) const;
   void apply(const Json& change);
 
-  void expire();
-  void changed(const std::string& key, Json event);
+  void expire_leases();
+  void record_change(const std::string& key, Json event);
   void serve_watches();
   bool answer_watch(Watch& watch);
   void erase(const std::string& key);
@@ -99,8 +99,8 @@
   std::uint64_t revision_ = 1;
   std::uint64_t next_lease_ = 1;
   bool outage_ = false;
-  TokenBucket calls_;
-  TokenBucket writes_;
+  TokenBucket call_limiter_;
+  TokenBucket write_limiter_;
   double value_kb_;
   std::size_t txn_ops_;
 };
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -7,9 +7,9 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr double kSubmitPatience = 5;  // seconds for which users wait
-constexpr double kPollPatience = 2;
-constexpr double kPollEvery = 5;
+constexpr double kSubmitTimeoutSeconds = 5;  // seconds for which users wait
+constexpr double kPollTimeoutSeconds = 2;
+constexpr double kPollIntervalSeconds = 5;
 
 std::string phase_of(const HttpReply& reply) {
   const Json body = parse_json(reply.body);
@@ -22,23 +22,23 @@
 }
 
 void Users::ask(Question question, const std::string& ref, int node, Handler handler) {
-  HttpCall call{client_address_of(node), "GET", "/v2/runs/" + ref, "", kPollPatience};
+  HttpCall call{client_address_of(node), "GET", "/v2/runs/" + ref, "", kPollTimeoutSeconds};
   if (question == Question::kSubmission) {
     call = {client_address_of(node), "POST", "/v2/runs", dump_json(world_.jobs.at(ref).body),
-            kSubmitPatience};
+            kSubmitTimeoutSeconds};
   } else if (question == Question::kCancellation) {
-    call = {client_address_of(node), "POST", "/v2/runs/" + ref + "/cancel", "{}", kSubmitPatience};
+    call = {client_address_of(node), "POST", "/v2/runs/" + ref + "/cancel", "{}", kSubmitTimeoutSeconds};
   }
   world_.network.send(
       "user", call,
-      [this, question, ref, asked = world_.now, handler = std::move(handler)](const HttpReply& reply) {
-        check(question, ref, asked, reply);
+      [this, question, ref, asked_at = world_.now, handler = std::move(handler)](const HttpReply& reply) {
+        check(question, ref, asked_at, reply);
         handler(reply);
       });
 }
 
 // Every answer of every kind comes through here.
-void Users::check(Question question, const std::string& ref, double asked, const HttpReply& reply) {
+void Users::check(Question question, const std::string& ref, double asked_at, const HttpReply& reply) {
   UserJob& job = world_.jobs.at(ref);
   if (question == Question::kSubmission && (reply.status == 400 || reply.status == 422)) {
     world_.report_violation("forgotten: " + ref + " got " + std::to_string(reply.status));
@@ -47,7 +47,7 @@
   const bool known = reply.status == 200 || reply.status == 201;
   if (!known && reply.status != 404) return;
   const std::string phase = known ? phase_of(reply) : "";
-  const auto broken_rule = job.answers.record({asked, world_.now, known, phase});
+  const auto broken_rule = job.answers.record({asked_at, world_.now, known, phase});
   if (broken_rule) world_.report_violation(*broken_rule + " (" + ref + ")");
   if (phase == "running" && job.gang && job.gang_started_at < 0)
     world_.report_violation("told that a gang runs that never started: " + ref);
@@ -65,20 +65,20 @@
   }
 }
 
-void Users::submit(const std::string& ref, double give_up) {
-  if (world_.now > give_up) return;
-  ask(Question::kSubmission, ref, pick_node(), [this, ref, give_up](const HttpReply& reply) {
+void Users::submit(const std::string& ref, double give_up_at) {
+  if (world_.now > give_up_at) return;
+  ask(Question::kSubmission, ref, pick_node(), [this, ref, give_up_at](const HttpReply& reply) {
     UserJob& job = world_.jobs.at(ref);
     if (reply.status == 201 || reply.status == 200) {
-      const bool first = !std::exchange(job.accepted, true);
-      if (first && world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 4, 0.02);
+      const bool is_first = !std::exchange(job.accepted, true);
+      if (is_first && world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 4, 0.02);
       // Some repeat it much later.
       if (world_.uniform(0, 1) < 0.1) {
         world_.in(world_.uniform(1, 40), [this, ref] { submit(ref, world_.now + 1); });
       }
       poll(ref);
     } else if (reply.status != 400 && reply.status != 422) {
-      world_.in(world_.uniform(1, 2), [this, ref, give_up] { submit(ref, give_up); });
+      world_.in(world_.uniform(1, 2), [this, ref, give_up_at] { submit(ref, give_up_at); });
     }
   });
 }
@@ -92,7 +92,7 @@
       job.unanswered_since = world_.now;
     }
     if (reply.status != 200 || (!job.user_saw_done && !job.user_saw_aborted)) {
-      world_.in(kPollEvery, [this, ref] { poll(ref); });
+      world_.in(kPollIntervalSeconds, [this, ref] { poll(ref); });
     } else if (world_.uniform(0, 1) < 0.5) {
       world_.in(world_.uniform(5, 60), [this, ref] { poll(ref); });  // asks again much later
     } else {
@@ -107,8 +107,8 @@
     world_.in(2, [this, ref] { cancel(ref); });
     return;
   }
-  const bool first = !std::exchange(job.cancel_requested, true);
-  if (first && world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 40, 0.1);
+  const bool is_first = !std::exchange(job.cancel_requested, true);
+  if (is_first && world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 40, 0.1);
   ask(Question::kCancellation, ref, pick_node(), [this, ref](const HttpReply& reply) {
     if (reply.status == 200) return;
     world_.in(world_.uniform(1, 2), [this, ref] { cancel(ref); });
@@ -122,13 +122,13 @@
 }
 
 void Users::poll_each_node(const std::string& ref) {
-  constexpr double kRepeats = 0.05;  // share of looks that repeat a submission or a cancellation
-  const auto nothing = [](const HttpReply&) {};
+  constexpr double kRepeatShare = 0.05;  // share of looks that repeat a submission or a cancellation
+  const auto ignore_reply = [](const HttpReply&) {};
   for (int node = 0; node < world_.options.nodes; node++) {
-    ask(Question::kPoll, ref, node, nothing);
-    if (world_.uniform(0, 1) < kRepeats) ask(Question::kSubmission, ref, node, nothing);
-    if (world_.jobs.at(ref).cancel_requested && world_.uniform(0, 1) < kRepeats)
-      ask(Question::kCancellation, ref, node, nothing);
+    ask(Question::kPoll, ref, node, ignore_reply);
+    if (world_.uniform(0, 1) < kRepeatShare) ask(Question::kSubmission, ref, node, ignore_reply);
+    if (world_.jobs.at(ref).cancel_requested && world_.uniform(0, 1) < kRepeatShare)
+      ask(Question::kCancellation, ref, node, ignore_reply);
   }
 }
 
--- a/tests/sim/users.hpp
+++ b/tests/sim/users.hpp
@@ -16,7 +16,7 @@
   explicit Users(World& world) : world_(world) {}
 
   // Repeated until it is accepted, or until `give_up`. An accepted job is then polled.
-  void submit(const std::string& ref, double give_up);
+  void submit(const std::string& ref, double give_up_at);
   void poll(const std::string& ref);
   // Repeated until it is answered. A job that is not accepted yet is cancelled once it is.
   void cancel(const std::string& ref);
@@ -28,7 +28,7 @@
   enum class Question { kPoll, kSubmission, kCancellation };
   using Handler = std::function<void(const HttpReply&)>;
   void ask(Question question, const std::string& ref, int node, Handler handler);
-  void check(Question question, const std::string& ref, double asked, const HttpReply& reply);
+  void check(Question question, const std::string& ref, double asked_at, const HttpReply& reply);
   void poll_each_node(const std::string& ref);
   int pick_node();
 
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -9,10 +9,10 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr double kStep = 0.1;            // seconds between looks at its tasks
-constexpr double kShortestGap = 0.5;     // seconds between reports, however much changes
-constexpr double kReportPatience = 4.0;  // seconds for which it waits for the answer to a report
-constexpr double kFailsAfter = 0.5;      // seconds, of a task that fails
+constexpr double kStepSeconds = 0.1;           // seconds between looks at its tasks
+constexpr double kMinReportGapSeconds = 0.5;   // seconds between reports, however much changes
+constexpr double kReportTimeoutSeconds = 4.0;  // seconds for which it waits for the answer to a report
+constexpr double kFailDelaySeconds = 0.5;      // seconds, of a task that fails
 }  // namespace
 
 Worker::Worker(World& world, std::string name_in, std::string address_in, std::string machine_type_in,
@@ -29,9 +29,9 @@
 
 void Worker::boot() {
   if (dead) return;
-  booted_ = true;
+  is_booted_ = true;
   node_ = node_name(static_cast<int>(world_.rng() % static_cast<std::uint64_t>(world_.options.nodes)));
-  last_answered_sent_ = now();
+  last_answered_sent_at_ = now();
   step();
 }
 
@@ -51,13 +51,13 @@
   tasks.clear();
   images_.clear();
   deferred_.clear();
-  in_flight_ = false;
-  flight_++;
+  has_report_in_flight_ = false;
+  report_number_++;
   fencing_token_ = 0;
   worker_incarnation_ = forgets_incarnation ? 1 : worker_incarnation_ + 1;
   if (forgets_incarnation) heartbeat_sequence_ = 0;
-  last_answered_sent_ = now();
-  changed_ = true;
+  last_answered_sent_at_ = now();
+  has_unreported_change_ = true;
 }
 
 void Worker::hang(double for_s) {
@@ -82,12 +82,12 @@
 }
 
 void Worker::check_lease() {
-  if (now() - last_answered_sent_ <= world_.options.lease_s) return;
+  if (now() - last_answered_sent_at_ <= world_.options.lease_s) return;
   for (const Task& task : tasks) world_.tasks_lost_with_lease += occupies_machine(task) ? 1 : 0;
   tasks.clear();
   worker_incarnation_++;
-  last_answered_sent_ = now();
-  changed_ = true;
+  last_answered_sent_at_ = now();
+  has_unreported_change_ = true;
 }
 
 // ---------------------------------------------------------------- what its tasks do
@@ -100,21 +100,22 @@
   check_lease();  // a machine resumes only within its lease: beyond it, its tasks are gone, hung or not
   if (!hung) {
     for (Task& task : tasks) step_task(task);
-    const bool due = now() >= next_report_ || (changed_ && now() - last_report_ >= kShortestGap);
-    if (!in_flight_ && due) send_report();
+    const bool is_due = now() >= next_report_at_ ||
+                        (has_unreported_change_ && now() - last_report_at_ >= kMinReportGapSeconds);
+    if (!has_report_in_flight_ && is_due) send_report();
   } else {
     for (Task& task : tasks) {
-      if (task.phase != "exited") task.phase_ends_at += kStep;
+      if (task.phase != "exited") task.phase_ends_at += kStepSeconds;
     }
   }
-  world_.in(kStep, [this] { step(); });
+  world_.in(kStepSeconds, [this] { step(); });
 }
 
 void Worker::step_task(Task& task) {
   if (task.phase == "exited" || world_.now < task.phase_ends_at) return;
   const UserJob& job = *task.job;
   if (job.gang && task.phase != "pulling") return;  // Gangs plays them
-  changed_ = true;
+  has_unreported_change_ = true;
   const bool fails = faulty || job.always_fails;
   if (task.phase != "pulling") {
     task.phase = "exited";
@@ -128,9 +129,9 @@
     task.phase_ends_at = world_.now + world_.options.gang_wait_s;
   } else {
     task.phase = "running";
-    const double takes = job.run_increment_s > 0 ? job.run_s + job.run_increment_s * task.index
-                                                 : job.run_s * world_.uniform(0.7, 1.3);
-    task.phase_ends_at = world_.now + (fails ? kFailsAfter : takes);
+    const double duration_s = job.run_increment_s > 0 ? job.run_s + job.run_increment_s * task.index
+                                                      : job.run_s * world_.uniform(0.7, 1.3);
+    task.phase_ends_at = world_.now + (fails ? kFailDelaySeconds : duration_s);
   }
   world_.on_task_started(*this, task);
 }
@@ -160,63 +161,66 @@
 }
 
 void Worker::send_report() {
-  changed_ = false;
-  in_flight_ = true;
-  const Flight flight{++flight_, now(), worker_incarnation_, node_index(node_)};
-  last_report_ = flight.sent;
-  next_report_ = flight.sent + world_.options.report_s * world_.uniform(0.75, 1.25);
-  const HttpCall call{client_address_of(flight.node), "POST", "/hello", dump_json(report()), kReportPatience};
-  world_.in(kReportPatience + 0.05, [this, number = flight.number] { give_up_report(number); });
+  has_unreported_change_ = false;
+  has_report_in_flight_ = true;
+  const SentReport sent_report{++report_number_, now(), worker_incarnation_, node_index(node_)};
+  last_report_at_ = sent_report.sent_at;
+  next_report_at_ = sent_report.sent_at + world_.options.report_s * world_.uniform(0.75, 1.25);
+  const HttpCall call{client_address_of(sent_report.node), "POST", "/hello", dump_json(report()),
+                      kReportTimeoutSeconds};
+  world_.in(kReportTimeoutSeconds + 0.05, [this, number = sent_report.number] { time_out_report(number); });
   if (outbound_unreachable) return;
-  world_.network.send(name, call, [this, flight](const HttpReply& reply) {
-    run_or_defer([this, flight, reply] { on_report_answered(flight, reply); });
+  world_.network.send(name, call, [this, sent_report](const HttpReply& reply) {
+    run_or_defer([this, sent_report, reply] { on_report_answered(sent_report, reply); });
   });
 }
 
 // Of one that nobody answers because of the machine's own faults. (In all other cases the network says so.)
-void Worker::give_up_report(std::uint64_t flight) {
-  if (dead || hung || flight != flight_ || !in_flight_) return;
+void Worker::time_out_report(std::uint64_t number) {
+  if (dead || hung || number != report_number_ || !has_report_in_flight_) return;
   if (!inbound_unreachable && !loses_report_answers && !outbound_unreachable) return;
-  in_flight_ = false;
+  has_report_in_flight_ = false;
   node_ = node_name((node_index(node_) + 1) % world_.options.nodes);
-  next_report_ = now() + 1;
+  next_report_at_ = now() + 1;
 }
 
-void Worker::on_report_answered(const Flight& flight, const HttpReply& reply) {
-  if (dead || flight.number != flight_ || !in_flight_) return;
+void Worker::on_report_answered(const SentReport& sent_report, const HttpReply& reply) {
+  if (dead || sent_report.number != report_number_ || !has_report_in_flight_) return;
   if ((inbound_unreachable || loses_report_answers) && reply.status != 0)
     return;  // the time-out comes instead
-  in_flight_ = false;
+  has_report_in_flight_ = false;
   if (reply.status == 200) {
-    on_report_accepted(flight, parse_json(reply.body));
+    on_report_accepted(sent_report, parse_json(reply.body));
   } else {
-    on_report_refused(flight, reply);
+    on_report_refused(sent_report, reply);
   }
 }
 
-void Worker::on_report_accepted(const Flight& flight, const Json& body) {
+void Worker::on_report_accepted(const SentReport& sent_report, const Json& body) {
   if (!body.is_object() || !body.contains("baton")) return;
   const auto fencing_token = body["baton"].get<std::uint64_t>();
   if (fencing_token < fencing_token_) return;
-  if (now() - flight.sent > kReportPatience || flight.worker_incarnation != worker_incarnation_) return;
+  if (now() - sent_report.sent_at > kReportTimeoutSeconds ||
+      sent_report.worker_incarnation != worker_incarnation_)
+    return;
   if (fencing_token > fencing_token_) {
     fencing_token_ = fencing_token;
-    changed_ = true;
+    has_unreported_change_ = true;
   }
-  last_answered_sent_ = std::max(last_answered_sent_, flight.sent);
+  last_answered_sent_at_ = std::max(last_answered_sent_at_, sent_report.sent_at);
   execute(body["orders"]);
 }
 
 // It goes to the node that it was redirected to, or else to the next.
-void Worker::on_report_refused(const Flight& flight, const HttpReply& reply) {
+void Worker::on_report_refused(const SentReport& sent_report, const HttpReply& reply) {
   std::string parent;
   if (reply.status == 421) parent = parse_json(reply.body).value("parent", "");
   if (!parent.empty() && parent != node_) {
     node_ = parent;
-    next_report_ = now() + world_.uniform(0, 0.5);
+    next_report_at_ = now() + world_.uniform(0, 0.5);
   } else {
-    node_ = node_name((flight.node + 1) % world_.options.nodes);
-    next_report_ = now() + 1;
+    node_ = node_name((sent_report.node + 1) % world_.options.nodes);
+    next_report_at_ = now() + 1;
   }
 }
 
@@ -238,7 +242,7 @@
     return reply(409, report());
   if (fencing_token > fencing_token_) {
     fencing_token_ = fencing_token;
-    changed_ = true;
+    has_unreported_change_ = true;
   }
   execute(json["orders"]);
   reply(200, report());
@@ -247,13 +251,13 @@
 void Worker::execute(const Json& orders) {
   for (const Json& order : orders) {
     const std::string verb = order["verb"];
-    const std::string name_of_task = order["piece"];
+    const std::string task_name = order["piece"];
     const std::uint64_t attempt = order["try_no"];
     const auto it = std::find_if(tasks.begin(), tasks.end(), [&](const Task& task) {
-      return task.ref + "/" + std::to_string(task.index) == name_of_task && task.attempt == attempt;
+      return task.ref + "/" + std::to_string(task.index) == task_name && task.attempt == attempt;
     });
     if (verb == "launch") {
-      if (it == tasks.end()) launch(name_of_task, attempt);
+      if (it == tasks.end()) launch(task_name, attempt);
     } else if (it != tasks.end() && verb == "stop") {
       stop(*it, order);
     } else if (it != tasks.end() && verb == "reap" && it->phase == "exited") {
@@ -264,19 +268,19 @@
 
 void Worker::stop(Task& task, const Json& order) {
   if (task.phase == "exited" || ignores_stops) return;
-  changed_ = true;
+  has_unreported_change_ = true;
   if (task.job->gang) return world_.gangs.stop(task, order["wind_down_s"].get<double>());
   task.phase = "exited";
   task.cause = "halted";
 }
 
-void Worker::launch(const std::string& name_of_task, std::uint64_t attempt) {
-  const auto slash = name_of_task.rfind('/');
+void Worker::launch(const std::string& task_name, std::uint64_t attempt) {
+  const auto slash = task_name.rfind('/');
   Task task;
-  task.ref = name_of_task.substr(0, slash);
-  task.index = std::stoi(name_of_task.substr(slash + 1));
+  task.ref = task_name.substr(0, slash);
+  task.index = std::stoi(task_name.substr(slash + 1));
   task.attempt = attempt;
-  changed_ = true;
+  has_unreported_change_ = true;
   const auto refuse = [&](const char* cause) {
     task.phase = "exited";
     task.cause = cause;
--- a/tests/sim/worker.hpp
+++ b/tests/sim/worker.hpp
@@ -37,7 +37,7 @@
   void boot();
   // A command of a node.
   void handle(const std::string& target, const std::string& body, const Reply& reply);
-  void mark_changed() { changed_ = true; }
+  void mark_changed() { has_unreported_change_ = true; }
   // Its image is there, and it has begun.
   [[nodiscard]] bool occupies_machine(const Task& task) const {
     return task.phase == "running" || task.phase == "saving" || task.phase == "waiting";
@@ -56,7 +56,7 @@
   std::vector<Task> tasks;
   // It stands still: what arrives meanwhile waits. Its tasks, too.
   void hang(double for_s);
-  [[nodiscard]] bool is_up() const { return !dead && booted_; }
+  [[nodiscard]] bool is_up() const { return !dead && is_booted_; }
   // Nothing is wrong with it that a test has done.
   [[nodiscard]] bool is_healthy() const;
   [[nodiscard]] double total_cores() const { return machine_type == "c4" ? 4.0 : 16.0; }  // cores
@@ -67,9 +67,9 @@
 
  private:
   // A report that is under way.
-  struct Flight {
+  struct SentReport {
     std::uint64_t number;
-    double sent;  // by this machine's clock
+    double sent_at;  // by this machine's clock
     std::uint64_t worker_incarnation;
     int node;  // to which it was sent
   };
@@ -77,15 +77,15 @@
   void step();
   void step_task(Task& task);
   void send_report();
-  void give_up_report(std::uint64_t flight);
-  void on_report_answered(const Flight& flight, const HttpReply& reply);
-  void on_report_accepted(const Flight& flight, const Json& body);
-  void on_report_refused(const Flight& flight, const HttpReply& reply);
+  void time_out_report(std::uint64_t number);
+  void on_report_answered(const SentReport& sent_report, const HttpReply& reply);
+  void on_report_accepted(const SentReport& sent_report, const Json& body);
+  void on_report_refused(const SentReport& sent_report, const HttpReply& reply);
   void on_command(const std::string& target, const std::string& body, const Reply& reply);
   void run_or_defer(std::function<void()> action);
   void resume();
   void execute(const Json& orders);
-  void launch(const std::string& name_of_task, std::uint64_t attempt);
+  void launch(const std::string& task_name, std::uint64_t attempt);
   void stop(Task& task, const Json& order);
   void check_lease();
   [[nodiscard]] double now() const;
@@ -95,13 +95,13 @@
   std::uint64_t worker_incarnation_ = 1;
   std::uint64_t heartbeat_sequence_ = 0;
   std::uint64_t fencing_token_ = 0;
-  double last_answered_sent_ = 0;
-  double next_report_ = 0;
-  double last_report_ = -10;
-  bool in_flight_ = false;
-  std::uint64_t flight_ = 0;
-  bool changed_ = false;
-  bool booted_ = false;
+  double last_answered_sent_at_ = 0;
+  double next_report_at_ = 0;
+  double last_report_at_ = -10;
+  bool has_report_in_flight_ = false;
+  std::uint64_t report_number_ = 0;
+  bool has_unreported_change_ = false;
+  bool is_booted_ = false;
   std::string node_;  // to which it reports
   std::set<std::string> images_;
   std::vector<std::function<void()>> deferred_;  // what arrives while hung
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -39,39 +39,39 @@
 
 // Responders that are dropped unanswered say 503, and their answers would become events of a world that ends.
 World::~World() {
-  over_ = true;
+  is_shutting_down_ = true;
   nodes.kill_all();
   events_.clear();
 }
 
-void World::at(double time, std::function<void()> action) {
-  if (over_) return;
-  events_.push_back({std::max(time, now), order_++, std::move(action)});
+void World::at(double due_at, std::function<void()> action) {
+  if (is_shutting_down_) return;
+  events_.push_back({std::max(due_at, now), next_sequence_++, std::move(action)});
   std::push_heap(events_.begin(), events_.end());
 }
 
-void World::run_until(double time) {
-  while (!events_.empty() && events_.front().time <= time) {
+void World::run_until(double end_at) {
+  while (!events_.empty() && events_.front().due_at <= end_at) {
     std::pop_heap(events_.begin(), events_.end());
     const Event event = std::move(events_.back());
     events_.pop_back();
-    now = event.time;
+    now = event.due_at;
     event.action();
   }
-  now = time;
+  now = end_at;
 }
 
 void World::submit(UserJob job) {
   const std::string ref = job.ref;
-  const double when = job.submit_at;
-  const double cancel = job.cancel_at;
+  const double submit_at = job.submit_at;
+  const double cancel_at = job.cancel_at;
   job.cores = job.body["cores"];
   job.team = job.body["owner"];
   job.gang = job.body["shape"] == "ensemble";
   jobs.emplace(ref, std::move(job));
-  at(when, [this, ref] { users.submit(ref, now + 60); });
-  if (cancel >= 0) {
-    at(cancel, [this, ref] { users.cancel(ref); });
+  at(submit_at, [this, ref] { users.submit(ref, now + 60); });
+  if (cancel_at >= 0) {
+    at(cancel_at, [this, ref] { users.cancel(ref); });
   }
 }
 
@@ -91,29 +91,29 @@
 
 void World::on_task_completed(const Task& task) {
   UserJob& job = *task.job;
-  const bool last = job.completed.insert(task.index).second && has_completed(job);
-  if (!last) return;
+  const bool is_last = job.completed.insert(task.index).second && has_completed(job);
+  if (!is_last) return;
   if (on_job_completed) on_job_completed(task.ref);
   if (options.poll_all_nodes) users.poll_all_nodes_repeatedly(task.ref, 40, 0.1);
 }
 
 std::string World::summary() const {
   std::ostringstream out;
-  int open = 0;
+  int open_jobs = 0;
   for (const auto& [ref, job] : jobs) {
     if (job.accepted && !job.user_saw_done && !job.user_saw_aborted) {
-      open++;
+      open_jobs++;
       out << ref << " open: " << job.completed.size() << " of " << job.task_count << " completed; "
           << dump_json(job.body) << "\n";
     }
   }
   for (const auto& [key, value] : state.values()) {
-    const bool delegation = key.rfind(keys::kDelegations, 0) == 0;
+    const bool is_delegation = key.rfind(keys::kDelegations, 0) == 0;
     if (key.rfind(keys::kWatched, 0) != 0 && key.rfind("d/", 0) != 0) continue;
-    out << key << " " << (delegation ? value["range"].dump() + " done " + value["done"].dump() : value.dump())
-        << "\n";
+    out << key << " "
+        << (is_delegation ? value["range"].dump() + " done " + value["done"].dump() : value.dump()) << "\n";
   }
-  out << jobs.size() << " jobs, " << open << " open, " << starts << " starts, " << workers.size()
+  out << jobs.size() << " jobs, " << open_jobs << " open, " << starts << " starts, " << workers.size()
       << " machines\n";
   for (const std::string& violation : violations) out << violation << '\n';
   return out.str();
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -37,9 +37,9 @@
   World& operator=(const World&) = delete;
 
   // Events of one time happen in the order in which they were asked for.
-  void at(double time, std::function<void()> action);
-  void in(double delay, std::function<void()> action) { at(now + delay, std::move(action)); }
-  void run_until(double time);
+  void at(double due_at, std::function<void()> action);
+  void in(double delay_s, std::function<void()> action) { at(now + delay_s, std::move(action)); }
+  void run_until(double end_at);
   double uniform(double low, double high) {
     return low + (high - low) * std::generate_canonical<double, 53>(rng);
   }
@@ -78,17 +78,17 @@
 
  private:
   struct Event {
-    double time;
-    std::uint64_t order;
+    double due_at;
+    std::uint64_t sequence;
     std::function<void()> action;
     bool operator<(const Event& other) const {
-      return time != other.time ? time > other.time : order > other.order;
+      return due_at != other.due_at ? due_at > other.due_at : sequence > other.sequence;
     }
   };
 
-  bool over_ = false;
+  bool is_shutting_down_ = false;
   std::vector<Event> events_;  // a heap
-  std::uint64_t order_ = 0;
+  std::uint64_t next_sequence_ = 0;
 };
 
 }  // namespace mothslip::sim
