--- a/tests/sim/answer_history.cpp
+++ b/tests/sim/answer_history.cpp
@@ -15,7 +15,8 @@
   }
   accepted_at_ = std::min(accepted_at_, answer.received_at);
   if (is_terminal(answer.phase)) {
-    // A job has one terminal state: it does not matter which of two was asked for first.
+    // A job has only one terminal state, so two different ones are a violation regardless of which question
+    // was sent first.
     if (!terminal_.empty() && terminal_ != answer.phase)
       return "went_back: " + terminal_ + ", then " + answer.phase;
     terminal_ = answer.phase;
--- a/tests/sim/answer_history.hpp
+++ b/tests/sim/answer_history.hpp
@@ -1,5 +1,5 @@
-// What users have been told about one job, and the rule that no answer is older than one received before its
-// question was asked.
+// The answers that users have received about one job, and the rule that no answer may be older than one
+// that was received before its question was sent.
 #pragma once
 
 #include <limits>
@@ -8,24 +8,28 @@
 
 namespace mothslip::sim {
 
-// One answer to a poll, a submission or a cancellation, by any node.
+// One answer of any node to a poll, a submission or a cancellation.
 struct JobAnswer {
-  double asked_at = 0;     // when the question left the user
-  double received_at = 0;  // when the answer reached it
-  bool known = true;       // false: 404, the job is unknown
-  std::string phase;       // of a known job
+  double asked_at = 0;     // when the user sent the question
+  double received_at = 0;  // when the user received the answer
+  bool known = true;       // false if the answer was 404: the job is unknown
+  std::string phase;       // empty if the job is unknown
 };
 
-// All users of a job together: answers are compared whoever got them and whichever node gave them.
+// One history covers all users of a job: answers are compared regardless of who received them and of which
+// node sent them.
 class AnswerHistory {
  public:
-  // Takes the answer down. The rule that it breaks, with what was told before; nothing where it is in order.
+  // Records the answer. Returns the rule that it violates together with the earlier phase, or nothing if
+  // the answer is consistent.
   std::optional<std::string> record(const JobAnswer& answer);
 
  private:
   static constexpr double kNever = std::numeric_limits<double>::infinity();
-  double accepted_at_ = kNever;  // since then users know that the job is accepted
-  double ended_at_ = kNever;     // since then they know its terminal state
+  // From this time on, users know that the job is accepted.
+  double accepted_at_ = kNever;
+  // From this time on, users know the job's terminal state.
+  double ended_at_ = kNever;
   std::string terminal_;
 };
 
--- a/tests/sim/checks.cpp
+++ b/tests/sim/checks.cpp
@@ -17,9 +17,10 @@
   }
 }
 
-// At least half of the tasks of every class and of every team.
+// Expects that at least half of the tasks of every class and of every team are completed.
 void expect_half_served(const World& world) {
-  std::map<std::string, std::pair<int, int>> served;  // of tasks: done, all
+  // Completed tasks and all tasks, by class and by team.
+  std::map<std::string, std::pair<int, int>> served;
   for (const auto& [ref, job] : world.jobs) {
     if (!job.accepted || job.cancel_at >= 0 || job.cancel_requested) continue;
     for (const char* group : {"workload", "owner"}) {
@@ -31,7 +32,8 @@
   for (const auto& [group, counts] : served) EXPECT_GE(2 * counts.first, counts.second) << group;
 }
 
-// By the cores of all their tasks: the upper fifth, and at least one.
+// Returns the largest fifth of the jobs of each class, but at least one, measured by the cores of all their
+// tasks.
 std::vector<const UserJob*> largest_of_each_class(const World& world) {
   std::map<std::string, std::vector<const UserJob*>> classes;
   for (const auto& [ref, job] : world.jobs) {
@@ -49,7 +51,8 @@
   return out;
 }
 
-// They begin within four minutes of their submission, or of the troubles' end.
+// Expects that these jobs start within four minutes of their submission, or of the end of the injected
+// faults if they were submitted earlier.
 void expect_largest_started(const World& world) {
   for (const UserJob* job : largest_of_each_class(world)) {
     const bool was_submitted_during_faults =
--- a/tests/sim/checks.hpp
+++ b/tests/sim/checks.hpp
@@ -1,12 +1,13 @@
-// What every simulated day is held to at its end.
+// The checks that every simulated scenario must pass at its end.
 #pragma once
 
 #include "sim/world.hpp"
 
 namespace mothslip::sim {
 
-// No rule broken, no accepted job forgotten or left undone, no shard without an owner, and at least half of
-// every class and every team served, and the largest jobs of each class begun within four minutes.
+// Expects that no rule is violated, every accepted job is known to its user and has ended, every shard has
+// an owner, at least half of the tasks of every class and team are completed, and the largest jobs of each
+// class start within four minutes.
 void expect_invariants_hold(World& world);
 
 }  // namespace mothslip::sim
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -10,7 +10,7 @@
 namespace mothslip::sim {
 
 namespace {
-// Of the protocol: machines in one call.
+// The protocol's limits for the machines in one call.
 constexpr int kMaxRentedPerCall = 50;
 constexpr std::size_t kMaxReturnedPerCall = 100;
 constexpr std::size_t kMaxListedPerCall = 500;
--- a/tests/sim/cloud.hpp
+++ b/tests/sim/cloud.hpp
@@ -1,5 +1,5 @@
-// The cloud of the simulated cluster: it rents machines out, takes them back and lists them, as the protocol
-// says.
+// The cloud of the simulated cluster. It rents out machines, takes them back and lists them, as the
+// protocol specifies.
 #pragma once
 
 #include <functional>
@@ -18,28 +18,31 @@
   using Reply = std::function<void(int status, Json body)>;
   explicit Cloud(World& world);
   void handle(const std::string& target, const std::string& body, const Reply& reply);
-  bool outage = false;            // every call is answered 503
-  double boot_failure_share = 0;  // machines that never come up
-  int machines_rented = 0;        // machines, since the world began
+  bool outage = false;  // true: every call is answered 503
+  // Share of the rented machines that never boot.
+  double boot_failure_share = 0;
+  // Machines rented since the simulation started.
+  int machines_rented = 0;
 
  private:
-  // A machine as it is listed.
+  // A machine with the entry that represents it in the list.
   struct Row {
     Json item;
     double created_at;
-    double returned_at = 1e18;  // the time at which it was returned
+    double returned_at = 1e18;
   };
   void list_machine_types(const Reply& reply) const;
   void return_machines(const Json& request, const Reply& reply);
   void rent_machines(const Json& request, const Reply& reply);
   void list_machines(const std::string& target, const Reply& reply);
-  // How many more the market has of this type, zone and kind.
+  // Returns how many more machines of the requested type, zone and kind can be rented.
   [[nodiscard]] int available_machines(const Json& request) const;
-  // Gives its name.
+  // Creates a machine and returns its name.
   std::string create_machine(const Json& request);
 
   World& world_;
-  std::map<std::string, Json> rentals_;  // answers, by the request's name: a repetition gets the same
+  // Answers by rental name. A repeated request gets the same answer.
+  std::map<std::string, Json> rentals_;
   int next_machine_number_ = 1;
   std::map<std::string, Row> rows_;
   TokenBucket call_limiter_;
--- a/tests/sim/collector.hpp
+++ b/tests/sim/collector.hpp
@@ -1,5 +1,5 @@
-// Collects what the nodes of a simulated day write: records by kind of key, and messages between nodes by
-// path.
+// Collects samples of the data that nodes write during a simulated scenario: records by kind of key, and
+// messages between nodes by path.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 
 class Collector {
  public:
-  static constexpr std::size_t kMaxPerKind = 12;  // of each kind
+  static constexpr std::size_t kMaxPerKind = 12;
 
   explicit Collector(World& world) : world_(world) {
     world.network.on_peer_message = [this](const HttpCall& call, const HttpAnswer& answer) {
@@ -21,15 +21,17 @@
     sample_records();
   }
 
-  // "w/j/2/job-000412" is of kind "w/j".
+  // For example, "w/j/2/job-000412" is of kind "w/j".
   static std::string kind_of(const std::string& key) {
     if (key.rfind("parts/@", 0) == 0) return "parts/@";
     if (key.rfind("w/", 0) == 0) return key.substr(0, 3);
     return key.substr(0, key.find('/'));
   }
 
-  std::map<std::string, std::vector<Json>> records;   // by kind, different ones
-  std::map<std::string, std::vector<Json>> messages;  // by path: request and answer
+  // Distinct records by kind.
+  std::map<std::string, std::vector<Json>> records;
+  // Distinct messages by path, each with its request and its answer.
+  std::map<std::string, std::vector<Json>> messages;
 
  private:
   void sample_records() {
--- a/tests/sim/days.cpp
+++ b/tests/sim/days.cpp
@@ -58,7 +58,6 @@
   return out;
 }
 
-// Jobs of three sizes, a third of them in the first seconds.
 void add_mixed_load(World& world, int jobs, double last_submit_at) {
   for (int i = 0; i < jobs; i++) {
     UserJob job;
--- a/tests/sim/days.hpp
+++ b/tests/sim/days.hpp
@@ -1,4 +1,4 @@
-// What simulated days are made of: jobs, and picks among nodes and machines.
+// Building blocks of simulated scenarios: jobs, and random choices of nodes and machines.
 #pragma once
 
 #include "sim/world.hpp"
@@ -6,20 +6,25 @@
 namespace mothslip::sim {
 
 UserJob make_job(World& world, int number, double earliest_at, double latest_at);
-// A plain array: nothing binds its tasks, and nobody cancels it. Submitted within a second of `at`.
+// Creates an array job without placement constraints that nobody cancels. It is submitted within one second
+// of `earliest_at`.
 UserJob plain_job(World& world, int number, double earliest_at, int task_count, double run_s, int cores = 2);
-// Likewise, as a gang: all in one zone, on ordinary machines, saving every 10 s of progress.
+// Creates a gang of the same kind. Its tasks run in one zone on ordinary machines, and it saves a
+// checkpoint every 10 s of progress.
 UserJob gang_job(World& world, int number, double earliest_at, int task_count, double run_s, int cores = 2);
-// As many as the options say, submitted between these times.
+// Submits as many jobs as the options specify, at random times between the two given ones.
 void add_jobs(World& world, double earliest_at, double latest_at);
-// Five nodes and up to sixteen times so many machines: two types, four zones, ordinary and spot.
+// Options for a cluster of five nodes, in which up to 16 * `market_machines` machines can be rented: two
+// machine types, four zones, ordinary and spot.
 inline constexpr int kLargeMarketMachines = 125;
 Options large_fleet(std::uint64_t seed, int market_machines = kLargeMarketMachines);
-// Jobs of three sizes, a third of them in the first seconds.
+// Submits jobs of three sizes, a third of them within the first seconds.
 void add_mixed_load(World& world, int jobs, double last_submit_at);
 int random_node(World& world);
-Worker* random_worker(World& world);  // null: there is none
-// SIM_SEEDS=N plays N seeds of each day, for a search; the suite itself plays a few.
+// Returns null if no machine is alive.
+Worker* random_worker(World& world);
+// Returns the number of seeds that each scenario runs with. SIM_SEEDS=N sets it, to search for faults; the
+// default is small.
 int seed_count();
 
 }  // namespace mothslip::sim
--- a/tests/sim/gangs.cpp
+++ b/tests/sim/gangs.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 constexpr double kStepSeconds = 0.1;
-constexpr double kFailDelaySeconds = 0.5;  // a task that fails does so this long after its start
+// Time between the start of a failing task and its failure.
+constexpr double kFailDelaySeconds = 0.5;
 
 bool is_present(const Task& task) { return task.phase != "exited"; }
 }  // namespace
@@ -25,7 +26,8 @@
         members[{task.ref, task.attempt}].push_back({worker.get(), &task});
     }
   }
-  for (auto& [key, attempt] : attempts_) members[key];  // also those of which every task has vanished
+  // Attempts whose tasks have all disappeared are included.
+  for (auto& [key, attempt] : attempts_) members[key];
   for (auto& [key, list] : members) play(world_.jobs.at(key.first), attempts_[key], list);
   world_.in(kStepSeconds, [this] { step(); });
 }
@@ -78,7 +80,7 @@
   }
 }
 
-// Falls back to the last checkpoint.
+// Sets the progress back to the last checkpoint before the attempt ended.
 void Gangs::fall_back(UserJob& job, Attempt& attempt) const {
   const double checkpoint_interval_s = job.body["snapshot_every_s"].get<double>();
   const double progress_until = attempt.ended_at >= 0 ? attempt.ended_at : attempt.first_stop_at;
--- a/tests/sim/gangs.hpp
+++ b/tests/sim/gangs.hpp
@@ -1,5 +1,5 @@
-// How gangs run on the simulated machines: the protocol's rules for tasks that start, stop and complete
-// together, played over all machines every tenth of a second.
+// Gang execution on the simulated machines. It applies the protocol's rules for tasks that start, stop and
+// complete together to all machines every tenth of a second.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +18,23 @@
 class Gangs {
  public:
   explicit Gangs(World& world) : world_(world) {}
-  void begin();  // from now on, every tenth of a second
-  // A task of a gang is told to stop.
+  // Starts the periodic step, which runs every tenth of a second from now on.
+  void begin();
+  // Handles a stop command for a task of a gang.
   void stop(Task& task, double grace_s);
 
-  int attempts_started = 0;             // that started
-  int attempts_failed = 0;              // attempts that lost a task after they had started
-  int attempts_saved = 0;               // orderly stops that kept the progress
-  int attempts_not_saved = 0;           // and those that did not
-  int tasks_without_peers = 0;          // tasks that gave up waiting
-  int attempts_started_after_loss = 0;  // attempts that started although a task of theirs had been lost
+  // Attempts whose tasks all started.
+  int attempts_started = 0;
+  // Attempts that lost a task after they had started.
+  int attempts_failed = 0;
+  // Graceful stops that saved the progress.
+  int attempts_saved = 0;
+  // Graceful stops that did not save the progress.
+  int attempts_not_saved = 0;
+  // Tasks that exited because their peers did not arrive in time.
+  int tasks_without_peers = 0;
+  // Attempts that started although one of their tasks had been lost before.
+  int attempts_started_after_loss = 0;
 
  private:
   struct Member {
@@ -37,13 +44,15 @@
   struct Attempt {
     bool has_started = false;
     double completes_at = 0;
-    double started_at = 0;           // of the clock,
-    double progress_at_start_s = 0;  // and the progress then
-    double ended_at = -1;            // a task was gone at this time
+    double started_at = 0;
+    double progress_at_start_s = 0;
+    // When the attempt lost a task, completed or failed to save. Negative until then.
+    double ended_at = -1;
     double first_stop_at = -1;
     bool is_saved = false;
-    bool lost_task_before_start = false;  // before it started
-    std::size_t max_tasks_seen = 0;       // tasks seen at once
+    bool lost_task_before_start = false;
+    // The largest number of tasks that were present at the same time.
+    std::size_t max_tasks_seen = 0;
   };
   using Key = std::pair<std::string, std::uint64_t>;
 
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -8,9 +8,10 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr std::size_t kMaxBodyBytes =
-    std::size_t{64} * 1024;               // of a request, a transaction, a line of an answer
-const char* const kCopySuffix = "#copy";  // at the end of a copy's path, on its way
+// Limit for a request, a transaction and one line of an answer.
+constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
+// Marks a copy in transit, at the end of its path.
+const char* const kCopySuffix = "#copy";
 
 bool is_commit(const HttpCall& call) { return call.path == "/commit"; }
 
@@ -18,7 +19,7 @@
   return is_commit(call) && call.body.find("\"then\":[]") == std::string::npos;
 }
 
-// The share of such messages of which a copy comes.
+// Returns the share of messages of this kind that are copied.
 double copy_share(const std::string& from, const HttpCall& call, const Options& options) {
   if (is_commit(call)) return options.commit_copy_share;
   const bool is_copied_kind =
@@ -27,7 +28,7 @@
 }
 }  // namespace
 
-// ---------------------------------------------------------------- cuts
+// ---------------------------------------------------------------- partitions
 
 void Network::partition_node(int index, bool peers) {
   const std::string name = node_name(index);
@@ -58,7 +59,7 @@
   return partitions.count({a, b}) == 0 && partitions.count({b, a}) == 0;
 }
 
-// ---------------------------------------------------------------- on the way
+// ---------------------------------------------------------------- transit
 
 void Network::send(const std::string& from, const HttpCall& call, Reply reply) {
   auto is_finished = std::make_shared<bool>(false);
@@ -79,7 +80,7 @@
     deliver(from, call, [this, finish, delivered](const HttpReply& answer) {
       *delivered = answer.status != 421 && answer.status != 503;
       if (world_.uniform(0, 1) < world_.options.message_loss_share)
-        return;  // executed, but the answer is lost
+        return;  // the request was processed, but the answer is lost
       world_.in(world_.uniform(0.001, 0.006), [finish, answer] { finish(answer); });
     });
   });
@@ -98,7 +99,7 @@
       world_.uniform(0.001, 0.006) + (world_.uniform(0, 1) < 0.01 ? world_.uniform(0.05, 0.4) : 0);
   if (to == kStateAddress) delay_s += world_.state.answer_delay_s;
   if (reachable(from, to)) return delay_s;
-  // Held back and delivered after the cut, or lost.
+  // The message is either delivered long after it was sent, or lost.
   if (world_.uniform(0, 1) > delayed_share) return std::nullopt;
   return delay_s + world_.uniform(5, 60);
 }
@@ -119,14 +120,14 @@
   if (share <= 0 || world_.uniform(0, 1) >= share) return;
   world_.in(delay_s + world_.uniform(1, world_.options.max_copy_delay_s), [this, from, call, delivered] {
     HttpCall copy = call;
-    // (Nobody can tell one for a copy that overtakes the message itself, held back at a cut, or whose
-    // message was turned away where it came to: for the owner of the shard it is the first.)
+    // A copy is not marked if it overtakes the message itself, which a partition delays, or if the receiver
+    // rejected the message. The owner of the shard cannot distinguish such a copy from a first message.
     if (*delivered) copy.path += kCopySuffix;
     deliver(from, copy, [](const HttpReply&) {});
   });
 }
 
-// ---------------------------------------------------------------- where it arrives
+// ---------------------------------------------------------------- delivery
 
 void Network::deliver(const std::string& from, const HttpCall& sent, const Reply& reply) {
   HttpCall call = sent;
@@ -187,9 +188,9 @@
   });
 }
 
-// Open watches of a node that the state service refuses wait, as in an outage.
+// The watches of a node that the state service refuses stay open without an answer, as in an outage.
 void Network::answer_unless_refused(const std::string& node, std::function<void()> answer) {
-  constexpr double kRetryDelaySeconds = 0.2;  // seconds
+  constexpr double kRetryDelaySeconds = 0.2;
   if (nodes_refused_by_state.count(node) == 0) return answer();
   world_.in(kRetryDelaySeconds, [this, node, answer = std::move(answer)]() mutable {
     answer_unless_refused(node, std::move(answer));
@@ -198,10 +199,10 @@
 
 void Network::deliver_to_node(const NodeCall& node_call, const Reply& reply) {
   recovery::Controller* node = world_.nodes[static_cast<std::size_t>(node_call.node)].node.get();
-  if (node == nullptr) return;  // refused: the same as silence here
+  if (node == nullptr) return;  // a refused connection has the same effect as no answer
   const HttpCall& call = node_call.call;
   const bool is_client = node_call.is_client_address;
-  // What the node's listener would refuse.
+  // Checks the size limits that the node's listener enforces.
   const bool is_peer = call.path.rfind("/peer/", 0) == 0;
   record_size(is_client ? "request"
               : is_peer ? call.path
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -1,5 +1,5 @@
-// The network of the simulated cluster: it carries every message, and delays, loses, copies or holds it back
-// as the day's options and the test say.
+// The network of the simulated cluster. It carries every message, and delays, loses or copies messages as
+// the options and the test specify.
 #pragma once
 
 #include <functional>
@@ -23,50 +23,61 @@
   using Reply = std::function<void(HttpReply)>;
   explicit Network(World& world) : world_(world) {}
 
-  // Sends a message. Exactly one reply; {0} is silence.
+  // Sends a message. `reply` is called exactly once; status 0 means that no answer arrived in time.
   void send(const std::string& from, const HttpCall& call, Reply reply);
   [[nodiscard]] bool reachable(const std::string& a, const std::string& b) const;
 
-  // The state service refuses the node (nobody else), and with `peers` no other node reaches it.
+  // Makes the state service refuse this node only. With `peers`, the node is also partitioned from all
+  // other nodes.
   void partition_node(int index, bool peers);
-  // No machine reaches the node, nor it any of them; everybody else does.
+  // Partitions the node from all machines, in both directions. Everybody else still reaches it.
   void partition_node_from_workers(int index);
-  // All such cuts are over.
+  // Ends all partitions that the functions above created.
   void heal_partitions();
-  // No node reaches the machine, nor it any of them.
+  // Partitions the machine from all nodes, in both directions.
   void partition_machine(const std::string& machine);
 
-  std::set<std::pair<std::string, std::string>> partitions;  // by name, in either order
-  std::set<std::string>
-      nodes_refused_by_state;  // nodes that get 503 from the state service while others are served
-  std::set<std::string>
-      nodes_without_state_answers;  // nodes that no answer of the state service reaches; their calls arrive
-  std::set<std::string> nodes_without_workers;   // nodes that no machine reaches
-  std::map<std::string, double> isolated_since;  // nodes that reach their workers only, and since when
-  double delayed_share = 0.5;                    // of what meets a cut: delivered late rather than lost
-  int commit_answers_to_drop = 0;  // so many answers to commits get lost, though the commits are carried out
-  double max_watch_delay_s = 0;    // answers to watches come up to so much later than other answers
-  // Transactions with a change wait until this is over, whoever gives up meanwhile.
+  // Pairs of names that cannot reach each other, in either order.
+  std::set<std::pair<std::string, std::string>> partitions;
+  // Nodes that get 503 from the state service while others are served.
+  std::set<std::string> nodes_refused_by_state;
+  // Nodes that no answer of the state service reaches. Their requests arrive.
+  std::set<std::string> nodes_without_state_answers;
+  // Nodes that no machine reaches.
+  std::set<std::string> nodes_without_workers;
+  // Nodes that reach only their workers, with the time at which their isolation started.
+  std::map<std::string, double> isolated_since;
+  // Share of the messages into a partition that are delivered late. The others are lost.
+  double delayed_share = 0.5;
+  // Number of answers to commits that will be lost, although the commits are applied.
+  int commit_answers_to_drop = 0;
+  // Additional delay of the answers to watches, at most.
+  double max_watch_delay_s = 0;
+  // While true, transactions with changes are applied late and without an answer, even if their sender has
+  // given up by then.
   bool delay_commits = false;
-  // Which transactions are lost on their way: they are never carried out.
+  // Decides which transactions are lost on the way to the state service. They are never applied.
   std::function<bool(const std::string& from, const Json& body)> should_lose_commit;
-  // How much later than usual the answer to a commit arrives, in seconds; negative: it is lost.
+  // Returns the additional delay of the answer to a commit. A negative value means that the answer is lost.
   std::function<double(const std::string& from, const Json& body)> commit_answer_delay_s;
 
-  // Hears of each transaction that was carried out, before its answer leaves.
+  // Called for each transaction that was applied, before its answer is sent.
   std::function<void(const std::string& from, const Json& body)> on_commit;
-  // Hears of each message between nodes that was answered.
+  // Called for each message between nodes that was answered.
   std::function<void(const HttpCall& call, const HttpAnswer& answer)> on_peer_message;
-  // Hears what is sent to an address that nobody has.
+  // Called for messages to an address that belongs to no participant.
   std::function<void(const HttpCall&)> on_unknown_destination;
-  // Carries messages to nodes that are processes of their own.
+  // Delivers messages to nodes that run outside of this simulation.
   std::function<void(const HttpCall&, const Reply&)> send_to_external_node;
 
-  std::map<std::string, std::size_t> largest_bytes;  // message seen: by kind, bytes
-  std::map<std::string, int> message_counts;         // messages: by kind
+  // Size of the largest message seen, by kind.
+  std::map<std::string, std::size_t> largest_bytes;
+  // Number of messages, by kind.
+  std::map<std::string, int> message_counts;
 
  private:
-  // To a node: at which of its two addresses, and whether it is a copy of an earlier message.
+  // A message to a node, with the kind of address it was sent to, and whether it is a copy of an earlier
+  // message.
   struct NodeCall {
     std::string from;
     int node;
@@ -75,14 +86,17 @@
     HttpCall call;
   };
   using JsonReply = std::function<void(int status, const Json& body)>;
-  // In seconds; nothing: the message is lost at a cut.
+  // Returns nothing if the message is lost in a partition.
   std::optional<double> draw_delay_s(const std::string& from, const HttpCall& call);
-  // True: it is a transaction that is carried out later, without an answer.
+  // Schedules a late delivery without an answer if the message is a transaction selected for it, and
+  // returns whether it is.
   bool schedule_late_commit(const std::string& from, const HttpCall& call, double delay_s);
-  // Some messages are followed by a copy. `delivered`: the message itself has been accepted by then.
+  // Sends a copy after some messages. `delivered` says whether the message itself has been accepted when
+  // the copy arrives.
   void maybe_copy(const std::string& from, const HttpCall& call, double delay_s,
                   const std::shared_ptr<bool>& delivered);
-  // The name of whoever has this address; the address itself of one that has no name.
+  // Returns the name of the participant with this address, or the address itself if that participant has no
+  // name.
   [[nodiscard]] std::string name_at(const std::string& address) const;
   void deliver(const std::string& from, const HttpCall& call, const Reply& reply);
   void deliver_to_state(const std::string& from, const HttpCall& call, const JsonReply& answer);
--- a/tests/sim/nodes.cpp
+++ b/tests/sim/nodes.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// (The version before knows nothing of announced limits.)
+// The earlier version does not support announced limits, so these are applied for the current version only.
 void apply_next_limits(const Options& options, Settings& out) {
   if (options.next_value_kb > 0) out.value_kb = std::min(out.value_kb, options.next_value_kb);
   if (options.next_txn_ops > 0) out.txn_ops = std::min(out.txn_ops, options.next_txn_ops);
@@ -75,7 +75,7 @@
       node_name(index_), request,
       [this, token = std::weak_ptr<bool>(alive_), handler = std::move(handler)](HttpReply reply) {
         if (token.expired()) return;
-        // (What a frozen node holds goes with its process.)
+        // The deferred events of a frozen node are discarded with its process.
         world_.nodes.run_or_defer(index_, [handler, reply = std::move(reply)] { handler(reply); });
       });
 }
@@ -116,7 +116,7 @@
   if (!process_to_freeze.node || process_to_freeze.is_frozen) return;
   process_to_freeze.is_frozen = true;
   world_.in(for_s, [&process_to_freeze] {
-    if (!process_to_freeze.is_frozen) return;  // it ended meanwhile
+    if (!process_to_freeze.is_frozen) return;  // the process ended in the meantime
     process_to_freeze.is_frozen = false;
     const auto deferred = std::move(process_to_freeze.deferred);
     process_to_freeze.deferred.clear();
--- a/tests/sim/nodes.hpp
+++ b/tests/sim/nodes.hpp
@@ -1,5 +1,5 @@
-// The processes of the simulated cluster: whole nodes (the real class) that a test starts, kills, upgrades
-// and freezes.
+// The node processes of the simulated cluster. They run the real node class, and a test starts, kills,
+// upgrades and freezes them.
 #pragma once
 
 #include <functional>
@@ -17,7 +17,8 @@
 
 class World;
 
-// What a node sees of the world. It dies with its process: late timers and replies find nothing.
+// The environment of a node. It is destroyed with its process, so that later timers and replies have no
+// effect.
 class NodeEnv final : public Env {
  public:
   NodeEnv(World& world, int index, double clock_rate, double skew_s);
@@ -31,8 +32,10 @@
  private:
   World& world_;
   int index_;
-  double clock_rate_;  // how much faster its clock runs than the world's
-  double skew_s_;      // seconds by which its time of day is wrong
+  // Speed of the node's clock relative to the simulation's.
+  double clock_rate_;
+  // Error of the node's wall-clock time.
+  double skew_s_;
   TimerId next_ = 1;
   std::set<TimerId> cancelled_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
@@ -43,28 +46,31 @@
   struct Process {
     Settings settings;
     std::unique_ptr<NodeEnv> env;
-    std::unique_ptr<recovery::Controller> node;  // null: it has ended
+    // Null if the process has ended.
+    std::unique_ptr<recovery::Controller> node;
     bool is_frozen = false;
     bool earlier_version = false;
-    std::vector<std::function<void()>> deferred;  // what happened while it was frozen, in order
+    // Events that arrived while the node was frozen, in order.
+    std::vector<std::function<void()>> deferred;
   };
 
   explicit Nodes(World& world);
   void start(int index);
-  // Killed, and started again so many seconds later.
+  // Kills the process, and starts it after `restart_after_s`.
   void crash(int index, double restart_after_s);
-  // Killed, and started again with the present version.
+  // Kills the process, and starts it with the current version after `restart_after_s`.
   void upgrade(int index, double restart_after_s);
-  // Stands still: nothing is received or sent, no timer fires; its clocks run on.
+  // Suspends the process: it receives and sends nothing and no timer fires, but its clocks continue.
   void freeze(int index, double for_s);
-  // All processes end, and nothing that they hold is done.
+  // Ends all processes and discards their deferred events.
   void kill_all();
-  // Runs it now, or when the node goes on; not at all if the process has ended since.
+  // Runs the action now, or when the node resumes if it is frozen. Discards it if the process ends before
+  // that.
   void run_or_defer(int index, std::function<void()> action);
 
-  // False for a node whose process has ended; true for every address that is no node's.
+  // Returns false for a node whose process has ended, and true for every address that belongs to no node.
   [[nodiscard]] bool is_up(const std::string& address) const;
-  // The node that owns the shard, by the state service; -1: nobody.
+  // Returns the node that owns the shard according to the state service, or -1 if there is none.
   [[nodiscard]] int owner_of(int shard) const;
 
   [[nodiscard]] const Process& operator[](std::size_t index) const { return processes_[index]; }
--- a/tests/sim/query.hpp
+++ b/tests/sim/query.hpp
@@ -1,4 +1,4 @@
-// Parts of a request's target, for stand-ins that are not behind a real HTTP server.
+// Parses the query string of a request, for simulated services without a real HTTP server.
 #pragma once
 
 #include <sstream>
@@ -6,7 +6,7 @@
 
 namespace mothslip::sim {
 
-// The value of a field in what follows the question mark; empty where there is none.
+// Returns the value of a query parameter, or an empty string if there is none.
 inline std::string query_parameter(const std::string& target, const std::string& field) {
   const auto mark = target.find('?');
   if (mark == std::string::npos) return "";
