--- a/tests/sim/rule_checker.cpp
+++ b/tests/sim/rule_checker.cpp
@@ -7,10 +7,13 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr double kMaxUnansweredSeconds = 75;  // for which no question may go without an answer
-constexpr double kMaxWaitSeconds = 90;        // for which no job may wait beside a machine with room
-constexpr double kNodeLeaseSeconds = 6;       // after which a node's lease in the state service is over
-constexpr double kRoundingCores = 1e-6;       // cores
+// The longest time for which a user's polls may stay without an answer.
+constexpr double kMaxUnansweredSeconds = 75;
+// The longest time for which a job may wait while a machine has room for it.
+constexpr double kMaxWaitSeconds = 90;
+// The time after which the lease of an isolated node in the state service has expired.
+constexpr double kNodeLeaseSeconds = 6;
+constexpr double kRoundingCores = 1e-6;
 }  // namespace
 
 void RuleChecker::begin() { check_all(); }
@@ -29,9 +32,9 @@
   if (job.gang) check_attempt(task);
   if (job.user_saw_aborted) {
     starts_after_cancellation++;
-    // Who has not heard of it by then has lost its lease.
+    // A worker that did not receive the stop by then has lost its lease.
     if (world_.now - job.aborted_at > world_.options.lease_s)
-      world_.report_violation("started after its cancellation: " + task.ref);
+      world_.report_violation("task started after the cancellation of its job: " + task.ref);
   }
   check_runs_once(worker, task);
   check_quota(job.team);
@@ -44,7 +47,7 @@
   UserJob& job = *task.job;
   if (task.attempt < job.last_attempt)
     world_.report_violation("attempt " + std::to_string(task.attempt) + " of " + task.ref +
-                            " after a newer one");
+                            " started after a newer attempt");
   job.last_attempt = std::max(job.last_attempt, task.attempt);
 }
 
@@ -74,17 +77,19 @@
 
 void RuleChecker::check_placement(const Worker& worker, const Task& task) const {
   const UserJob& job = *task.job;
-  std::map<std::string, int> tasks_per_zone;  // tasks of the job
+  std::map<std::string, int> tasks_per_zone;
   for (const auto& [name, other] : world_.workers) {
     if (other->dead) continue;
     for (const Task& each : other->tasks) {
       if (other->occupies_machine(each) && each.job == &job) tasks_per_zone[other->zone]++;
     }
   }
-  if (worker.spot && !may_use_spot(job)) world_.report_violation("wrong_place: " + task.ref + " on spot");
-  if (!may_run_in(job, worker.zone)) world_.report_violation("wrong_place: " + task.ref + " hall");
+  if (worker.spot && !may_use_spot(job))
+    world_.report_violation("wrong_place: " + task.ref + " on a spot machine");
+  if (!may_run_in(job, worker.zone))
+    world_.report_violation("wrong_place: " + task.ref + " in a zone that it does not allow");
   if (is_bound_to_one_zone(job) && tasks_per_zone.size() > 1)
-    world_.report_violation("wrong_place: " + task.ref + " apart");
+    world_.report_violation("wrong_place: " + task.ref + " in several zones");
   if (is_scattered(job) && tasks_per_zone[worker.zone] > max_tasks_per_zone(job))
     world_.report_violation("wrong_place: " + task.ref + " not scattered");
 }
@@ -105,7 +110,8 @@
 void RuleChecker::check_launch(const std::string& from, const std::string& node, const Json& order) {
   const auto since = world_.network.isolated_since.find(node);
   if (since != world_.network.isolated_since.end() && world_.now - since->second > kNodeLeaseSeconds)
-    world_.report_violation(std::string("started alone: ").append(node).append(" on ").append(from));
+    world_.report_violation(
+        std::string("launched while isolated: ").append(node).append(" on ").append(from));
   const auto worker = world_.workers.find(from);
   if (worker == world_.workers.end() || !worker->second->inbound_unreachable) return;
   std::string attempt = from;
@@ -115,12 +121,12 @@
 
 // ---------------------------------------------------------------- once a second
 
-// From the troubles' end on every question finds an answer.
+// Checks that users get an answer in time once the injected faults have ended.
 void RuleChecker::check_unanswered() {
   for (auto& [ref, job] : world_.jobs) {
     if (job.unanswered_since < 0 || !job.accepted) continue;
     if (world_.now - std::max(job.unanswered_since, world_.faults_end_at) <= kMaxUnansweredSeconds) continue;
-    world_.report_violation("forgotten: " + ref + " without an answer for 75 s");
+    world_.report_violation("forgotten: user of " + ref + " got no answer for 75 s");
     job.unanswered_since = world_.now;
   }
 }
@@ -137,7 +143,8 @@
   }
 }
 
-// What its team's tasks take, while none of its own is on a machine.
+// Returns the cores that the tasks of the job's team use, or nothing if a task of the job itself is on a
+// machine.
 std::optional<double> RuleChecker::team_cores_if_job_is_idle(const UserJob& job) const {
   double used_cores = 0;
   for (const auto& [name, worker] : world_.workers) {
@@ -151,7 +158,7 @@
   return used_cores;
 }
 
-// Machines that are well have room for all its tasks, where they may go.
+// Returns whether healthy machines in allowed places have room for all tasks of the gang.
 bool RuleChecker::gang_could_run(const UserJob& job) const {
   const auto used_cores = team_cores_if_job_is_idle(job);
   if (!used_cores) return false;
@@ -175,8 +182,9 @@
          *used_cores + job.task_count * job.cores <= world_.options.team_max_cpus && !has_completed(job);
 }
 
-// None of its tasks is on a machine, and one has room for it now, under its team's limit? (Where tasks are
-// bound to each other, only while none is done either.)
+// Returns whether no task of the job is on a machine while a machine has room for one under the team's
+// limit. If the placement of a task constrains the others, the job counts only while none of its tasks is
+// completed.
 bool RuleChecker::could_run(const UserJob& job) const {
   if (job.gang) return gang_could_run(job);
   const auto used_cores = team_cores_if_job_is_idle(job);
@@ -192,7 +200,7 @@
   return has_room && *used_cores + job.cores <= world_.options.team_max_cpus && !has_completed(job);
 }
 
-// Once the troubles are over, no job waits for 90 s while a machine has room for it.
+// Checks that no job waits for 90 s while a machine has room for it, once the injected faults have ended.
 void RuleChecker::check_starvation() {
   if (!checks_starvation) return;
   for (auto& [ref, job] : world_.jobs) {
@@ -202,7 +210,7 @@
     }
     if (job.could_run_since < 0) job.could_run_since = world_.now;
     if (world_.now - std::max(job.could_run_since, world_.faults_end_at) <= kMaxWaitSeconds) continue;
-    world_.report_violation("waits: " + ref + " has waited for 90 s beside a machine with room");
+    world_.report_violation("waits: " + ref + " has waited for 90 s while a machine has room for it");
     job.could_run_since = world_.now;
   }
 }
--- a/tests/sim/rule_checker.hpp
+++ b/tests/sim/rule_checker.hpp
@@ -1,5 +1,5 @@
-// The protocol's rules as invariants of the simulated cluster: each start and each answer is checked as it
-// happens, and all jobs and machines once a second. A rule that is broken is reported to the World.
+// The protocol's rules as invariants of the simulated cluster. Each start and each answer is checked as it
+// happens, and all jobs and machines are checked once a second. Violations are reported to the World.
 #pragma once
 
 #include <map>
@@ -18,19 +18,24 @@
 class RuleChecker {
  public:
   explicit RuleChecker(World& world) : world_(world) {}
-  void begin();  // from now on, once a second
+  // Starts the periodic checks, which run once a second from now on.
+  void begin();
 
-  // A task has just come onto the machine.
+  // Checks a task that has just started on the machine.
   void check_start(const Worker& worker, const Task& task);
-  // What a node may not do with its answers. `copy`: to a copy of an earlier message.
+  // Checks the commands in a node's answer. `is_copy` says whether the answer is to a copy of an earlier
+  // message.
   void check_node_answer(const std::string& from, const std::string& node, const HttpCall& call,
                          const HttpAnswer& out, bool is_copy);
 
-  bool checks_starvation =
-      true;  // no job may wait for 90 s beside a machine with room, once the troubles are over
-  int launches_to_copies = 0;  // launches in answers to copies of reports: they go nowhere
-  std::map<std::string, int> launches_to_unreachable;  // by attempt
-  int starts_after_cancellation = 0;                   // after the user was told that the job is cancelled
+  // Whether no job may wait for 90 s while a machine has room for it, once the faults have ended.
+  bool checks_starvation = true;
+  // Launches in answers to copies of reports. They reach no worker.
+  int launches_to_copies = 0;
+  // Launches in answers to machines that no answer reaches, by attempt.
+  std::map<std::string, int> launches_to_unreachable;
+  // Starts after the user was informed that the job is cancelled.
+  int starts_after_cancellation = 0;
 
  private:
   void check_all();
@@ -41,7 +46,7 @@
   void check_attempt(const Task& task);
   void check_runs_once(const Worker& worker, const Task& task) const;
   void check_quota(const std::string& team) const;
-  // That it runs where its job may run.
+  // Checks that the task runs where its job may run.
   void check_placement(const Worker& worker, const Task& task) const;
   [[nodiscard]] bool could_run(const UserJob& job) const;
   [[nodiscard]] std::optional<double> team_cores_if_job_is_idle(const UserJob& job) const;
--- a/tests/sim/scripted_env.hpp
+++ b/tests/sim/scripted_env.hpp
@@ -1,4 +1,5 @@
-// An environment whose calls a test answers by hand. Its clock stands still and its timers never fire.
+// An environment in which the test answers each call explicitly. Its clock does not advance and its timers
+// never fire.
 #pragma once
 
 #include <functional>
@@ -24,14 +25,14 @@
     calls.push_back({std::move(request), std::move(handler)});
   }
 
-  // Answers the oldest call that is open.
+  // Answers the oldest unanswered call.
   void answer(int status, std::string body) {
     const Call call = std::move(calls.front());
     calls.erase(calls.begin());
     call.handler({status, std::move(body)});
   }
 
-  std::vector<Call> calls;  // open, oldest first
+  std::vector<Call> calls;  // unanswered, oldest first
 
  private:
   static constexpr double kNow = 1000;
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -30,8 +30,7 @@
   expire_leases();
   outage_ = out;
   if (!out) {
-    for (auto& [id, lease] : leases_)
-      lease.expires_at = world_.now + lease.ttl_s;  // all get their full time again
+    for (auto& [id, lease] : leases_) lease.expires_at = world_.now + lease.ttl_s;  // full time to live
     serve_watches();
   }
 }
@@ -73,8 +72,8 @@
   return out;
 }
 
-// As when an operator restores a backup: leases get their full time, watches stay open and wait for revisions
-// that they take for new.
+// Models an operator who restores a backup. Leases get their full time to live, and watches stay open and
+// wait for revisions that they take for new ones.
 void StateService::restore(const Snapshot& snapshot) {
   values_ = snapshot.values;
   revisions_ = snapshot.revisions;
@@ -214,12 +213,13 @@
   });
 }
 
-// `text`: of the transaction as it came.
+// `text` is the transaction as it was received.
 void StateService::commit(const Json& transaction, const std::string& text, const Reply& reply) {
   const Json& changes = transaction["then"];
   if (exceeds_limits(changes, transaction["guards"].size())) {
     oversized_transactions++;
-    if (!allows_oversized) world_.report_violation("a transaction that is too large: " + text.substr(0, 300));
+    if (!allows_oversized)
+      world_.report_violation("transaction exceeds the size limits: " + text.substr(0, 300));
     return reply(400, {{"error", "too large"}});
   }
   if (!try_take_writes(changes.size())) {
--- a/tests/sim/state_service.hpp
+++ b/tests/sim/state_service.hpp
@@ -1,5 +1,5 @@
 // The state service of the simulated cluster: a key-value store with revisions, leases and watches, as the
-// protocol says; with the faults that a test may give it.
+// protocol specifies, and with faults that a test can inject.
 #pragma once
 
 #include <cstdint>
@@ -23,28 +23,37 @@
   void handle(const std::string& method, const std::string& target, const std::string& body,
               const Reply& reply);
   [[nodiscard]] const std::map<std::string, Json>& values() const { return values_; }
-  // 0: there is no such key.
+  // Returns the revision of the key, or 0 if the key does not exist.
   [[nodiscard]] std::uint64_t revision(const std::string& key) const;
 
-  // Every call is answered 503, no lease expires; when it is over, all leases get their full time again.
+  // Starts or ends an outage. During an outage every call is answered 503 and no lease expires. When it
+  // ends, all leases are extended by their full time to live.
   void set_outage(bool out);
-  double answer_delay_s = 0;       // every answer takes so much longer
-  int rate_limited_calls = 0;      // calls answered 429
-  int oversized_transactions = 0;  // transactions answered 400 for their size or that of a value
-  bool allows_oversized = false;   // without this such a transaction breaks a rule of the simulated cluster
-  int requested_changes = 0;       // asked for in transactions
-  // From now on; what is stored stays.
+  // Additional delay of every answer.
+  double answer_delay_s = 0;
+  int rate_limited_calls = 0;      // answered 429
+  int oversized_transactions = 0;  // answered 400 for their size or that of a value
+  // Whether an oversized transaction is permitted. Otherwise it is a violation.
+  bool allows_oversized = false;
+  // Changes requested in transactions.
+  int requested_changes = 0;
+  // Lowers the limits from now on. Stored values stay.
   void lower_limits(double value_kb, int txn_ops, double write_rps);
-  void corrupt(const std::string& key) { values_[key] = "spoiled"; }  // as if written by something else
-  void rewrite_unchanged(const std::string& key);  // the same value under a new revision, by something else
-  bool are_watches_paused = false;                 // open watches tell nothing
+  // Overwrites the value as a foreign writer would.
+  void corrupt(const std::string& key) { values_[key] = "spoiled"; }
+  // Stores the same value under a new revision, as a foreign writer would.
+  void rewrite_unchanged(const std::string& key);
+  // While true, open watches report no changes.
+  bool are_watches_paused = false;
   void resume_watches();
-  // What the service holds now, to be set back to later. It may forget the leases.
+  // The content of the service, which a test can restore later, with or without its leases.
   struct Snapshot {
     std::map<std::string, Json> values;
     std::map<std::string, std::uint64_t> revisions;
-    std::map<std::string, std::uint64_t> lease_ids;  // of keys that are bound to a lease
-    std::map<std::uint64_t, double> leases;          // by id: seconds to live
+    // Keys that are bound to a lease, with the lease's id.
+    std::map<std::string, std::uint64_t> lease_ids;
+    // Time to live in seconds by lease id.
+    std::map<std::uint64_t, double> leases;
     std::uint64_t revision = 1;
     std::uint64_t next_lease = 1;
   };
@@ -76,9 +85,9 @@
   void renew_lease(std::uint64_t id, const Reply& reply);
 
   [[nodiscard]] bool exceeds_limits(const Json& changes, std::size_t conditions) const;
-  // False: the rate of writes does not allow so many changes now.
+  // Takes the changes from the write budget, or returns false if the write rate does not allow them now.
   bool try_take_writes(std::size_t changes);
-  // Keys whose revision is another.
+  // Returns the guarded keys whose revision differs from the expected one.
   [[nodiscard]] Json failed_guards(const Json& transaction) const;
   [[nodiscard]] bool has_unknown_lease(const Json& changes) const;
   void apply(const Json& change);
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -7,7 +7,7 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr double kSubmitTimeoutSeconds = 5;  // seconds for which users wait
+constexpr double kSubmitTimeoutSeconds = 5;
 constexpr double kPollTimeoutSeconds = 2;
 constexpr double kPollIntervalSeconds = 5;
 
@@ -37,11 +37,11 @@
       });
 }
 
-// Every answer of every kind comes through here.
+// Checks every answer, whatever its question.
 void Users::check(Question question, const std::string& ref, double asked_at, const HttpReply& reply) {
   UserJob& job = world_.jobs.at(ref);
   if (question == Question::kSubmission && (reply.status == 400 || reply.status == 422)) {
-    world_.report_violation("forgotten: " + ref + " got " + std::to_string(reply.status));
+    world_.report_violation("forgotten: submission of " + ref + " answered " + std::to_string(reply.status));
     return;
   }
   const bool known = reply.status == 200 || reply.status == 201;
@@ -50,18 +50,19 @@
   const auto broken_rule = job.answers.record({asked_at, world_.now, known, phase});
   if (broken_rule) world_.report_violation(*broken_rule + " (" + ref + ")");
   if (phase == "running" && job.gang && job.gang_started_at < 0)
-    world_.report_violation("told that a gang runs that never started: " + ref);
+    world_.report_violation("gang reported as running, but it never started: " + ref);
   if (phase == "done") {
     if (static_cast<int>(job.completed.size()) < job.task_count) world_.report_violation("not_done: " + ref);
     job.user_saw_done = true;
   } else if (phase == "aborted") {
-    if (!job.cancel_requested) world_.report_violation("went_back: " + ref + " cancelled by nobody");
+    if (!job.cancel_requested)
+      world_.report_violation("went_back: " + ref + " reported as cancelled without a cancellation");
     if (!std::exchange(job.user_saw_aborted, true)) {
       job.aborted_at = world_.now;
       if (world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 20, 0.1);
     }
   } else if (known && question == Question::kCancellation) {
-    world_.report_violation("cancel of " + ref + " answered " + phase);
+    world_.report_violation("cancellation of " + ref + " answered with phase " + phase);
   }
 }
 
@@ -72,7 +73,7 @@
     if (reply.status == 201 || reply.status == 200) {
       const bool is_first = !std::exchange(job.accepted, true);
       if (is_first && world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 4, 0.02);
-      // Some repeat it much later.
+      // Some users repeat the submission much later.
       if (world_.uniform(0, 1) < 0.1) {
         world_.in(world_.uniform(1, 40), [this, ref] { submit(ref, world_.now + 1); });
       }
@@ -94,9 +95,9 @@
     if (reply.status != 200 || (!job.user_saw_done && !job.user_saw_aborted)) {
       world_.in(kPollIntervalSeconds, [this, ref] { poll(ref); });
     } else if (world_.uniform(0, 1) < 0.5) {
-      world_.in(world_.uniform(5, 60), [this, ref] { poll(ref); });  // asks again much later
+      world_.in(world_.uniform(5, 60), [this, ref] { poll(ref); });  // polls again much later
     } else {
-      job.unanswered_since = -1;  // this user asks no more
+      job.unanswered_since = -1;  // this user stops polling
     }
   });
 }
@@ -122,7 +123,8 @@
 }
 
 void Users::poll_each_node(const std::string& ref) {
-  constexpr double kRepeatShare = 0.05;  // share of looks that repeat a submission or a cancellation
+  // Share of polls that are followed by a repeated submission or cancellation.
+  constexpr double kRepeatShare = 0.05;
   const auto ignore_reply = [](const HttpReply&) {};
   for (int node = 0; node < world_.options.nodes; node++) {
     ask(Question::kPoll, ref, node, ignore_reply);
--- a/tests/sim/users.hpp
+++ b/tests/sim/users.hpp
@@ -1,5 +1,5 @@
-// The users of the simulated cluster: they submit, poll and cancel, and hold every answer against those that
-// were received before it was asked for.
+// The users of the simulated cluster. They submit, poll and cancel jobs, and check every answer against
+// those that were received before its question was sent.
 #pragma once
 
 #include <functional>
@@ -15,13 +15,16 @@
  public:
   explicit Users(World& world) : world_(world) {}
 
-  // Repeated until it is accepted, or until `give_up`. An accepted job is then polled.
+  // Submits the job, and repeats it until the job is accepted or `give_up_at` has passed. An accepted job
+  // is then polled.
   void submit(const std::string& ref, double give_up_at);
   void poll(const std::string& ref);
-  // Repeated until it is answered. A job that is not accepted yet is cancelled once it is.
+  // Cancels the job, and repeats it until it is answered. A job that is not accepted yet is cancelled once
+  // it is.
   void cancel(const std::string& ref);
-  // So many rounds, `gap_s` apart, of polls at every node within milliseconds. Some repeat the submission
-  // too, and the cancellation of a job whose cancellation was asked for.
+  // Polls every node within milliseconds, in `rounds` rounds that are `gap_s` apart. A share of these polls
+  // is followed by a repeated submission. If the job's cancellation was requested, a share is also followed
+  // by a repeated cancellation.
   void poll_all_nodes_repeatedly(const std::string& ref, int rounds, double gap_s);
 
  private:
--- a/tests/sim/worker.cpp
+++ b/tests/sim/worker.cpp
@@ -9,10 +9,14 @@
 namespace mothslip::sim {
 
 namespace {
-constexpr double kStepSeconds = 0.1;           // seconds between looks at its tasks
-constexpr double kMinReportGapSeconds = 0.5;   // seconds between reports, however much changes
-constexpr double kReportTimeoutSeconds = 4.0;  // seconds for which it waits for the answer to a report
-constexpr double kFailDelaySeconds = 0.5;      // seconds, of a task that fails
+// Time between checks of its tasks.
+constexpr double kStepSeconds = 0.1;
+// The shortest time between reports, regardless of how much changes.
+constexpr double kMinReportGapSeconds = 0.5;
+// Time-out for the answer to a report.
+constexpr double kReportTimeoutSeconds = 4.0;
+// Time between the start of a failing task and its failure.
+constexpr double kFailDelaySeconds = 0.5;
 }  // namespace
 
 Worker::Worker(World& world, std::string name_in, std::string address_in, std::string machine_type_in,
@@ -97,7 +101,7 @@
     tasks.clear();
     return;
   }
-  check_lease();  // a machine resumes only within its lease: beyond it, its tasks are gone, hung or not
+  check_lease();  // a machine that resumes after its lease has lost its tasks, even while hung
   if (!hung) {
     for (Task& task : tasks) step_task(task);
     const bool is_due = now() >= next_report_at_ ||
@@ -114,7 +118,7 @@
 void Worker::step_task(Task& task) {
   if (task.phase == "exited" || world_.now < task.phase_ends_at) return;
   const UserJob& job = *task.job;
-  if (job.gang && task.phase != "pulling") return;  // Gangs plays them
+  if (job.gang && task.phase != "pulling") return;  // Gangs simulates gang tasks after the pull
   has_unreported_change_ = true;
   const bool fails = faulty || job.always_fails;
   if (task.phase != "pulling") {
@@ -175,7 +179,8 @@
   });
 }
 
-// Of one that nobody answers because of the machine's own faults. (In all other cases the network says so.)
+// Times out a report that gets no answer because of a fault of this machine. In all other cases the network
+// calls the reply handler.
 void Worker::time_out_report(std::uint64_t number) {
   if (dead || hung || number != report_number_ || !has_report_in_flight_) return;
   if (!inbound_unreachable && !loses_report_answers && !outbound_unreachable) return;
@@ -187,7 +192,7 @@
 void Worker::on_report_answered(const SentReport& sent_report, const HttpReply& reply) {
   if (dead || sent_report.number != report_number_ || !has_report_in_flight_) return;
   if ((inbound_unreachable || loses_report_answers) && reply.status != 0)
-    return;  // the time-out comes instead
+    return;  // the report times out instead
   has_report_in_flight_ = false;
   if (reply.status == 200) {
     on_report_accepted(sent_report, parse_json(reply.body));
@@ -211,7 +216,7 @@
   execute(body["orders"]);
 }
 
-// It goes to the node that it was redirected to, or else to the next.
+// The next report goes to the node that the answer redirects to, or else to the next node.
 void Worker::on_report_refused(const SentReport& sent_report, const HttpReply& reply) {
   std::string parent;
   if (reply.status == 421) parent = parse_json(reply.body).value("parent", "");
--- a/tests/sim/worker.hpp
+++ b/tests/sim/worker.hpp
@@ -1,5 +1,5 @@
-// A machine of the simulated cluster and the worker on it, as the protocol says; with the faults that a test
-// may give it.
+// A machine of the simulated cluster with its worker, as the protocol specifies, and with faults that a
+// test can inject.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,30 @@
 class World;
 
 struct Task {
-  UserJob* job = nullptr;  // null: nobody submitted it
+  UserJob* job = nullptr;  // null: nobody submitted the job
   std::string ref;
   int index = 0;
   std::uint64_t attempt = 0;
-  std::string phase = "pulling";   // as on the wire
-  std::string cause;               // of its exit
-  double phase_ends_at = 0;        // the time at which its phase ends
-  bool is_progress_saved = false;  // of a gang: its progress was saved as it was stopped
+  std::string phase = "pulling";  // in the wire format
+  std::string cause;              // of its exit
+  double phase_ends_at = 0;
+  // Whether the progress of a gang was saved when the task was stopped.
+  bool is_progress_saved = false;
 };
 
 class Worker {
  public:
   using Reply = std::function<void(int status, Json body)>;
-  // `drift`: how much faster its clock runs than the world's.
+  // `clock_rate` is the speed of the machine's clock relative to the simulation's.
   Worker(World& world, std::string name, std::string address, std::string machine_type, std::string zone,
          bool spot, double clock_rate);
-  // The machine is up: the worker reports to a node that it picks.
+  // Boots the machine. Its worker reports to a randomly chosen node.
   void boot();
-  // A command of a node.
+  // Handles a command of a node.
   void handle(const std::string& target, const std::string& body, const Reply& reply);
   void mark_changed() { has_unreported_change_ = true; }
-  // Its image is there, and it has begun.
+  // Returns whether the image has been pulled, and the task runs, saves its progress or waits for its
+  // peers.
   [[nodiscard]] bool occupies_machine(const Task& task) const {
     return task.phase == "running" || task.phase == "saving" || task.phase == "waiting";
   }
@@ -47,31 +49,36 @@
   bool spot;
   bool dead = false;
   bool hung = false;
-  bool faulty = false;                // every task fails on it
-  double eviction_notice_s = -1;      // the cloud takes it away in so long; negative: it does not
-  bool inbound_unreachable = false;   // its reports arrive; answers and commands do not reach it
-  bool loses_report_answers = false;  // only the answers to its reports are lost; commands arrive
-  bool ignores_stops = false;         // it takes no notice of stops
-  bool outbound_unreachable = false;  // its reports reach nobody; commands arrive
+  // Every task fails on the machine.
+  bool faulty = false;
+  // Time until the cloud evicts the machine. Negative if it does not.
+  double eviction_notice_s = -1;
+  // Reports arrive, but answers and commands do not reach the machine.
+  bool inbound_unreachable = false;
+  // Only the answers to reports are lost. Commands arrive.
+  bool loses_report_answers = false;
+  bool ignores_stops = false;
+  // Reports reach no node. Commands arrive.
+  bool outbound_unreachable = false;
   std::vector<Task> tasks;
-  // It stands still: what arrives meanwhile waits. Its tasks, too.
+  // Suspends the machine and its tasks. Messages that arrive in the meantime are processed afterwards.
   void hang(double for_s);
   [[nodiscard]] bool is_up() const { return !dead && is_booted_; }
-  // Nothing is wrong with it that a test has done.
+  // Returns whether no fault is injected on the machine.
   [[nodiscard]] bool is_healthy() const;
-  [[nodiscard]] double total_cores() const { return machine_type == "c4" ? 4.0 : 16.0; }  // cores
+  [[nodiscard]] double total_cores() const { return machine_type == "c4" ? 4.0 : 16.0; }
   [[nodiscard]] double free_cores() const;
-  // The machine is back at once after losing power: all on it is gone. It may have forgotten which
-  // incarnation it was in.
+  // Reboots the machine at once after a power loss. All its tasks and images are gone. It may also have
+  // lost its incarnation number.
   void reboot(bool forgets_incarnation);
 
  private:
-  // A report that is under way.
+  // A report that has been sent and not answered yet.
   struct SentReport {
     std::uint64_t number;
     double sent_at;  // by this machine's clock
     std::uint64_t worker_incarnation;
-    int node;  // to which it was sent
+    int node;  // the receiver
   };
   [[nodiscard]] Json report();
   void step();
@@ -102,9 +109,9 @@
   std::uint64_t report_number_ = 0;
   bool has_unreported_change_ = false;
   bool is_booted_ = false;
-  std::string node_;  // to which it reports
+  std::string node_;  // the receiver of its reports
   std::set<std::string> images_;
-  std::vector<std::function<void()>> deferred_;  // what arrives while hung
+  std::vector<std::function<void()>> deferred_;  // messages that arrived while the machine hung
 };
 
 }  // namespace mothslip::sim
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -37,7 +37,8 @@
   at(1, [this] { gangs.begin(); });
 }
 
-// Responders that are dropped unanswered say 503, and their answers would become events of a world that ends.
+// Responders that are destroyed without an answer send 503. While the world shuts down, these answers must
+// not become new events.
 World::~World() {
   is_shutting_down_ = true;
   nodes.kill_all();
--- a/tests/sim/world.hpp
+++ b/tests/sim/world.hpp
@@ -1,6 +1,6 @@
-// A small simulated cluster: whole nodes (the real Node class) in virtual time, with stand-ins for the state
-// service, the cloud, workers and users that follow PROTOCOL, and the protocol's rules as invariants.
-// The World is the clock, and holds the stand-ins together; each of them has a file of its own.
+// A small simulated cluster. Nodes run the real Node class in virtual time, against simulated versions of
+// the state service, the cloud, workers and users that follow PROTOCOL. The protocol's rules are checked as
+// invariants. The World is the clock and connects these parts, each of which has a file of its own.
 #pragma once
 
 #include <cstdint>
@@ -26,7 +26,7 @@
 
 namespace mothslip::sim {
 
-// Simulated days are silent unless SIM_LOG is set.
+// Turns off logging in simulated scenarios unless SIM_LOG is set.
 void set_up_log();
 
 class World {
@@ -36,7 +36,7 @@
   World(const World&) = delete;
   World& operator=(const World&) = delete;
 
-  // Events of one time happen in the order in which they were asked for.
+  // Events with the same time run in the order in which they were scheduled.
   void at(double due_at, std::function<void()> action);
   void in(double delay_s, std::function<void()> action) { at(now + delay_s, std::move(action)); }
   void run_until(double end_at);
@@ -44,20 +44,20 @@
     return low + (high - low) * std::generate_canonical<double, 53>(rng);
   }
 
-  // A user submits it, and cancels it, at the times that it names.
+  // Schedules the submission of the job and its cancellation, at the times given in the job.
   void submit(UserJob job);
   void cancel_job(const std::string& ref) { users.cancel(ref); }
   void resubmit(const std::string& ref) { users.submit(ref, now + 1); }
 
-  // A rule of the protocol has been broken.
+  // Records a violation of a rule of the protocol.
   void report_violation(const std::string& rule);
-  // A task has come onto a machine, or has completed there.
+  // Called when a task has started on a machine, or has completed there.
   void on_task_started(const Worker& worker, const Task& task);
   void on_task_completed(const Task& task);
-  // What is open and what was broken, for the message of a test that fails.
+  // Returns the open jobs and the violations, for the message of a failed test.
   [[nodiscard]] std::string summary() const;
 
-  double now = 0;  // seconds since the world began
+  double now = 0;  // seconds since the simulation started
   std::mt19937_64 rng;
   Options options;
   StateService state;
@@ -66,14 +66,17 @@
   Gangs gangs;
   Network network;
   RuleChecker rules;
-  std::map<std::string, std::unique_ptr<Worker>> workers;  // by name of the machine
+  std::map<std::string, std::unique_ptr<Worker>> workers;  // by machine name
   std::unordered_map<std::string, Worker*> workers_by_address;
   std::map<std::string, UserJob> jobs;
   std::vector<std::string> violations;
-  double faults_end_at = 1e18;  // from here on every question must find an answer within 75 s
+  // End of the injected faults. After it, every user's poll must find an answer within 75 s.
+  double faults_end_at = 1e18;
   int starts = 0;
-  int tasks_lost_with_lease = 0;  // tasks that were on a machine when its lease ended
-  std::function<void(const std::string& ref)> on_job_completed;  // the last task of a job has just completed
+  // Tasks that were on a machine when its lease expired.
+  int tasks_lost_with_lease = 0;
+  // Called when the last task of a job has completed.
+  std::function<void(const std::string& ref)> on_job_completed;
   Nodes nodes;
 
  private:
