--- a/tests/sim/answer_history.cpp
+++ b/tests/sim/answer_history.cpp
@@ -9,7 +9,7 @@
 }  // namespace
 
 std::optional<std::string> AnswerHistory::record(const JobAnswer& answer) {
-  if (!answer.known) {
+  if (!answer.is_known) {
     if (answer.asked_at >= accepted_at_) return "forgotten: accepted, then unknown";
     return std::nullopt;
   }
--- a/tests/sim/answer_history.hpp
+++ b/tests/sim/answer_history.hpp
@@ -12,7 +12,7 @@
 struct JobAnswer {
   double asked_at = 0;     // when the user sent the question
   double received_at = 0;  // when the user received the answer
-  bool known = true;       // false if the answer was 404: the job is unknown
+  bool is_known = true;    // false if the answer was 404: the job is unknown
   std::string phase;       // empty if the job is unknown
 };
 
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -53,7 +53,7 @@
   for (int i = 0; i < world_.options.nodes; i++) partitions.insert({machine, node_name(i)});
 }
 
-bool Network::reachable(const std::string& a, const std::string& b) const {
+bool Network::is_reachable(const std::string& a, const std::string& b) const {
   if (nodes_without_workers.count(a) > 0 && world_.workers.count(b) > 0) return false;
   if (nodes_without_workers.count(b) > 0 && world_.workers.count(a) > 0) return false;
   return partitions.count({a, b}) == 0 && partitions.count({b, a}) == 0;
@@ -98,7 +98,7 @@
   double delay_s =
       world_.uniform(0.001, 0.006) + (world_.uniform(0, 1) < 0.01 ? world_.uniform(0.05, 0.4) : 0);
   if (to == kStateAddress) delay_s += world_.state.answer_delay_s;
-  if (reachable(from, to)) return delay_s;
+  if (is_reachable(from, to)) return delay_s;
   // The message is either delivered long after it was sent, or lost.
   if (world_.uniform(0, 1) > delayed_share) return std::nullopt;
   return delay_s + world_.uniform(5, 60);
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -25,7 +25,7 @@
 
   // Sends a message. `reply` is called exactly once; status 0 means that no answer arrived in time.
   void send(const std::string& from, const HttpCall& call, Reply reply);
-  [[nodiscard]] bool reachable(const std::string& a, const std::string& b) const;
+  [[nodiscard]] bool is_reachable(const std::string& a, const std::string& b) const;
 
   // Makes the state service refuse this node only. With `peers`, the node is also partitioned from all
   // other nodes.
