--- a/tests/loopback/real_cluster.cpp
+++ b/tests/loopback/real_cluster.cpp
@@ -45,7 +45,8 @@
 
 RealCluster::RealCluster(const sim::Options& options, std::string directory)
     : world_(options), directory_(std::move(directory)), began_(env_.now()) {
-  world_.network.call_node = [this](const HttpCall& call, const std::function<void(HttpReply)>& reply) {
+  world_.network.send_to_external_node = [this](const HttpCall& call,
+                                                const std::function<void(HttpReply)>& reply) {
     HttpCall real = call;
     real.destination = to_loopback(call.destination);
     real.body = addresses_to_loopback(call.body);
@@ -81,14 +82,14 @@
 }
 
 void RealCluster::serve_new_workers() {
-  for (const auto& [address, worker] : world_.by_address) {
+  for (const auto& [address, worker] : world_.workers_by_address) {
     if (workers_.count(address) > 0) continue;
     const std::string at = address;
     workers_[address] = std::make_unique<HttpServer>(
         env_.base(), to_loopback(address), kLargestBody, 0,
         [this, at](const HttpRequest& request, const Responder& responder) {
-          const auto found = world_.by_address.find(at);
-          if (found == world_.by_address.end() || found->second->dead) return;
+          const auto found = world_.workers_by_address.find(at);
+          if (found == world_.workers_by_address.end() || found->second->dead) return;
           found->second->handle(request.path, request.body, answer_with(responder));
         });
   }
@@ -125,7 +126,7 @@
        << "[settings]\ninitial_size = 3\nzones = [\"a\", \"b\"]\nskew_ms = 100.0\n";
   for (const char* team : {"red", "blue"}) {
     text << "[[settings.teams]]\nname = \"" << team << "\"\ncpus = " << options.team_cpus
-         << "\ncpus_max = " << options.team_max << "\ngpus = 0.0\ngpus_max = 0.0\n";
+         << "\ncpus_max = " << options.team_max_cpus << "\ngpus = 0.0\ngpus_max = 0.0\n";
   }
   text << "[settings.workers]\nreport_s = " << options.report_s << "\nlease_s = " << options.lease_s
        << "\ncancel_s = 18.0\n[settings.state]\nrps = " << options.state_rps
--- a/tests/measure_recovery.cpp
+++ b/tests/measure_recovery.cpp
@@ -52,7 +52,7 @@
     out.published = since;
     starts_at_loss = world.starts;
   }
-  if (serving && out.first_start < 0 && world.starts > starts_at_loss) out.first_started_at = since;
+  if (serving && out.first_start < 0 && world.starts > starts_at_loss) out.first_start = since;
   // (Users ask every 5 s: before that nobody has asked again.)
   constexpr double kAskedAgain = 6;
   if (serving && out.nine_tenths_answered < 0 && since > out.published + kAskedAgain &&
