--- a/tests/sim/checks.cpp
+++ b/tests/sim/checks.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr double kLargestBeginWithinS = 240;
+constexpr double kMaxLargestJobStartSeconds = 240;
 
 void expect_shards_owned(const World& world) {
   for (int shard = 0; shard < world.options.nodes; shard++) {
@@ -17,11 +17,12 @@
   }
 }
 
-// At least half of the tasks of every class and of every team.
+// Expects that at least half of the tasks of every class and of every team are completed.
 void expect_half_served(const World& world) {
-  std::map<std::string, std::pair<int, int>> served;  // of tasks: done, all
+  // Completed tasks and all tasks, by class and by team.
+  std::map<std::string, std::pair<int, int>> served;
   for (const auto& [ref, job] : world.jobs) {
-    if (!job.accepted || job.cancel_at >= 0 || job.cancel_asked) continue;
+    if (!job.accepted || job.cancel_at >= 0 || job.cancel_requested) continue;
     for (const char* group : {"workload", "owner"}) {
       auto& [done, all] = served[job.body[group].get<std::string>()];
       done += static_cast<int>(job.completed.size());
@@ -31,11 +32,12 @@
   for (const auto& [group, counts] : served) EXPECT_GE(2 * counts.first, counts.second) << group;
 }
 
-// By the cores of all their tasks: the upper fifth, and at least one.
+// Returns the largest fifth of the jobs of each class, but at least one, measured by the cores of all their
+// tasks.
 std::vector<const UserJob*> largest_of_each_class(const World& world) {
   std::map<std::string, std::vector<const UserJob*>> classes;
   for (const auto& [ref, job] : world.jobs) {
-    if (job.accepted && job.cancel_at < 0 && !job.cancel_asked && !job.mistaken)
+    if (job.accepted && job.cancel_at < 0 && !job.cancel_requested && !job.always_fails)
       classes[job.body["workload"].get<std::string>()].push_back(&job);
   }
   std::vector<const UserJob*> out;
@@ -49,33 +51,35 @@
   return out;
 }
 
-// They begin within four minutes of their submission, or of the troubles' end.
-void expect_largest_begun(const World& world) {
+// Expects that these jobs start within four minutes of their submission, or of the end of the injected
+// faults if they were submitted earlier.
+void expect_largest_started(const World& world) {
   for (const UserJob* job : largest_of_each_class(world)) {
-    const bool troubled = world.troubles_end < 1e17 && job->submit_at < world.troubles_end;
-    const double since = troubled ? world.troubles_end : job->submit_at;
-    EXPECT_GE(job->first_start, 0) << job->ref;
-    EXPECT_LE(job->first_start - since, kLargestBeginWithinS) << job->ref;
+    const bool was_submitted_during_faults =
+        world.faults_end_at < 1e17 && job->submit_at < world.faults_end_at;
+    const double waiting_since = was_submitted_during_faults ? world.faults_end_at : job->submit_at;
+    EXPECT_GE(job->first_started_at, 0) << job->ref;
+    EXPECT_LE(job->first_started_at - waiting_since, kMaxLargestJobStartSeconds) << job->ref;
   }
 }
 
-void expect_all_told(const World& world) {
+void expect_all_ends_seen(const World& world) {
   for (const auto& [ref, job] : world.jobs) {
     if (job.accepted) {
-      EXPECT_TRUE(job.told_done || job.told_aborted) << ref << "\n" << world.summary();
+      EXPECT_TRUE(job.user_saw_done || job.user_saw_aborted) << ref << "\n" << world.summary();
     }
   }
 }
 
 }  // namespace
 
-void expect_kept(World& world) {
+void expect_invariants_hold(World& world) {
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   EXPECT_GT(world.starts, 0);
   expect_shards_owned(world);
   expect_half_served(world);
-  expect_largest_begun(world);
-  expect_all_told(world);
+  expect_largest_started(world);
+  expect_all_ends_seen(world);
 }
 
 }  // namespace mothslip::sim
