--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -1,5 +1,6 @@
-// Cancelled means gone: whatever meets a cancellation, its tasks are off all machines within cancel_s of the
-// moment at which a user was told. The simulated cluster checks that all the time, and starts after it.
+// Within cancel_s of the moment at which a user learns that a job is cancelled, its tasks are off all
+// machines, also when failures overlap with the cancellation. The simulated cluster checks this once a
+// second, and checks that no task of the job starts later.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -12,7 +13,7 @@
 
 namespace {
 
-constexpr double kFailuresStartSeconds = 60;  // the day's jobs run and are spread over the shards by then
+constexpr double kFailuresStartSeconds = 60;  // the jobs run and are spread over the shards by then
 
 int count_tasks(World& world, const std::string& ref, int shard) {
   int count = 0;
@@ -23,8 +24,8 @@
   return count;
 }
 
-// A job of which tasks run on machines of its home shard and of a shard to which they were delegated, the two
-// being owned by different nodes.
+// A job whose tasks run on machines of its home shard and of a shard to which they were delegated. The two
+// shards have different owners.
 struct DelegatedJob {
   std::string ref;
   int home_shard = -1;
@@ -50,7 +51,8 @@
     out.loss = 0;
     return out;
   }
-  // Jobs of long tasks, more than any one shard can hold; none is cancelled by itself.
+  // Submits jobs of long tasks, more than any one shard can hold. The simulated users do not cancel them on
+  // their own.
   static void add_long_jobs(World& world, double run_s) {
     for (int i = 0; i < 6; i++) {
       world.submit(plain_job(world, i, world.uniform(2, 9), 12, run_s));
@@ -61,7 +63,7 @@
   }
 };
 
-// The machines of the shard reach only this node.
+// Cuts the machines of the shard off from all nodes except this one.
 void limit_shard_to_node(World& world, int shard, int node) {
   for (auto& [name, worker] : world.workers) {
     if (shard_of(name, world.options.nodes) != shard) continue;
@@ -73,9 +75,9 @@
 
 }  // namespace
 
-// The gap: the state service refuses a delegate alone, the home shard confirms cancellations, then the
-// service is down for all, longer than cancel_s, while the workers report to the delegate. With a node that
-// is refused for less and for more than its lease.
+// The state service refuses only the owner of the delegate shard, and the home shard confirms cancellations.
+// Then the service is down for all nodes for longer than cancel_s, while the workers report to the delegate.
+// The node is refused for less than its lease or for more.
 TEST_P(Cancelled, WhileTheStateServiceRefusesADelegateAndThenIsDown) {
   World world(options());
   world.network.hold_share = 0;
@@ -101,13 +103,14 @@
   world.run_until(300);
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
-  // Both know, although one hears nothing from the service: the user need not wait for its end.
+  // Both owners know of the cancellation, although the state service refuses one of them: the user need not
+  // wait for the end of the outage.
   EXPECT_TRUE(is_confirmed);
 }
 
-// The same, and the delegate's owner is cut off from the other nodes as well, alone with its machines.
-// Another node takes the shard over and the cancellation is confirmed; the old owner must end by itself what
-// it runs.
+// As above, but the owner of the delegate shard is also cut off from the other nodes and reaches only its
+// machines. Another node takes the shard over and the cancellation is confirmed. The old owner must stop the
+// tasks that it runs without being asked.
 TEST_P(Cancelled, WhileAnOldOwnerReachesOnlyItsMachines) {
   World world(options());
   world.network.hold_share = 0;
@@ -141,11 +144,12 @@
   world.run_until(320);
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
-  EXPECT_GT(remaining_tasks, 0) << "nothing ran with the old owner: the meeting did not take place";
+  EXPECT_GT(remaining_tasks, 0)
+      << "no delegated task ran under the old owner at the cancellation: the case did not occur";
 }
 
-// The home shard's owner is refused, cut off from its peers and alone with its machines; the new owner
-// confirms.
+// The state service refuses the owner of the home shard, which is also cut off from its peers and reaches
+// only its machines. The new owner confirms the cancellation.
 TEST_P(Cancelled, WhileTheOldHomeShardOwnerReachesOnlyItsMachines) {
   World world(options());
   world.network.hold_share = 0;
@@ -168,8 +172,9 @@
   EXPECT_TRUE(world.jobs.begin()->second.told_aborted);
 }
 
-// The home shard's owner ends between its write and the acknowledgements, and a new owner goes on; the
-// delegate cannot be asked, nor hear of it from the state service, until later.
+// The owner of the home shard crashes between writing the cancellation and receiving the acknowledgements,
+// and a new owner continues. Until later the delegate can neither be reached nor read the cancellation from
+// the state service.
 TEST_P(Cancelled, WhileTheConfirmingOwnerCrashes) {
   World world(options());
   world.network.hold_share = 0;
@@ -200,12 +205,13 @@
   world.run_until(800);
 
   EXPECT_TRUE(has_owner_crashed);
-  EXPECT_FALSE(was_confirmed_early) << "the delegate's lease was still good, and it did not know";
+  EXPECT_FALSE(was_confirmed_early)
+      << "the cancellation was confirmed while the delegate held a valid lease and did not know of it";
   expect_kept(world);
 }
 
-// The transaction of the cancellation gets no answer and is carried out seconds later; or the home shard's
-// owner ends before that.
+// The transaction of the cancellation gets no answer and is applied seconds later. With even seeds a node,
+// which may be the owner of the home shard, crashes before that.
 TEST_P(Cancelled, ByATransactionThatIsAppliedLate) {
   World world(options());
   add_long_jobs(world, 60);
@@ -223,8 +229,8 @@
   expect_kept(world);
 }
 
-// Machines hang with tasks of jobs that are then cancelled, and go on within their leases; late copies of old
-// commands come too.
+// Machines hang with tasks of jobs that are then cancelled, and resume within their leases. Late copies of
+// old commands arrive, too.
 TEST_P(Cancelled, WhileItsMachinesHang) {
   World world(options());
   add_long_jobs(world, 150);
@@ -247,8 +253,8 @@
   EXPECT_GT(hung, 3);
 }
 
-// An outage that all nodes see, with whole links between them, lasts longer than cancel_s: nobody can have
-// been replaced, so nothing that runs is lost.
+// All nodes see an outage of the state service that lasts longer than cancel_s, while all links between them
+// work. No owner can have been replaced, so no running task may be lost.
 TEST_P(Cancelled, NothingIsLostInAnOutageThatAllNodesSee) {
   World world(options());
   add_long_jobs(world, 110);
@@ -269,8 +275,8 @@
   }
 }
 
-// A node that has restarted during the outage does not know what happened before: it has no evidence, and the
-// others let the leases of their machines run out in time.
+// A node that restarts during the outage does not know what happened before and is no evidence that the other
+// nodes still hold their shards. They let the leases of their machines expire in time.
 TEST_P(Cancelled, ARestartedNodeHasNoEvidence) {
   World world(options());
   add_long_jobs(world, 200);
@@ -287,8 +293,9 @@
     return running;
   };
   world.at(59, [&] { tasks_before = count(); });
-  world.at(60 + 42 + 1,
-           [&] { remaining_tasks = count(); });  // each was evidence of the other's lease until 60
+  world.at(60 + 42 + 1, [&] {
+    remaining_tasks = count();
+  });  // until 60 s each node was evidence of the lease of the other
   world.at(125, [&world] { world.state.set_outage(false); });
   world.troubles_end = 130;
 
@@ -299,7 +306,7 @@
   EXPECT_EQ(remaining_tasks, 0);
 }
 
-// The checks themselves: a machine that keeps its tasks whatever it is told is found out.
+// Verifies the check itself: it reports a machine that keeps its tasks although it is ordered to stop them.
 TEST(CancelledCheck, FindsATaskThatIgnoresCancellation) {
   set_up_log();
   Options lossless;
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -1,6 +1,6 @@
-// Troubles that meet: each day brings one such meeting about, says by what it is seen that it took place, and
-// is held to all rules and to the checks at the end of a day. docs/design.md says for each what keeps the
-// rules. (Meetings with a cancellation in the middle of them are in cancel_test.cpp.)
+// Failures that overlap. Each test brings one combination about, asserts that the combination occurred, and
+// checks all rules of the protocol and the conditions at the end of the run. docs/design.md explains for each
+// combination which mechanism keeps the rules. Combinations around a cancellation are in cancel_test.cpp.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -24,7 +24,7 @@
   }
 };
 
-// One with tasks; null: there is none.
+// Returns a random responsive machine that has tasks, or null if there is none.
 Worker* random_busy_worker(World& world) {
   std::vector<Worker*> busy;
   for (auto& [name, worker] : world.workers) {
@@ -37,7 +37,7 @@
   for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, restart_after_s);
 }
 
-// Of those named: machines that have been given back or have died.
+// Counts the machines among `names` that have been returned or have died.
 template <class Names>
 int count_dead(const World& world, const Names& names) {
   int dead = 0;
@@ -45,8 +45,8 @@
   return dead;
 }
 
-// The red jobs have one home shard: their tasks are delegated to the other shards. The other team's work ends
-// just before 60 s and leaves room.
+// The jobs of team red share one home shard, so that their tasks are delegated to the other shards. The tasks
+// of team blue end just before 60 s and free capacity.
 void submit_jobs_of_two_teams(World& world) {
   for (int i = 0; i < 20; i++) {
     UserJob job = plain_job(world, i, i < 14 ? 2 : 50, 8, i < 8 ? 160 : i < 14 ? 34 : 60, 2);
@@ -58,11 +58,11 @@
   }
 }
 
-// What the red team uses at a time.
+// The resources that the team uses at one moment.
 struct TeamUsage {
   double cores = 0;
-  int delegated_tasks = 0;                  // tasks on machines of another shard
-  std::set<std::string> delegate_machines;  // those machines
+  int delegated_tasks = 0;                  // on machines of another shard
+  std::set<std::string> delegate_machines;  // the machines of the delegated tasks
 };
 
 TeamUsage measure_red_team(const World& world) {
@@ -79,7 +79,7 @@
   return out;
 }
 
-// Their tasks fail on every machine, until they are cancelled. Gives their names.
+// Submits jobs whose tasks fail on every machine until the jobs are cancelled. Returns the names of the jobs.
 std::vector<std::string> submit_always_failing(World& world) {
   std::vector<std::string> out;
   for (int i = 20; i < 25; i++) {
@@ -100,7 +100,7 @@
   return out;
 }
 
-// One of the troubles of the scenarios below, at a node or a machine drawn by lot.
+// Injects one of the failures of the tests below, drawn at random, at a random node or machine.
 void inject_random_failure(World& world) {
   const int node = some_node(world);
   Worker* worker = some_worker(world);
@@ -145,8 +145,8 @@
 
 }  // namespace
 
-// Reports that a cut held back arrive at the owner that has taken the shard over meanwhile and acted; with
-// them come copies of reports from before, also of earlier incarnations.
+// Reports delayed by a network cut arrive at the owner that has taken the shard over and acted in the
+// meantime. Copies of earlier reports arrive with them, some of them from earlier incarnations.
 TEST_P(OverlappingFailures, DelayedReportsReachANewOwner) {
   Options late = options();
   late.copies = 0.3;
@@ -177,8 +177,8 @@
   EXPECT_EQ(world.rules.orders_to_copies, 0);
 }
 
-// A share of all transactions gets no answer and is carried out seconds later, after newer ones of the same
-// node; nodes end meanwhile, and users cancel, ask and submit again.
+// A quarter of all transactions gets no answer and is applied seconds later, after newer transactions of the
+// same node. Meanwhile nodes crash, and users cancel jobs, poll them and submit them again.
 TEST_P(OverlappingFailures, TransactionsAreAppliedLate) {
   Options late = options();
   late.late_writes = 0.25;
@@ -195,8 +195,8 @@
   expect_kept(world);
 }
 
-// Machines reach no node, while direct commands still reach them; their shard's owner changes meanwhile, and
-// shows them its token.
+// Machines reach no node, while direct commands still reach them. Meanwhile the owner of their shard changes,
+// and the new owner presents its fencing token to the machines.
 TEST_P(OverlappingFailures, OutboundUnreachableMachinesAndANewOwner) {
   World world(options());
   add_jobs(world, 2, 100);
@@ -221,7 +221,8 @@
   EXPECT_GT(outbound_unreachable, 1);
 }
 
-// All nodes are away for longer than lease_s: every machine has lost its tasks, and is in a new incarnation.
+// All nodes are down for longer than lease_s, so that every machine has lost its tasks and has begun a new
+// incarnation.
 TEST_P(OverlappingFailures, AllNodesAreDownForLongerThanALease) {
   World world(options());
   add_jobs(world, 2, 100);
@@ -242,7 +243,8 @@
   EXPECT_GT(running_tasks, 0);
 }
 
-// Ten changes of owners within two minutes, some of them while the state service is away.
+// Nodes crash ten times within two minutes, so that shard owners change, also during outages of the state
+// service.
 TEST_P(OverlappingFailures, TenOwnerChangesInTwoMinutesWithOutages) {
   World world(options());
   add_jobs(world, 2, 120);
@@ -266,7 +268,7 @@
   EXPECT_GE(fencing_tokens.size(), 8u);
 }
 
-// Arrays bound to one zone lose machines of that zone, again and again.
+// Array jobs bound to one zone repeatedly lose machines of that zone.
 TEST_P(OverlappingFailures, JobsBoundToOneZoneLoseMachines) {
   World world(options());
   for (int i = 0; i < 12; i++) {
@@ -295,8 +297,8 @@
   EXPECT_GT(lost_machines, 3);
 }
 
-// More work than room, urgent and not, while the state service answers slowly and messages are lost: the
-// teams' limits and the order of things hold, and all of it runs in the end.
+// More urgent and best-effort work than the machines can run, while the state service answers slowly and
+// messages are lost. The limits of the teams and the priority order hold, and all jobs run in the end.
 TEST_P(OverlappingFailures, MoreWorkThanCapacityWithASlowStateService) {
   Options slow = options();
   slow.loss = 0.02;
@@ -321,18 +323,18 @@
   world.run_until(700);
 
   expect_kept(world);
-  EXPECT_GT(unstarted_tasks, 20) << "tasks that have not begun";
+  EXPECT_GT(unstarted_tasks, 20) << "too few tasks were waiting at 70 s: there was no overload";
 }
 
-// Jobs of two or three tasks whose ends lie far apart, with a change of owner in between: what was done stays
-// done, nothing runs again, and the job is done once the last one is.
+// The tasks of a job end far apart, with a change of owner in between. Completed tasks stay completed, no
+// task runs twice, and the job is done once its last task is done.
 TEST_P(OverlappingFailures, TasksThatEndFarApartAcrossAChangeOfOwner) {
   Options lossless = options();
   lossless.loss = 0;
   World world(lossless);
   for (int i = 0; i < 10; i++) {
     UserJob job = plain_job(world, i, 5, 2 + i % 2, 40, 1);
-    job.spread_ends = 50;  // task k takes so much longer than task k - 1
+    job.spread_ends = 50;  // task k takes 50 s longer than task k - 1
     world.submit(job);
   }
   int partly_done_jobs = 0;
@@ -353,8 +355,8 @@
   }
 }
 
-// Cancellations, questions and repeated submissions at the very moment at which a job's last task ends, with
-// no other trouble: it is done or cancelled, and stays what its users were told.
+// Users cancel and resubmit a job at the moment at which its last task ends, without any other failure. The
+// job ends as done or as cancelled, and keeps the state that users received first.
 TEST_P(OverlappingFailures, ACancellationAtTheEndOfTheLastTask) {
   Options lossless = options();
   lossless.loss = 0;
@@ -363,7 +365,8 @@
   int last_task_ends = 0;
   world.on_last_done = [&](const std::string& ref) {
     last_task_ends++;
-    const double delay_s = world.rng() % 2 == 0 ? 0 : world.uniform(0, 1.5);  // before or after it is known
+    const double delay_s =
+        world.rng() % 2 == 0 ? 0 : world.uniform(0, 1.5);  // before or after the owner knows of the end
     world.in(delay_s, [&world, ref] { world.cancel_job(ref); });
     world.in(world.uniform(0, 2), [&world, ref] { world.submit_again(ref); });
   };
@@ -383,9 +386,9 @@
   EXPECT_GT(aborted, 0);
 }
 
-// A team is at its limit when the owners change; some of its machines cannot be asked; and its jobs are
-// cancelled in that spell. What runs on those machines uses the limit, cancelled or not: a new owner once did
-// not count it, and others of the team's tasks were started beyond the limit.
+// A team is at its limit when the shard owners change; some of its machines are unreachable, and its jobs are
+// cancelled at the same time. Tasks on those machines count towards the limit, cancelled or not. A new owner
+// once did not count them and started other tasks of the team beyond the limit.
 TEST_P(OverlappingFailures, TeamLimitHoldsWhileMachinesAreUnreachableAndJobsAreCancelled) {
   Options limited = options();
   limited.loss = 0;
@@ -397,8 +400,7 @@
   TeamUsage red_team;
   world.at(60, [&] {
     red_team = measure_red_team(world);
-    for (const std::string& name : red_team.delegate_machines)
-      world.network.cut_off(name);  // they cannot be asked
+    for (const std::string& name : red_team.delegate_machines) world.network.cut_off(name);  // unreachable
     for (auto& [ref, job] : world.jobs) {
       if (job.run_s > 100) world.cancel_job(ref);
     }
@@ -414,8 +416,8 @@
   EXPECT_GE(red_team.delegated_tasks, 1);
 }
 
-// Commands and their answers are held up for seconds, and the machines then go on: hung ones take what came
-// meanwhile, cut ones get it late.
+// Commands and their answers are delayed for seconds, after which the machines resume: a machine that hung
+// processes the commands that arrived in the meantime, and a machine that was cut off receives them late.
 TEST_P(OverlappingFailures, DelayedCommandsReachMachinesThatResume) {
   World world(options());
   world.network.hold_share = 1;
@@ -451,8 +453,8 @@
   EXPECT_GT(disturbed_machines, 5);
 }
 
-// A node that stands still for seconds or a minute, its clocks running on, does nothing on waking that it is
-// no longer entitled to; its shards are served by others meanwhile.
+// A node freezes for seconds or for up to 70 s while its clocks advance. After it resumes it does nothing
+// that its expired leases no longer allow. Other nodes serve its shards in the meantime.
 TEST_P(OverlappingFailures, ANodeFreezesAndResumes) {
   World world(options());
   add_jobs(world, 2, 150);
@@ -476,9 +478,9 @@
   expect_kept(world);
 }
 
-// Jobs submitted with a mistake fail on every machine, until their users cancel them; one machine is faulty,
-// too. The machines on which they meet are not taken for faulty, the faulty one is found, the others' work
-// goes on, and the mistaken jobs are tried seldom.
+// Some jobs fail on every machine until their users cancel them, and one machine is faulty. Healthy machines
+// on which those jobs fail are not classified as faulty, the faulty machine is detected and returned, other
+// jobs continue, and the failing jobs are retried rarely.
 TEST_P(OverlappingFailures, AlwaysFailingJobsAndAFaultyMachine) {
   Options lossless = options();
   lossless.loss = 0;
@@ -507,29 +509,29 @@
   world.run_until(400);
 
   expect_kept(world);
-  EXPECT_TRUE(world.workers.at(faulty)->dead) << "the faulty machine is still kept";
+  EXPECT_TRUE(world.workers.at(faulty)->dead) << "the faulty machine was not returned";
   EXPECT_GT(healthy.size(), 6u);
   EXPECT_LE(4u * static_cast<unsigned>(lost_machines), healthy.size())
-      << "good machines were given back as faulty";
+      << "too many healthy machines were returned as faulty";
   const int attempts = count_starts(world, always_failing);
   EXPECT_GE(attempts, 15);
   EXPECT_LT(attempts, 250);
 }
 
-// A node stands still; its shards get a new owner, which knows the machines without tasks only once they
-// report. They are up, and must not go back as if they had never come.
+// A node freezes, and its shards get a new owner, which learns of machines without tasks only from their
+// reports. These machines are up and must not be returned as rentals that never arrived.
 TEST_P(OverlappingFailures, IdleMachinesSurviveATakeover) {
   Options lossless = options();
   lossless.loss = 0;
   lossless.nodes = 3;
   World world(lossless);
   for (int i = 0; i < 8; i++) world.submit(plain_job(world, i, 2, 8, 25, 2));
-  std::map<int, std::set<std::string>> idle_by_shard;  // by shard
+  std::map<int, std::set<std::string>> idle_by_shard;
   world.at(72, [&] {
     for (auto& [name, worker] : world.workers) {
       if (worker->up() && worker->tasks.empty()) idle_by_shard[shard_of(name, 3)].insert(name);
     }
-    idle_by_shard.erase(0);  // its owner rents and returns: that one goes on
+    idle_by_shard.erase(0);  // the owner of shard 0 rents and returns machines and must keep running
     ASSERT_FALSE(idle_by_shard.empty());
     world.nodes.freeze(world.nodes.owner_of(idle_by_shard.begin()->first), 20);
   });
@@ -545,7 +547,7 @@
   EXPECT_EQ(lost_machines, 0);
 }
 
-// Everything of the above, drawn by lot, overlapping.
+// All failures of the tests above, drawn at random and overlapping.
 TEST_P(OverlappingFailures, RandomFailuresOverlap) {
   Options mix = options();
   mix.loss = 0.005;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -1,5 +1,5 @@
-// Whole nodes in a simulated cluster, under failures: no rule of the protocol may break, and when the
-// failures are over every accepted job must end.
+// Complete nodes in a simulated cluster, under failures. No rule of the protocol may be broken, and after the
+// failures have ended every accepted job must end.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -23,7 +23,7 @@
   }
 };
 
-// A few large jobs, a steady stream of small ones, and a burst. Gives the names of the large ones.
+// Submits a few large jobs, a steady stream of small ones, and a burst. Returns the names of the large jobs.
 std::vector<std::string> submit_three_classes(World& world) {
   std::vector<std::string> largest;
   for (int i = 0; i < 90; i++) {
@@ -185,13 +185,13 @@
   expect_kept(world);
 }
 
-// The old owner is refused by the state service and cut off from the other nodes, but goes on renewing the
-// lease of a machine that the new owner cannot reach. Silence proves nothing then: the machine's tasks are
-// still running.
+// The state service refuses the old owner, which is also cut off from the other nodes but keeps renewing the
+// lease of a machine that the new owner cannot reach. The silence of the machine does not prove that its
+// tasks have ended: they are still running.
 TEST_P(Cluster, TheOldOwnerMayStillRenewTheLeaseOfASilentMachine) {
   World world(options());
   world.network.hold_share = 0;
-  // (There is room left on other machines: what would be freed wrongly starts there.)
+  // Other machines have free capacity, so that tasks wrongly considered ended would start there.
   for (int i = 0; i < 10; i++) {
     UserJob job = make_job(world, i, 2, 20);
     job.run_s = 60;
@@ -224,9 +224,9 @@
   expect_kept(world);
 }
 
-// Several machines that fall silent together are more likely cut off than dead: they are waited for, and
-// serve again.
-// (No message is lost on this day: a shard that is taken over meanwhile counts its machines' silence anew.)
+// Several machines that become silent together are more likely cut off than dead. They are not returned, and
+// serve again after the cut. No message is lost in this test, because a shard that is taken over meanwhile
+// measures the silence of its machines from the takeover.
 TEST_P(Cluster, MachinesThatAreCutOffTogetherAreNotReturned) {
   Options lossless = options();
   lossless.loss = 0;
@@ -252,8 +252,8 @@
   expect_kept(world);
 }
 
-// Their reports come, nothing that is sent reaches them; or only the answers are lost. Their leases run out,
-// their tasks run elsewhere, nobody goes on launching to them for ever, and those that stay unreachable are
+// Machines send reports but receive nothing, or only their answers are lost. Their leases expire, their tasks
+// run elsewhere, launches to them are not repeated without end, and machines that stay unreachable are
 // returned.
 TEST_P(Cluster, InboundUnreachableMachinesGetFewLaunchesAndTheirTasksRunElsewhere) {
   World world(options());
@@ -283,11 +283,11 @@
   expect_kept(world);
   for (const auto& [attempt, count] : world.rules.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
   for (const std::string& name : permanently_unreachable)
-    EXPECT_TRUE(world.workers.at(name)->dead) << name << " is still kept";
+    EXPECT_TRUE(world.workers.at(name)->dead) << name << " was not returned although it stayed unreachable";
 }
 
-// Copies of reports, submissions, cancellations and transactions come up to 45 s late, that is, several
-// leases; across takeovers, restarts, and the return of the machines that sent them.
+// Copies of reports, submissions, cancellations and transactions arrive up to 45 s late, that is, several
+// leases later. Takeovers, restarts and the return of the machines that sent them happen in between.
 TEST_P(Cluster, LateDuplicateMessagesChangeNothing) {
   Options copied = options();
   copied.copies = 0.3;
@@ -318,9 +318,9 @@
   EXPECT_EQ(world.rules.orders_to_copies, 0);
 }
 
-// A node reaches neither the state service nor the other nodes, but its workers (and sometimes the others do
-// not reach these). It renews their leases, starts nothing, is no evidence of any lease; afterwards it takes
-// up its role again.
+// A node reaches neither the state service nor the other nodes, only its workers. In half of the cases the
+// other nodes do not reach these workers. The node renews their leases, starts nothing, and is no evidence
+// for the lease of any other node. Afterwards it resumes its role.
 TEST_P(Cluster, ANodeReachesOnlyItsWorkers) {
   World world(options());
   world.network.hold_share = 0.3;
@@ -353,8 +353,8 @@
   expect_kept(world);
 }
 
-// Processes are back within a fraction of a second: alone, in pairs, while shards are handed back, while an
-// election is under way, and while what they sent before is still being carried out.
+// Processes restart within a fraction of a second: singly, in pairs, while shards are handed back, during an
+// election, and while requests that they sent before are still being applied.
 TEST_P(Cluster, ProcessesRestartWithinAFractionOfASecond) {
   Options late = options();
   late.loss = 0.02;
@@ -382,9 +382,9 @@
   expect_kept(world);
 }
 
-// Machines lose power and are back within a fraction of a second, without anything that ran on them; some
-// have forgotten which incarnation they were in, and count their reports from one again. Nothing is taken for
-// still running, and nothing is started twice.
+// Machines lose power and restart within a fraction of a second without their tasks. Some have lost their
+// incarnation number and number their reports from one again. No lost task may be considered running, and no
+// task may be started twice.
 TEST_P(Cluster, MachinesRebootWithinAFractionOfASecond) {
   World world(options());
   add_jobs(world, 2, 120);
@@ -406,9 +406,9 @@
   EXPECT_GT(reboots, 15);
 }
 
-// A few large jobs among a steady stream of small ones and a burst of another class; only few machines hold
-// their tasks, and a team's limit is split into shares smaller than one task. They start within four minutes
-// all the same.
+// A few large jobs compete with a steady stream of small ones and a burst of another class. Only few machines
+// can hold their tasks, and the limit of a team is split into shares smaller than one task. They must still
+// start within four minutes.
 TEST_P(Cluster, TheLargestJobsStartWithinFourMinutes) {
   World world(options());
   const std::vector<std::string> largest = submit_three_classes(world);
@@ -424,9 +424,9 @@
   }
 }
 
-// A segment of a shard's journal that cannot be read: what runs is not known, so the shard stays inactive and
-// nothing of it runs twice; every job stays known. (What was delegated to it waits until an operator has
-// dealt with the record.)
+// A segment of the journal of a shard cannot be read. It is unknown which tasks run, so the shard stays
+// inactive, none of its tasks runs twice, and every job stays known. Tasks delegated to the shard wait until
+// an operator has dealt with the record.
 TEST_P(Cluster, AnUnreadableRecordMakesNoJobUnknown) {
   World world(options());
   add_jobs(world, 2, 60);
@@ -436,7 +436,7 @@
     world.nodes.crash(0, 0.2);
   });
   world.troubles_end = 45;
-  world.rules.all_runs = false;  // the record stays as it is: this trouble does not end
+  world.rules.all_runs = false;  // the record stays unreadable, so this failure does not end
 
   world.run_until(400);
 
@@ -446,7 +446,8 @@
   EXPECT_GT(ended, 0);
 }
 
-// A job of the largest size stays within the limits of values and transactions (the stand-in checks them).
+// A job of the largest size stays within the limits of values and transactions, which the simulated state
+// service checks.
 TEST(Sim, AJobOfAHundredThousandTasks) {
   set_up_log();
   World world(Options{});
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -1,6 +1,7 @@
-// No answer about a job is older than one that any node gave before its question was asked. Users ask at all
-// nodes within milliseconds around each acceptance, cancellation and end, while the state service's word
-// reaches the shard's owner late or not at all. (What each case guards against is in docs/incidents.)
+// No answer about a job may be older than one that any node gave before the request was sent. Users poll all
+// nodes within milliseconds around each acceptance, cancellation and end of a job, while the answers of the
+// state service reach the shard owner late or not at all. docs/incidents describes the failure behind each
+// test.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -14,7 +15,7 @@
 
 namespace {
 
-constexpr double kLostAnswerDelaySeconds = -1;
+constexpr double kLostAnswerDelaySeconds = -1;  // a negative delay loses the answer
 
 bool changes_key(const Json& transaction, const char* verb, const std::string& prefix) {
   for (const Json& change : transaction["then"]) {
@@ -23,10 +24,10 @@
   return false;
 }
 
-// It ends a job: its ending is written.
+// Returns whether the transaction ends a job, that is, writes its ending record.
 bool ends_job(const Json& transaction) { return changes_key(transaction, "put", "e/"); }
 
-// It cancels one: the job record is written again, though it exists.
+// Returns whether the transaction cancels a job, that is, writes a job record that exists already.
 bool cancels_job(const Json& transaction) {
   for (const Json& guard : transaction["guards"]) {
     const bool job_record = guard["k"].get<std::string>().rfind(keys::kJobRecords, 0) == 0;
@@ -46,14 +47,14 @@
     out.close_looks = true;
     return out;
   }
-  // No node reaches another.
+  // Cuts the links between all nodes.
   static void cut_all_peers(World& world) {
     for (int a = 0; a < world.options.nodes; a++) {
       for (int b = 0; b < a; b++) world.network.cuts.insert({node_name(a), node_name(b)});
     }
   }
-  // From 20 s to 130 s no node reaches another, and the answers to the chosen transactions arrive so much
-  // later, or not at all. `disturbed` counts them.
+  // From 20 s to 130 s no node reaches another, and the answers to the transactions selected by `is_affected`
+  // are delayed by `delay_s`, or lost if that is negative. `affected_answers` counts them.
   static void delay_answers(World& world, const std::function<bool(const Json&)>& is_affected,
                             const std::function<double()>& delay_s, int& affected_answers) {
     world.network.hold_share = 0;
@@ -74,8 +75,9 @@
 
 }  // namespace
 
-// The transaction that ends a job is carried out, and its answer is lost. Nodes that do not reach the owner
-// read the ending and tell it; the owner must not say "running" until it has found out.
+// The transaction that ends a job is applied, but its answer is lost. Nodes that cannot reach the owner read
+// the ending record and report it to users. The owner must not answer "running" until it has found out the
+// outcome.
 TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsLost) {
   World world(options());
   add_jobs(world, 2, 100);
@@ -89,7 +91,7 @@
   EXPECT_GT(lost_answers, 5);
 }
 
-// The same with an answer that is merely slow.
+// As above, but the answer is only slow.
 TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsSlow) {
   World world(options());
   add_jobs(world, 2, 100);
@@ -103,7 +105,7 @@
   EXPECT_GT(slow_answers, 5);
 }
 
-// The transaction that cancels a job is carried out, and its answer is lost.
+// The transaction that cancels a job is applied, but its answer is lost.
 TEST_P(MonotonicAnswers, TheAnswerToACancellationIsLost) {
   World world(options());
   add_jobs(world, 2, 90);
@@ -124,12 +126,13 @@
   EXPECT_GT(lost_answers, 3);
 }
 
-// A node hands a shard back; the deletion is carried out, and no answer of the state service reaches the
-// node. The next owner cancels jobs at once, while the old one's lease is still good.
+// A node hands a shard back: the deletion of the owner record is applied, but no answer of the state service
+// reaches the node. The next owner cancels jobs at once, while the lease of the old owner is still valid.
 TEST_P(MonotonicAnswers, TheAnswerToAHandBackIsLost) {
   World world(options());
   world.network.hold_share = 0;
-  // More than the machines can hold: a job of which nothing has started is cancelled at once.
+  // There are more tasks than the machines can hold, because a job without started tasks is cancelled at
+  // once.
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, world.uniform(2, 20), 10, 100));
   world.at(24, [&world] { world.nodes.crash(0, 10); });
   int handed_back = 0;
@@ -162,11 +165,12 @@
   EXPECT_GT(cancelled, 0);
 }
 
-// The transaction that ends a job is lost on its way, and something else changes one of the records on which
-// it depends: the repeat is refused, and that must not be taken for the first copy's success.
+// The transaction that ends a job is lost on its way, and another write changes one of the records that it is
+// conditional on. The retry is refused, and the node must not conclude from that refusal that the first copy
+// was applied.
 TEST_P(MonotonicAnswers, AnEndingThatWasNeverWritten) {
   Options five_nodes = options();
-  five_nodes.nodes = 5;  // more is delegated among five shards than among three
+  five_nodes.nodes = 5;  // five shards delegate more tasks than three
   World world(five_nodes);
   world.network.hold_share = 0;
   for (int i = 0; i < 20; i++) world.submit(plain_job(world, i, world.uniform(2, 50), 12, 25));
@@ -195,8 +199,8 @@
   expect_kept(world);
 }
 
-// A node accepts a job, hears of it through its watch, runs it and ends it, and only then the answer to the
-// acceptance arrives: the job does not begin anew.
+// A node accepts a job, sees the job record through its watch, runs the job and ends it before the answer to
+// the acceptance arrives. The late answer must not start the job again.
 TEST_P(MonotonicAnswers, TheAnswerToAnAcceptanceIsSlow) {
   Options one_node = options();
   one_node.nodes = 1;
@@ -218,10 +222,10 @@
   expect_kept(world);
   EXPECT_GT(slow_answers, 10);
   EXPECT_EQ(world.state.revision(keys::shard_owner(0)), fencing_token)
-      << "a job that had ended made the shard start over";
+      << "the shard was reloaded because of a job that had ended";
 }
 
-// More jobs are accepted and end while the watch tells nothing than any short memory would hold.
+// While the watch is stalled, more jobs are accepted and end than a short history of ended jobs would hold.
 TEST_P(MonotonicAnswers, AWatchThatLagsBehindManyEndings) {
   Options one_node = options();
   one_node.nodes = 1;
@@ -247,13 +251,13 @@
   world.run_until(200);
 
   expect_kept(world);
-  EXPECT_GT(ended_jobs, 300u) << "too few ended behind the watch";
+  EXPECT_GT(ended_jobs, 300u) << "too few jobs ended while the watch was stalled";
   EXPECT_EQ(world.state.revision(keys::shard_owner(0)), fencing_token)
-      << "a job that had ended made the shard start over";
+      << "the shard was reloaded because of a job that had ended";
 }
 
-// What the watch tells comes after the answers to newer writes: delegations that were given back, and jobs
-// that have ended, do not come back with it.
+// Watch events arrive after the answers to newer writes. They must not restore delegations that were handed
+// back or jobs that have ended.
 TEST_P(MonotonicAnswers, TheWatchDeliversStaleEvents) {
   Options five_nodes = options();
   five_nodes.nodes = 5;
@@ -277,7 +281,7 @@
   EXPECT_GT(tasks_returned, 5);
 }
 
-// Everything at once, with users who look closely all the time.
+// All failures overlap, while users poll all nodes around each change of a job.
 TEST_P(MonotonicAnswers, RandomFailuresOverlap) {
   Options unreliable = options();
   unreliable.loss = 0.01;
@@ -329,7 +333,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, MonotonicAnswers, ::testing::Range(1, 1 + seeds()));
 
-// ---------------------------------------------------------------- the check itself
+// ---------------------------------------------------------------- AnswerHistory itself
 
 namespace {
 JobAnswer poll(double asked_at, double received_at, const std::string& phase) {
@@ -341,7 +345,8 @@
   AnswerHistory history;
   EXPECT_FALSE(history.take(poll(1, 2, "queued")));
   EXPECT_FALSE(history.take(poll(3, 4, "done")));
-  EXPECT_FALSE(history.take(poll(3.5, 5, "running"))) << "asked before the end was told";
+  EXPECT_FALSE(history.take(poll(3.5, 5, "running")))
+      << "the request was sent before the answer with the end arrived, so an older phase is allowed";
   EXPECT_TRUE(history.take(poll(4.001, 5, "running")));
   EXPECT_FALSE(history.take(poll(6, 7, "done")));
 }
@@ -356,6 +361,7 @@
   AnswerHistory history;
   EXPECT_FALSE(history.take({1, 2, false, ""}));
   EXPECT_FALSE(history.take(poll(3, 4, "queued")));
-  EXPECT_FALSE(history.take({3.5, 5, false, ""})) << "asked before the acceptance was told";
+  EXPECT_FALSE(history.take({3.5, 5, false, ""}))
+      << "the request was sent before the acceptance arrived, so 'unknown' is allowed";
   EXPECT_TRUE(history.take({4.5, 5, false, ""}));
 }
