--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -145,7 +145,7 @@
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   EXPECT_GT(remaining_tasks, 0)
-      << "no delegated task ran under the old owner at the cancellation: the case did not occur";
+      << "no delegated task ran under the old owner at the confirmation: the case did not occur";
 }
 
 // The state service refuses the owner of the home shard, which is also cut off from its peers and reaches
@@ -293,9 +293,8 @@
     return running;
   };
   world.at(59, [&] { tasks_before = count(); });
-  world.at(60 + 42 + 1, [&] {
-    remaining_tasks = count();
-  });  // until 60 s each node was evidence of the lease of the other
+  // Until the crash at 60 s each node was evidence of the leases of the others.
+  world.at(60 + 42 + 1, [&] { remaining_tasks = count(); });
   world.at(125, [&world] { world.state.set_outage(false); });
   world.troubles_end = 130;
 
