--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -1,6 +1,6 @@
-// Troubles that meet: each day brings one such meeting about, says by what it is seen that it took place, and
-// is held to all rules and to the checks at the end of a day. docs/design.md says for each what keeps the
-// rules. (Meetings with a cancellation in the middle of them are in cancel_test.cpp.)
+// Failures that overlap. Each test brings one combination about, asserts that the combination occurred, and
+// checks all rules of the protocol and the conditions at the end of the run. docs/design.md explains for each
+// combination which mechanism keeps the rules. Combinations around a cancellation are in cancel_test.cpp.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -13,7 +13,7 @@
 
 namespace {
 
-class Meeting : public ::testing::TestWithParam<int> {
+class OverlappingFailures : public ::testing::TestWithParam<int> {
  protected:
   void SetUp() override { set_up_log(); }
   static Options options() {
@@ -24,8 +24,8 @@
   }
 };
 
-// One with tasks; null: there is none.
-Worker* busy_worker(World& world) {
+// Returns a random responsive machine that has tasks, or null if there is none.
+Worker* random_busy_worker(World& world) {
   std::vector<Worker*> busy;
   for (auto& [name, worker] : world.workers) {
     if (worker->is_up() && !worker->hung && !worker->tasks.empty()) busy.push_back(worker.get());
@@ -33,11 +33,11 @@
   return busy.empty() ? nullptr : busy[world.rng() % busy.size()];
 }
 
-void crash_all(World& world, double back_after) {
-  for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, back_after);
+void crash_all(World& world, double restart_after_s) {
+  for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, restart_after_s);
 }
 
-// Of those named: machines that have been given back or have died.
+// Counts the machines among `names` that have been returned or have died.
 template <class Names>
 int count_dead(const World& world, const Names& names) {
   int dead = 0;
@@ -45,9 +45,9 @@
   return dead;
 }
 
-// The red jobs have one home shard: their tasks are delegated to the other shards. The other team's work ends
-// just before 60 s and leaves room.
-void submit_red_and_blue(World& world) {
+// The jobs of team red share one home shard, so that their tasks are delegated to the other shards. The tasks
+// of team blue end just before 60 s and free capacity.
+void submit_jobs_of_two_teams(World& world) {
   for (int i = 0; i < 20; i++) {
     UserJob job = plain_job(world, i, i < 14 ? 2 : 50, 8, i < 8 ? 160 : i < 14 ? 34 : 60, 2);
     job.body["owner"] = i >= 8 && i < 14 ? "blue" : "red";
@@ -58,29 +58,29 @@
   }
 }
 
-// What the red team uses at a time.
-struct RedTasks {
+// The resources that the team uses at one moment.
+struct TeamUsage {
   double cores = 0;
-  int delegated = 0;               // tasks on machines of another shard
-  std::set<std::string> machines;  // those machines
+  int delegated_tasks = 0;                  // on machines of another shard
+  std::set<std::string> delegate_machines;  // the machines of the delegated tasks
 };
 
-RedTasks find_red_tasks(const World& world) {
-  RedTasks out;
+TeamUsage measure_red_team(const World& world) {
+  TeamUsage out;
   for (const auto& [name, worker] : world.workers) {
     for (const Task& task : worker->tasks) {
       if (!worker->occupies_machine(task) || task.job->team != "red") continue;
       out.cores += task.job->cores;
       if (shard_of(task.ref, 3) == shard_of(name, 3)) continue;
-      out.delegated++;
-      out.machines.insert(name);
+      out.delegated_tasks++;
+      out.delegate_machines.insert(name);
     }
   }
   return out;
 }
 
-// Their tasks fail on every machine, until they are cancelled. Gives their names.
-std::vector<std::string> submit_mistaken(World& world) {
+// Submits jobs whose tasks fail on every machine until the jobs are cancelled. Returns the names of the jobs.
+std::vector<std::string> submit_always_failing(World& world) {
   std::vector<std::string> out;
   for (int i = 20; i < 25; i++) {
     UserJob job = plain_job(world, i + 20, 25 + 1.5 * (i - 20), 20, 10, 1);
@@ -100,38 +100,38 @@
   return out;
 }
 
-// One of the troubles of the scenarios below, at a node or a machine drawn by lot.
-void trouble_by_lot(World& world) {
+// Injects one of the failures of the tests below, drawn at random, at a random node or machine.
+void inject_random_failure(World& world) {
   const int node = random_node(world);
   Worker* worker = random_worker(world);
-  const double for_s = world.uniform(2, 40);
+  const double duration_s = world.uniform(2, 40);
   switch (world.rng() % 9) {
     case 0:
       world.nodes.crash(node, world.rng() % 2 == 0 ? 0.1 : 8);
       break;
     case 1:
       world.state.set_outage(true);
-      world.in(world.rng() % 3 == 0 ? for_s + 15 : 5, [&world] { world.state.set_outage(false); });
+      world.in(world.rng() % 3 == 0 ? duration_s + 15 : 5, [&world] { world.state.set_outage(false); });
       break;
     case 2:
       world.network.partition_node(node, world.rng() % 2 == 0);
-      world.in(for_s, [&world] { world.network.heal_partitions(); });
+      world.in(duration_s, [&world] { world.network.heal_partitions(); });
       break;
     case 3:
-      world.nodes.freeze(node, for_s);
+      world.nodes.freeze(node, duration_s);
       break;
     case 4:
       if (worker == nullptr) break;
       worker->inbound_unreachable = true;
-      world.in(for_s, [worker] { worker->inbound_unreachable = false; });
+      world.in(duration_s, [worker] { worker->inbound_unreachable = false; });
       break;
     case 5:
       if (worker == nullptr) break;
       worker->outbound_unreachable = true;
-      world.in(for_s, [worker] { worker->outbound_unreachable = false; });
+      world.in(duration_s, [worker] { worker->outbound_unreachable = false; });
       break;
     case 6:
-      if (worker != nullptr) worker->hang(for_s);
+      if (worker != nullptr) worker->hang(duration_s);
       break;
     case 7:
       if (worker != nullptr) worker->reboot(world.rng() % 2 == 0);
@@ -145,9 +145,9 @@
 
 }  // namespace
 
-// Reports that a cut held back arrive at the owner that has taken the shard over meanwhile and acted; with
-// them come copies of reports from before, also of earlier incarnations.
-TEST_P(Meeting, HeldBackReportsArriveAtANewOwner) {
+// Reports delayed by a network cut arrive at the owner that has taken the shard over and acted in the
+// meantime. Copies of earlier reports arrive with them, some of them from earlier incarnations.
+TEST_P(OverlappingFailures, DelayedReportsReachANewOwner) {
   Options late = options();
   late.message_copy_share = 0.3;
   World world(late);
@@ -177,9 +177,9 @@
   EXPECT_EQ(world.rules.launches_to_copies, 0);
 }
 
-// A share of all transactions gets no answer and is carried out seconds later, after newer ones of the same
-// node; nodes end meanwhile, and users cancel, ask and submit again.
-TEST_P(Meeting, TransactionsAreCarriedOutLate) {
+// A quarter of all transactions gets no answer and is applied seconds later, after newer transactions of the
+// same node. Meanwhile nodes crash, and users cancel jobs, poll them and submit them again.
+TEST_P(OverlappingFailures, TransactionsAreAppliedLate) {
   Options late = options();
   late.late_commit_share = 0.25;
   World world(late);
@@ -195,15 +195,15 @@
   expect_invariants_hold(world);
 }
 
-// Machines reach no node, while direct commands still reach them; their shard's owner changes meanwhile, and
-// shows them its token.
-TEST_P(Meeting, OutboundUnreachableMachinesAndANewOwner) {
+// Machines reach no node, while direct commands still reach them. Meanwhile the owner of their shard changes,
+// and the new owner presents its fencing token to the machines.
+TEST_P(OverlappingFailures, OutboundUnreachableMachinesAndANewOwner) {
   World world(options());
   add_jobs(world, 2, 100);
   int outbound_unreachable = 0;
   for (double t = 30; t < 110; t += 13) {
     world.at(t, [&] {
-      Worker* worker = busy_worker(world);
+      Worker* worker = random_busy_worker(world);
       if (worker == nullptr) return;
       worker->outbound_unreachable = true;
       outbound_unreachable++;
@@ -221,15 +221,16 @@
   EXPECT_GT(outbound_unreachable, 1);
 }
 
-// All nodes are away for longer than lease_s: every machine has lost its tasks, and is in a new incarnation.
-TEST_P(Meeting, AllNodesAreAwayForLongerThanALease) {
+// All nodes are down for longer than lease_s, so that every machine has lost its tasks and has begun a new
+// incarnation.
+TEST_P(OverlappingFailures, AllNodesAreDownForLongerThanALease) {
   World world(options());
   add_jobs(world, 2, 100);
-  int ran = 0;
+  int running_tasks = 0;
   for (const double t : {45.0, 90.0}) {
     world.at(t, [&] {
       for (auto& [name, worker] : world.workers) {
-        for (const Task& task : worker->tasks) ran += worker->occupies_machine(task) ? 1 : 0;
+        for (const Task& task : worker->tasks) running_tasks += worker->occupies_machine(task) ? 1 : 0;
       }
       for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, world.options.lease_s + 3 + i);
     });
@@ -239,11 +240,12 @@
   world.run_until(600);
 
   expect_invariants_hold(world);
-  EXPECT_GT(ran, 0);
+  EXPECT_GT(running_tasks, 0);
 }
 
-// Ten changes of owners within two minutes, some of them while the state service is away.
-TEST_P(Meeting, OwnersChangeTenTimesInTwoMinutesAlsoInsideAnOutage) {
+// Nodes crash ten times within two minutes, so that shard owners change, also during outages of the state
+// service.
+TEST_P(OverlappingFailures, TenOwnerChangesInTwoMinutesWithOutages) {
   World world(options());
   add_jobs(world, 2, 120);
   std::set<std::uint64_t> fencing_tokens;
@@ -266,8 +268,8 @@
   EXPECT_GE(fencing_tokens.size(), 8u);
 }
 
-// Arrays bound to one zone lose machines of that zone, again and again.
-TEST_P(Meeting, JobsBoundToOneZoneLoseMachines) {
+// Array jobs bound to one zone repeatedly lose machines of that zone.
+TEST_P(OverlappingFailures, JobsBoundToOneZoneLoseMachines) {
   World world(options());
   for (int i = 0; i < 12; i++) {
     UserJob job = plain_job(world, i, world.uniform(2, 80), 6, 15, 4);
@@ -276,13 +278,13 @@
     if (i % 3 == 2) job.body["scatter"] = true;
     world.submit(job);
   }
-  int lost = 0;
+  int lost_machines = 0;
   for (double t = 25; t < 110; t += 8) {
     world.at(t, [&] {
       for (auto& [name, worker] : world.workers) {
         if (!worker->is_up() || worker->zone != "b" || worker->tasks.empty()) continue;
         worker->dead = true;
-        lost++;
+        lost_machines++;
         break;
       }
     });
@@ -292,12 +294,12 @@
   world.run_until(700);
 
   expect_invariants_hold(world);
-  EXPECT_GT(lost, 3);
+  EXPECT_GT(lost_machines, 3);
 }
 
-// More work than room, urgent and not, while the state service answers slowly and messages are lost: the
-// teams' limits and the order of things hold, and all of it runs in the end.
-TEST_P(Meeting, MoreWorkThanRoomOverSlowLinks) {
+// More urgent and best-effort work than the machines can run, while the state service answers slowly and
+// messages are lost. The limits of the teams and the priority order hold, and all jobs run in the end.
+TEST_P(OverlappingFailures, MoreWorkThanCapacityWithASlowStateService) {
   Options slow = options();
   slow.message_loss_share = 0.02;
   slow.nodes = 3;
@@ -311,32 +313,34 @@
   }
   world.at(20, [&world] { world.state.answer_delay_s = 0.5; });
   world.at(90, [&world] { world.state.answer_delay_s = 0; });
-  int waiting = 0;
+  int unstarted_tasks = 0;
   world.at(70, [&] {
-    for (const auto& [ref, job] : world.jobs) waiting += job.task_count - static_cast<int>(job.starts.size());
+    for (const auto& [ref, job] : world.jobs)
+      unstarted_tasks += job.task_count - static_cast<int>(job.starts.size());
   });
   world.faults_end_at = 95;
 
   world.run_until(700);
 
   expect_invariants_hold(world);
-  EXPECT_GT(waiting, 20) << "tasks that have not begun";
+  EXPECT_GT(unstarted_tasks, 20) << "too few tasks were waiting at 70 s: there was no overload";
 }
 
-// Jobs of two or three tasks whose ends lie far apart, with a change of owner in between: what was done stays
-// done, nothing runs again, and the job is done once the last one is.
-TEST_P(Meeting, TasksThatEndFarApartAcrossAChangeOfOwner) {
-  Options calm = options();
-  calm.message_loss_share = 0;
-  World world(calm);
+// The tasks of a job end far apart, with a change of owner in between. Completed tasks stay completed, no
+// task runs twice, and the job is done once its last task is done.
+TEST_P(OverlappingFailures, TasksThatEndFarApartAcrossAChangeOfOwner) {
+  Options lossless = options();
+  lossless.message_loss_share = 0;
+  World world(lossless);
   for (int i = 0; i < 10; i++) {
     UserJob job = plain_job(world, i, 5, 2 + i % 2, 40, 1);
-    job.run_increment_s = 50;  // task k takes so much longer than task k - 1
+    job.run_increment_s = 50;  // task k takes 50 s longer than task k - 1
     world.submit(job);
   }
-  int half = 0;
+  int partly_done_jobs = 0;
   world.at(85, [&] {
-    for (const auto& [ref, job] : world.jobs) half += job.completed.empty() || job.user_saw_done ? 0 : 1;
+    for (const auto& [ref, job] : world.jobs)
+      partly_done_jobs += job.completed.empty() || job.user_saw_done ? 0 : 1;
     crash_all(world, 0.3);
   });
   world.at(100, [&world] { world.nodes.crash(0, 9); });
@@ -345,31 +349,32 @@
   world.run_until(400);
 
   expect_invariants_hold(world);
-  EXPECT_GT(half, 3);
+  EXPECT_GT(partly_done_jobs, 3);
   for (const auto& [ref, job] : world.jobs) {
     for (const auto& [index, starts] : job.starts) EXPECT_EQ(starts, 1) << ref << "/" << index;
   }
 }
 
-// Cancellations, questions and repeated submissions at the very moment at which a job's last task ends, with
-// no other trouble: it is done or cancelled, and stays what its users were told.
-TEST_P(Meeting, ACancellationAtTheEndOfTheLastTask) {
-  Options calm = options();
-  calm.message_loss_share = 0;
-  World world(calm);
+// Users cancel and resubmit a job at the moment at which its last task ends, without any other failure. The
+// job ends as done or as cancelled, and keeps the state that users received first.
+TEST_P(OverlappingFailures, ACancellationAtTheEndOfTheLastTask) {
+  Options lossless = options();
+  lossless.message_loss_share = 0;
+  World world(lossless);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, world.uniform(2, 60), 1 + i % 3, 6, 1));
-  int met = 0;
+  int last_task_ends = 0;
   world.on_job_completed = [&](const std::string& ref) {
-    met++;
-    const double when = world.rng() % 2 == 0 ? 0 : world.uniform(0, 1.5);  // before or after it is known
-    world.in(when, [&world, ref] { world.cancel_job(ref); });
+    last_task_ends++;
+    const double delay_s =
+        world.rng() % 2 == 0 ? 0 : world.uniform(0, 1.5);  // before or after the owner knows of the end
+    world.in(delay_s, [&world, ref] { world.cancel_job(ref); });
     world.in(world.uniform(0, 2), [&world, ref] { world.resubmit(ref); });
   };
 
   world.run_until(300);
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
-  EXPECT_GE(met, 30);
+  EXPECT_GE(last_task_ends, 30);
   int done = 0;
   int aborted = 0;
   for (const auto& [ref, job] : world.jobs) {
@@ -381,22 +386,22 @@
   EXPECT_GT(aborted, 0);
 }
 
-// A team is at its limit when the owners change; some of its machines cannot be asked; and its jobs are
-// cancelled in that spell. What runs on those machines uses the limit, cancelled or not: a new owner once did
-// not count it, and others of the team's tasks were started beyond the limit.
-TEST_P(Meeting, ATeamAtItsLimitWhileItsMachinesCannotBeAskedAndJobsAreCancelled) {
-  Options tight = options();
-  tight.message_loss_share = 0;
-  tight.nodes = 3;
-  tight.team_max_cpus = 40;
-  World world(tight);
+// A team is at its limit when the shard owners change; some of its machines are unreachable, and its jobs are
+// cancelled at the same time. Tasks on those machines count towards the limit, cancelled or not. A new owner
+// once did not count them and started other tasks of the team beyond the limit.
+TEST_P(OverlappingFailures, TeamLimitHoldsWhileMachinesAreUnreachableAndJobsAreCancelled) {
+  Options limited = options();
+  limited.message_loss_share = 0;
+  limited.nodes = 3;
+  limited.team_max_cpus = 40;
+  World world(limited);
   world.network.delayed_share = 0;
-  submit_red_and_blue(world);
-  RedTasks red;
+  submit_jobs_of_two_teams(world);
+  TeamUsage red_team;
   world.at(60, [&] {
-    red = find_red_tasks(world);
-    for (const std::string& name : red.machines)
-      world.network.partition_machine(name);  // they cannot be asked
+    red_team = measure_red_team(world);
+    for (const std::string& name : red_team.delegate_machines)
+      world.network.partition_machine(name);  // unreachable
     for (auto& [ref, job] : world.jobs) {
       if (job.run_s > 100) world.cancel_job(ref);
     }
@@ -408,22 +413,22 @@
   world.run_until(1500);
 
   expect_invariants_hold(world);
-  EXPECT_GE(red.cores, 36);
-  EXPECT_GE(red.delegated, 1);
+  EXPECT_GE(red_team.cores, 36);
+  EXPECT_GE(red_team.delegated_tasks, 1);
 }
 
-// Commands and their answers are held up for seconds, and the machines then go on: hung ones take what came
-// meanwhile, cut ones get it late.
-TEST_P(Meeting, HeldUpCommandsReachMachinesThatGoOn) {
+// Commands and their answers are delayed for seconds, after which the machines resume: a machine that hung
+// processes the commands that arrived in the meantime, and a machine that was cut off receives them late.
+TEST_P(OverlappingFailures, DelayedCommandsReachMachinesThatResume) {
   World world(options());
   world.network.delayed_share = 1;
   add_jobs(world, 2, 100);
-  int held = 0;
+  int disturbed_machines = 0;
   for (double t = 25; t < 110; t += 7) {
     world.at(t, [&] {
-      Worker* worker = busy_worker(world);
+      Worker* worker = random_busy_worker(world);
       if (worker == nullptr) return;
-      held++;
+      disturbed_machines++;
       if (world.rng() % 2 == 0) {
         worker->hang(world.uniform(2, 11));
       } else {
@@ -446,12 +451,12 @@
   world.run_until(700);
 
   expect_invariants_hold(world);
-  EXPECT_GT(held, 5);
+  EXPECT_GT(disturbed_machines, 5);
 }
 
-// A node that stands still for seconds or a minute, its clocks running on, does nothing on waking that it is
-// no longer entitled to; its shards are served by others meanwhile.
-TEST_P(Meeting, ANodeStandsStillAndWakes) {
+// A node freezes for seconds or for up to 70 s while its clocks advance. After it resumes it does nothing
+// that its expired leases no longer allow. Other nodes serve its shards in the meantime.
+TEST_P(OverlappingFailures, ANodeFreezesAndResumes) {
   World world(options());
   add_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 20) {
@@ -474,20 +479,20 @@
   expect_invariants_hold(world);
 }
 
-// Jobs submitted with a mistake fail on every machine, until their users cancel them; one machine is faulty,
-// too. The machines on which they meet are not taken for faulty, the faulty one is found, the others' work
-// goes on, and the mistaken jobs are tried seldom.
-TEST_P(Meeting, MistakenJobsAndAFaultyMachine) {
-  Options calm = options();
-  calm.message_loss_share = 0;
-  calm.nodes = 3;
-  calm.market_machines = 6;
-  calm.team_max_cpus = 160;
-  World world(calm);
+// Some jobs fail on every machine until their users cancel them, and one machine is faulty. Healthy machines
+// on which those jobs fail are not classified as faulty, the faulty machine is detected and returned, other
+// jobs continue, and the failing jobs are retried rarely.
+TEST_P(OverlappingFailures, AlwaysFailingJobsAndAFaultyMachine) {
+  Options lossless = options();
+  lossless.message_loss_share = 0;
+  lossless.nodes = 3;
+  lossless.market_machines = 6;
+  lossless.team_max_cpus = 160;
+  World world(lossless);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, 2 + i * 1.8, 16, 10, 4));
-  const std::vector<std::string> always_fails = submit_mistaken(world);
+  const std::vector<std::string> always_failing = submit_always_failing(world);
   std::string faulty;
-  std::set<std::string> good;
+  std::set<std::string> healthy;
   world.at(24, [&] {
     for (auto& [name, worker] : world.workers) {
       if (!worker->is_up()) continue;
@@ -495,55 +500,56 @@
         faulty = name;
         worker->faulty = true;
       } else {
-        good.insert(name);
+        healthy.insert(name);
       }
     }
   });
-  int lost = 0;
-  world.at(60, [&] { lost = count_dead(world, good); });
+  int lost_machines = 0;
+  world.at(60, [&] { lost_machines = count_dead(world, healthy); });
 
   world.run_until(400);
 
   expect_invariants_hold(world);
-  EXPECT_TRUE(world.workers.at(faulty)->dead) << "the faulty machine is still kept";
-  EXPECT_GT(good.size(), 6u);
-  EXPECT_LE(4u * static_cast<unsigned>(lost), good.size()) << "good machines were given back as faulty";
-  const int tries = count_starts(world, always_fails);
-  EXPECT_GE(tries, 15);
-  EXPECT_LT(tries, 250);
+  EXPECT_TRUE(world.workers.at(faulty)->dead) << "the faulty machine was not returned";
+  EXPECT_GT(healthy.size(), 6u);
+  EXPECT_LE(4u * static_cast<unsigned>(lost_machines), healthy.size())
+      << "too many healthy machines were returned as faulty";
+  const int attempts = count_starts(world, always_failing);
+  EXPECT_GE(attempts, 15);
+  EXPECT_LT(attempts, 250);
 }
 
-// A node stands still; its shards get a new owner, which knows the machines without tasks only once they
-// report. They are up, and must not go back as if they had never come.
-TEST_P(Meeting, IdleMachinesOutlastATakeover) {
-  Options calm = options();
-  calm.message_loss_share = 0;
-  calm.nodes = 3;
-  World world(calm);
+// A node freezes, and its shards get a new owner, which learns of machines without tasks only from their
+// reports. These machines are up and must not be returned as rentals that never arrived.
+TEST_P(OverlappingFailures, IdleMachinesSurviveATakeover) {
+  Options lossless = options();
+  lossless.message_loss_share = 0;
+  lossless.nodes = 3;
+  World world(lossless);
   for (int i = 0; i < 8; i++) world.submit(plain_job(world, i, 2, 8, 25, 2));
-  std::map<int, std::set<std::string>> idle;  // by shard
+  std::map<int, std::set<std::string>> idle_by_shard;
   world.at(72, [&] {
     for (auto& [name, worker] : world.workers) {
-      if (worker->is_up() && worker->tasks.empty()) idle[shard_of(name, 3)].insert(name);
+      if (worker->is_up() && worker->tasks.empty()) idle_by_shard[shard_of(name, 3)].insert(name);
     }
-    idle.erase(0);  // its owner rents and returns: that one goes on
-    ASSERT_FALSE(idle.empty());
-    world.nodes.freeze(world.nodes.owner_of(idle.begin()->first), 20);
+    idle_by_shard.erase(0);  // the owner of shard 0 rents and returns machines and must keep running
+    ASSERT_FALSE(idle_by_shard.empty());
+    world.nodes.freeze(world.nodes.owner_of(idle_by_shard.begin()->first), 20);
   });
-  int lost = 0;
+  int lost_machines = 0;
   world.at(84, [&] {
-    for (const auto& [shard, names] : idle) lost += count_dead(world, names);
+    for (const auto& [shard, names] : idle_by_shard) lost_machines += count_dead(world, names);
   });
   world.faults_end_at = 95;
 
   world.run_until(300);
 
   expect_invariants_hold(world);
-  EXPECT_EQ(lost, 0);
+  EXPECT_EQ(lost_machines, 0);
 }
 
-// Everything of the above, drawn by lot, overlapping.
-TEST_P(Meeting, ManyAtOnce) {
+// All failures of the tests above, drawn at random and overlapping.
+TEST_P(OverlappingFailures, RandomFailuresOverlap) {
   Options mix = options();
   mix.message_loss_share = 0.005;
   mix.message_copy_share = 0.1;
@@ -552,7 +558,7 @@
   world.network.delayed_share = 0.6;
   add_jobs(world, 2, 140);
   for (double t = 20; t < 150; t += world.uniform(2, 9)) {
-    world.at(t, [&world] { trouble_by_lot(world); });
+    world.at(t, [&world] { inject_random_failure(world); });
   }
   world.at(190, [&world] {
     world.options.late_commit_share = world.options.message_copy_share = 0;
@@ -566,4 +572,4 @@
   expect_invariants_hold(world);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Meeting, ::testing::Range(1, 1 + seed_count()));
+INSTANTIATE_TEST_SUITE_P(Seeds, OverlappingFailures, ::testing::Range(1, 1 + seed_count()));
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -1,5 +1,5 @@
-// Whole nodes in a simulated cluster, under failures: no rule of the protocol may break, and when the
-// failures are over every accepted job must end.
+// Complete nodes in a simulated cluster, under failures. No rule of the protocol may be broken, and after the
+// failures have ended every accepted job must end.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -23,7 +23,7 @@
   }
 };
 
-// A few large jobs, a steady stream of small ones, and a burst. Gives the names of the large ones.
+// Submits a few large jobs, a steady stream of small ones, and a burst. Returns the names of the large jobs.
 std::vector<std::string> submit_three_classes(World& world) {
   std::vector<std::string> largest;
   for (int i = 0; i < 90; i++) {
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-TEST_P(Cluster, QuietDay) {
+TEST_P(Cluster, NoFailures) {
   World world(options());
   add_jobs(world, 2, 60);
 
@@ -51,7 +51,7 @@
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.accepted) << ref;
 }
 
-TEST_P(Cluster, NodesCrashAloneTogetherAndComeBackWithinAFractionOfASecond) {
+TEST_P(Cluster, NodesCrashSinglyOrTogetherAndRestart) {
   World world(options());
   add_jobs(world, 2, 120);
   for (double t = 15; t < 150; t += world.uniform(6, 20)) {
@@ -70,7 +70,7 @@
   expect_invariants_hold(world);
 }
 
-TEST_P(Cluster, TheStateServiceAndTheCloudGoAwayWhileNodesCrash) {
+TEST_P(Cluster, StateServiceAndCloudOutagesWhileNodesCrash) {
   World world(options());
   add_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 35) {
@@ -86,7 +86,7 @@
   expect_invariants_hold(world);
 }
 
-TEST_P(Cluster, OneNodeAloneIsRefusedByTheStateService) {
+TEST_P(Cluster, TheStateServiceRefusesOneNode) {
   World world(options());
   add_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 25) {
@@ -136,7 +136,7 @@
   expect_invariants_hold(world);
 }
 
-TEST_P(Cluster, EverythingAtOnceWithLateMessages) {
+TEST_P(Cluster, RandomFailuresWithDelayedMessages) {
   Options mix = options();
   mix.message_loss_share = 0.01;
   World world(mix);
@@ -187,13 +187,13 @@
   expect_invariants_hold(world);
 }
 
-// The old owner is refused by the state service and cut off from the other nodes, but goes on renewing the
-// lease of a machine that the new owner cannot reach. Silence proves nothing then: the machine's tasks are
-// still running.
-TEST_P(Cluster, ASilentMachineMayStillBeRenewedByTheOldOwner) {
+// The state service refuses the old owner, which is also cut off from the other nodes but keeps renewing the
+// lease of a machine that the new owner cannot reach. The silence of the machine does not prove that its
+// tasks have ended: they are still running.
+TEST_P(Cluster, TheOldOwnerMayStillRenewTheLeaseOfASilentMachine) {
   World world(options());
   world.network.delayed_share = 0;
-  // (There is room left on other machines: what would be freed wrongly starts there.)
+  // Other machines have free capacity, so that tasks wrongly considered ended would start there.
   for (int i = 0; i < 10; i++) {
     UserJob job = make_job(world, i, 2, 20);
     job.run_s = 60;
@@ -226,27 +226,27 @@
   expect_invariants_hold(world);
 }
 
-// Several machines that fall silent together are more likely cut off than dead: they are waited for, and
-// serve again.
-// (No message is lost on this day: a shard that is taken over meanwhile counts its machines' silence anew.)
+// Several machines that become silent together are more likely cut off than dead. They are not returned, and
+// serve again after the cut. No message is lost in this test, because a shard that is taken over meanwhile
+// measures the silence of its machines from the takeover.
 TEST_P(Cluster, MachinesThatAreCutOffTogetherAreNotReturned) {
-  Options quiet = options();
-  quiet.message_loss_share = 0;
-  World world(quiet);
+  Options lossless = options();
+  lossless.message_loss_share = 0;
+  World world(lossless);
   world.network.delayed_share = 0;
   add_jobs(world, 2, 60);
-  std::vector<Worker*> away;
-  world.at(50, [&world, &away] {
+  std::vector<Worker*> cut_off_machines;
+  world.at(50, [&world, &cut_off_machines] {
     for (auto& [name, worker] : world.workers) {
-      if (away.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
-      away.push_back(worker.get());
+      if (cut_off_machines.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
+      cut_off_machines.push_back(worker.get());
       world.network.partition_machine(name);
     }
   });
-  world.at(74, [&world, &away] {
+  world.at(74, [&world, &cut_off_machines] {
     world.network.partitions.clear();
-    EXPECT_GE(away.size(), 3u);
-    for (const Worker* worker : away) EXPECT_FALSE(worker->dead) << worker->name;
+    EXPECT_GE(cut_off_machines.size(), 3u);
+    for (const Worker* worker : cut_off_machines) EXPECT_FALSE(worker->dead) << worker->name;
   });
 
   world.run_until(500);
@@ -254,15 +254,15 @@
   expect_invariants_hold(world);
 }
 
-// Their reports come, nothing that is sent reaches them; or only the answers are lost. Their leases run out,
-// their tasks run elsewhere, nobody goes on launching to them for ever, and those that stay unreachable are
+// Machines send reports but receive nothing, or only their answers are lost. Their leases expire, their tasks
+// run elsewhere, launches to them are not repeated without end, and machines that stay unreachable are
 // returned.
-TEST_P(Cluster, InboundUnreachableMachinesAreLeftAloneAndTheirTasksRunElsewhere) {
+TEST_P(Cluster, InboundUnreachableMachinesGetFewLaunchesAndTheirTasksRunElsewhere) {
   World world(options());
   add_jobs(world, 2, 120);
-  std::vector<std::string> for_good;
+  std::vector<std::string> permanently_unreachable;
   for (double t = 25; t < 150; t += 12) {
-    world.at(t, [&world, &for_good] {
+    world.at(t, [&world, &permanently_unreachable] {
       Worker* worker = random_worker(world);
       if (worker == nullptr || worker->inbound_unreachable || worker->loses_report_answers) return;
       if (world.rng() % 3 == 0) {
@@ -271,7 +271,7 @@
         worker->inbound_unreachable = true;
       }
       if (world.rng() % 3 == 0) {
-        for_good.push_back(worker->name);
+        permanently_unreachable.push_back(worker->name);
       } else {
         world.in(world.uniform(3, 60),
                  [worker] { worker->inbound_unreachable = worker->loses_report_answers = false; });
@@ -284,13 +284,13 @@
 
   expect_invariants_hold(world);
   for (const auto& [attempt, count] : world.rules.launches_to_unreachable) EXPECT_LE(count, 5) << attempt;
-  for (const std::string& name : for_good)
-    EXPECT_TRUE(world.workers.at(name)->dead) << name << " is still kept";
+  for (const std::string& name : permanently_unreachable)
+    EXPECT_TRUE(world.workers.at(name)->dead) << name << " was not returned although it stayed unreachable";
 }
 
-// Copies of reports, submissions, cancellations and transactions come up to 45 s late, that is, several
-// leases; across takeovers, restarts, and the return of the machines that sent them.
-TEST_P(Cluster, LateCopiesOfMessagesChangeNothing) {
+// Copies of reports, submissions, cancellations and transactions arrive up to 45 s late, that is, several
+// leases later. Takeovers, restarts and the return of the machines that sent them happen in between.
+TEST_P(Cluster, LateDuplicateMessagesChangeNothing) {
   Options copied = options();
   copied.message_copy_share = 0.3;
   copied.commit_copy_share = 0.2;
@@ -320,24 +320,24 @@
   EXPECT_EQ(world.rules.launches_to_copies, 0);
 }
 
-// A node reaches neither the state service nor the other nodes, but its workers (and sometimes the others do
-// not reach these). It renews their leases, starts nothing, is no evidence of any lease; afterwards it takes
-// up its role again.
-TEST_P(Cluster, ANodeWithItsWorkersOnly) {
+// A node reaches neither the state service nor the other nodes, only its workers. In half of the cases the
+// other nodes do not reach these workers. The node renews their leases, starts nothing, and is no evidence
+// for the lease of any other node. Afterwards it resumes its role.
+TEST_P(Cluster, ANodeReachesOnlyItsWorkers) {
   World world(options());
   world.network.delayed_share = 0.3;
   add_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 45) {
     world.at(t, [&world] {
       const std::string name = node_name(random_node(world));
-      const bool unreached = world.rng() % 2 == 0;
+      const bool are_workers_cut_off = world.rng() % 2 == 0;
       world.network.nodes_refused_by_state.insert(name);
       world.network.isolated_since[name] = world.now;
       for (int i = 0; i < world.options.nodes; i++) {
         if (node_name(i) == name) continue;
         world.network.partitions.insert({name, node_name(i)});
         for (auto& [machine_name, worker] : world.workers) {
-          if (unreached && shard_of(machine_name, world.options.nodes) == node_index(name))
+          if (are_workers_cut_off && shard_of(machine_name, world.options.nodes) == node_index(name))
             world.network.partitions.insert({machine_name, node_name(i)});
         }
       }
@@ -355,9 +355,9 @@
   expect_invariants_hold(world);
 }
 
-// Processes are back within a fraction of a second: alone, in pairs, while shards are handed back, while an
-// election is under way, and while what they sent before is still being carried out.
-TEST_P(Cluster, ProcessesAreBackWithinAFractionOfASecond) {
+// Processes restart within a fraction of a second: singly, in pairs, while shards are handed back, during an
+// election, and while requests that they sent before are still being applied.
+TEST_P(Cluster, ProcessesRestartWithinAFractionOfASecond) {
   Options late = options();
   late.message_loss_share = 0.02;
   late.message_copy_share = 0.1;
@@ -384,10 +384,10 @@
   expect_invariants_hold(world);
 }
 
-// Machines lose power and are back within a fraction of a second, without anything that ran on them; some
-// have forgotten which incarnation they were in, and count their reports from one again. Nothing is taken for
-// still running, and nothing is started twice.
-TEST_P(Cluster, MachinesAreBackWithinAFractionOfASecond) {
+// Machines lose power and restart within a fraction of a second without their tasks. Some have lost their
+// incarnation number and number their reports from one again. No lost task may be considered running, and no
+// task may be started twice.
+TEST_P(Cluster, MachinesRebootWithinAFractionOfASecond) {
   World world(options());
   add_jobs(world, 2, 120);
   int reboots = 0;
@@ -408,10 +408,10 @@
   EXPECT_GT(reboots, 15);
 }
 
-// A few large jobs among a steady stream of small ones and a burst of another class; only few machines hold
-// their tasks, and a team's limit is split into shares smaller than one task. They start within four minutes
-// all the same.
-TEST_P(Cluster, TheLargestJobsBeginWithinFourMinutes) {
+// A few large jobs compete with a steady stream of small ones and a burst of another class. Only few machines
+// can hold their tasks, and the limit of a team is split into shares smaller than one task. They must still
+// start within four minutes.
+TEST_P(Cluster, TheLargestJobsStartWithinFourMinutes) {
   World world(options());
   const std::vector<std::string> largest = submit_three_classes(world);
 
@@ -426,10 +426,10 @@
   }
 }
 
-// A segment of a shard's journal that cannot be read: what runs is not known, so the shard stays inactive and
-// nothing of it runs twice; every job stays known. (What was delegated to it waits until an operator has
-// dealt with the record.)
-TEST_P(Cluster, AnUnreadableRecordLeavesNoJobUnanswered) {
+// A segment of the journal of a shard cannot be read. It is unknown which tasks run, so the shard stays
+// inactive, none of its tasks runs twice, and every job stays known. Tasks delegated to the shard wait until
+// an operator has dealt with the record.
+TEST_P(Cluster, AnUnreadableRecordMakesNoJobUnknown) {
   World world(options());
   add_jobs(world, 2, 60);
   world.at(40, [&world] {
@@ -438,7 +438,7 @@
     world.nodes.crash(0, 0.2);
   });
   world.faults_end_at = 45;
-  world.rules.checks_starvation = false;  // the record stays as it is: this trouble does not end
+  world.rules.checks_starvation = false;  // the record stays unreadable, so this failure does not end
 
   world.run_until(400);
 
@@ -448,8 +448,9 @@
   EXPECT_GT(ended, 0);
 }
 
-// A job of the largest size stays within the limits of values and transactions (the stand-in checks them).
-TEST(Sim, AHundredThousandTasks) {
+// A job of the largest size stays within the limits of values and transactions, which the simulated state
+// service checks.
+TEST(Sim, AJobOfAHundredThousandTasks) {
   set_up_log();
   World world(Options{});
   UserJob job = make_job(world, 1, 2, 3);
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -1,6 +1,7 @@
-// No answer about a job is older than one that any node gave before its question was asked. Users ask at all
-// nodes within milliseconds around each acceptance, cancellation and end, while the state service's word
-// reaches the shard's owner late or not at all. (What each case guards against is in docs/incidents.)
+// No answer about a job may be older than one that any node gave before the request was sent. Users poll all
+// nodes within milliseconds around each acceptance, cancellation and end of a job, while the answers of the
+// state service reach the shard owner late or not at all. docs/incidents describes the failure behind each
+// test.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -14,7 +15,7 @@
 
 namespace {
 
-constexpr double kLost = -1;
+constexpr double kLostAnswerDelaySeconds = -1;  // a negative delay loses the answer
 
 bool changes_key(const Json& transaction, const char* verb, const std::string& prefix) {
   for (const Json& change : transaction["then"]) {
@@ -23,11 +24,11 @@
   return false;
 }
 
-// It ends a job: its ending is written.
-bool is_ending(const Json& transaction) { return changes_key(transaction, "put", "e/"); }
+// Returns whether the transaction ends a job, that is, writes its ending record.
+bool ends_job(const Json& transaction) { return changes_key(transaction, "put", "e/"); }
 
-// It cancels one: the job record is written again, though it exists.
-bool is_cancellation(const Json& transaction) {
+// Returns whether the transaction cancels a job, that is, writes a job record that exists already.
+bool cancels_job(const Json& transaction) {
   for (const Json& guard : transaction["guards"]) {
     const bool job_record = guard["k"].get<std::string>().rfind(keys::kJobRecords, 0) == 0;
     if (job_record && guard["stamp"] != 0 && changes_key(transaction, "put", guard["k"])) return true;
@@ -35,7 +36,7 @@
   return false;
 }
 
-class WentBack : public ::testing::TestWithParam<int> {
+class MonotonicAnswers : public ::testing::TestWithParam<int> {
  protected:
   void SetUp() override { set_up_log(); }
   static Options options() {
@@ -46,21 +47,21 @@
     out.poll_all_nodes = true;
     return out;
   }
-  // No node reaches another.
+  // Cuts the links between all nodes.
   static void cut_all_peers(World& world) {
     for (int a = 0; a < world.options.nodes; a++) {
       for (int b = 0; b < a; b++) world.network.partitions.insert({node_name(a), node_name(b)});
     }
   }
-  // From 20 s to 130 s no node reaches another, and the answers to the chosen transactions arrive so much
-  // later, or not at all. `disturbed` counts them.
-  static void disturb_answers(World& world, const std::function<bool(const Json&)>& chosen,
-                              const std::function<double()>& delay_s, int& disturbed) {
+  // From 20 s to 130 s no node reaches another, and the answers to the transactions selected by `is_affected`
+  // are delayed by `delay_s`, or lost if that is negative. `affected_answers` counts them.
+  static void delay_answers(World& world, const std::function<bool(const Json&)>& is_affected,
+                            const std::function<double()>& delay_s, int& affected_answers) {
     world.network.delayed_share = 0;
-    world.network.commit_answer_delay_s = [chosen, delay_s, &disturbed](const std::string&,
-                                                                        const Json& transaction) {
-      if (!chosen(transaction)) return 0.0;
-      disturbed++;
+    world.network.commit_answer_delay_s = [is_affected, delay_s, &affected_answers](const std::string&,
+                                                                                    const Json& transaction) {
+      if (!is_affected(transaction)) return 0.0;
+      affected_answers++;
       return delay_s();
     };
     world.at(20, [&world] { cut_all_peers(world); });
@@ -74,42 +75,43 @@
 
 }  // namespace
 
-// The transaction that ends a job is carried out, and its answer is lost. Nodes that do not reach the owner
-// read the ending and tell it; the owner must not say "running" until it has found out.
-TEST_P(WentBack, TheAnswerToAnEndingIsLost) {
+// The transaction that ends a job is applied, but its answer is lost. Nodes that cannot reach the owner read
+// the ending record and report it to users. The owner must not answer "running" until it has found out the
+// outcome.
+TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsLost) {
   World world(options());
   add_jobs(world, 2, 100);
-  int lost = 0;
-  disturb_answers(
-      world, is_ending, [] { return kLost; }, lost);
+  int lost_answers = 0;
+  delay_answers(
+      world, ends_job, [] { return kLostAnswerDelaySeconds; }, lost_answers);
 
   world.run_until(500);
 
   expect_invariants_hold(world);
-  EXPECT_GT(lost, 5);
+  EXPECT_GT(lost_answers, 5);
 }
 
-// The same with an answer that is merely slow.
-TEST_P(WentBack, TheAnswerToAnEndingIsSlow) {
+// As above, but the answer is only slow.
+TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsSlow) {
   World world(options());
   add_jobs(world, 2, 100);
-  int slow = 0;
-  disturb_answers(
-      world, is_ending, [&world] { return world.uniform(0.2, 1.4); }, slow);
+  int slow_answers = 0;
+  delay_answers(
+      world, ends_job, [&world] { return world.uniform(0.2, 1.4); }, slow_answers);
 
   world.run_until(500);
 
   expect_invariants_hold(world);
-  EXPECT_GT(slow, 5);
+  EXPECT_GT(slow_answers, 5);
 }
 
-// The transaction that cancels a job is carried out, and its answer is lost.
-TEST_P(WentBack, TheAnswerToACancellationIsLost) {
+// The transaction that cancels a job is applied, but its answer is lost.
+TEST_P(MonotonicAnswers, TheAnswerToACancellationIsLost) {
   World world(options());
   add_jobs(world, 2, 90);
-  int lost = 0;
-  disturb_answers(
-      world, is_cancellation, [] { return kLost; }, lost);
+  int lost_answers = 0;
+  delay_answers(
+      world, cancels_job, [] { return kLostAnswerDelaySeconds; }, lost_answers);
   for (double t = 25; t < 110; t += 6) {
     world.at(t, [&world] {
       for (auto& [ref, job] : world.jobs) {
@@ -121,15 +123,16 @@
   world.run_until(500);
 
   expect_invariants_hold(world);
-  EXPECT_GT(lost, 3);
+  EXPECT_GT(lost_answers, 3);
 }
 
-// A node hands a shard back; the deletion is carried out, and no answer of the state service reaches the
-// node. The next owner cancels jobs at once, while the old one's lease is still good.
-TEST_P(WentBack, TheAnswerToAHandBackIsLost) {
+// A node hands a shard back: the deletion of the owner record is applied, but no answer of the state service
+// reaches the node. The next owner cancels jobs at once, while the lease of the old owner is still valid.
+TEST_P(MonotonicAnswers, TheAnswerToAHandBackIsLost) {
   World world(options());
   world.network.delayed_share = 0;
-  // More than the machines can hold: a job of which nothing has started is cancelled at once.
+  // There are more tasks than the machines can hold, because a job without started tasks is cancelled at
+  // once.
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, world.uniform(2, 20), 10, 100));
   world.at(24, [&world] { world.nodes.crash(0, 10); });
   int handed_back = 0;
@@ -149,7 +152,7 @@
         }
       });
     }
-    return kLost;
+    return kLostAnswerDelaySeconds;
   };
   world.faults_end_at = 70;
 
@@ -162,20 +165,22 @@
   EXPECT_GT(cancelled, 0);
 }
 
-// The transaction that ends a job is lost on its way, and something else changes one of the records on which
-// it depends: the repeat is refused, and that must not be taken for the first copy's success.
-TEST_P(WentBack, AnEndingThatWasNeverWritten) {
-  Options five = options();
-  five.nodes = 5;  // more is delegated among five shards than among three
-  World world(five);
+// The transaction that ends a job is lost on its way, and another write changes one of the records that it is
+// conditional on. The retry is refused, and the node must not conclude from that refusal that the first copy
+// was applied.
+TEST_P(MonotonicAnswers, AnEndingThatWasNeverWritten) {
+  Options five_nodes = options();
+  five_nodes.nodes = 5;  // five shards delegate more tasks than three
+  World world(five_nodes);
   world.network.delayed_share = 0;
   for (int i = 0; i < 20; i++) world.submit(plain_job(world, i, world.uniform(2, 50), 12, 25));
-  std::set<std::string> spoiled;
+  std::set<std::string> rewritten_delegations;
   world.network.should_lose_commit = [&](const std::string&, const Json& transaction) {
-    if (!is_ending(transaction)) return false;
+    if (!ends_job(transaction)) return false;
     for (const Json& change : transaction["then"]) {
       const std::string delegation = change.value("delete", "");
-      if (delegation.rfind(keys::kDelegations, 0) != 0 || !spoiled.insert(delegation).second) continue;
+      if (delegation.rfind(keys::kDelegations, 0) != 0 || !rewritten_delegations.insert(delegation).second)
+        continue;
       world.state.rewrite_unchanged(delegation);
       return true;
     }
@@ -190,74 +195,74 @@
 
   world.run_until(500);
 
-  EXPECT_FALSE(spoiled.empty());
+  EXPECT_FALSE(rewritten_delegations.empty());
   expect_invariants_hold(world);
 }
 
-// A node accepts a job, hears of it through its watch, runs it and ends it, and only then the answer to the
-// acceptance arrives: the job does not begin anew.
-TEST_P(WentBack, TheAnswerToAnAcceptanceIsSlow) {
-  Options one = options();
-  one.nodes = 1;
-  World world(one);
+// A node accepts a job, sees the job record through its watch, runs the job and ends it before the answer to
+// the acceptance arrives. The late answer must not start the job again.
+TEST_P(MonotonicAnswers, TheAnswerToAnAcceptanceIsSlow) {
+  Options one_node = options();
+  one_node.nodes = 1;
+  World world(one_node);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2, 4, 30));
   for (int i = 6; i < 26; i++) world.submit(plain_job(world, i, 40 + i, 1, 0.2, 1));
-  int slow = 0;
+  int slow_answers = 0;
   world.network.commit_answer_delay_s = [&](const std::string&, const Json& transaction) {
-    if (world.now < 40 || is_ending(transaction) || !changes_key(transaction, "put", keys::kJobRecords))
+    if (world.now < 40 || ends_job(transaction) || !changes_key(transaction, "put", keys::kJobRecords))
       return 0.0;
-    slow++;
+    slow_answers++;
     return 1.45;
   };
-  std::uint64_t token = 0;
-  world.at(39, [&] { token = world.state.revision(keys::shard_owner(0)); });
+  std::uint64_t fencing_token = 0;
+  world.at(39, [&] { fencing_token = world.state.revision(keys::shard_owner(0)); });
 
   world.run_until(200);
 
   expect_invariants_hold(world);
-  EXPECT_GT(slow, 10);
-  EXPECT_EQ(world.state.revision(keys::shard_owner(0)), token)
-      << "a job that had ended made the shard start over";
+  EXPECT_GT(slow_answers, 10);
+  EXPECT_EQ(world.state.revision(keys::shard_owner(0)), fencing_token)
+      << "the shard was reloaded because of a job that had ended";
 }
 
-// More jobs are accepted and end while the watch tells nothing than any short memory would hold.
-TEST_P(WentBack, AWatchThatLagsBehindManyEndings) {
-  Options one = options();
-  one.nodes = 1;
-  one.poll_all_nodes = false;
-  one.state_rps = 3000;
-  one.write_rps = 1500;
-  one.market_machines = 12;
-  one.team_cpus = one.team_max_cpus = 400;
-  World world(one);
+// While the watch is stalled, more jobs are accepted and end than a short history of ended jobs would hold.
+TEST_P(MonotonicAnswers, AWatchThatLagsBehindManyEndings) {
+  Options one_node = options();
+  one_node.nodes = 1;
+  one_node.poll_all_nodes = false;
+  one_node.state_rps = 3000;
+  one_node.write_rps = 1500;
+  one_node.market_machines = 12;
+  one_node.team_cpus = one_node.team_max_cpus = 400;
+  World world(one_node);
   for (int i = 0; i < 10; i++) world.submit(plain_job(world, i, 2, 12, 30));
   for (int i = 0; i < 600; i++) {
     world.submit(plain_job(world, 1000 + i, 50 + i * 0.01, 1, 0.2, 1));
   }
   world.at(49, [&world] { world.state.are_watches_paused = true; });
   world.at(58.5, [&world] { world.state.resume_watches(); });
-  std::uint64_t token = 0;
-  world.at(48, [&] { token = world.state.revision(keys::shard_owner(0)); });
-  std::size_t ended = 0;
+  std::uint64_t fencing_token = 0;
+  world.at(48, [&] { fencing_token = world.state.revision(keys::shard_owner(0)); });
+  std::size_t ended_jobs = 0;
   world.at(58, [&] {
-    for (const auto& [key, value] : world.state.values()) ended += key.rfind("e/", 0) == 0 ? 1 : 0;
+    for (const auto& [key, value] : world.state.values()) ended_jobs += key.rfind("e/", 0) == 0 ? 1 : 0;
   });
 
   world.run_until(200);
 
   expect_invariants_hold(world);
-  EXPECT_GT(ended, 300u) << "too few ended behind the watch";
-  EXPECT_EQ(world.state.revision(keys::shard_owner(0)), token)
-      << "a job that had ended made the shard start over";
+  EXPECT_GT(ended_jobs, 300u) << "too few jobs ended while the watch was stalled";
+  EXPECT_EQ(world.state.revision(keys::shard_owner(0)), fencing_token)
+      << "the shard was reloaded because of a job that had ended";
 }
 
-// What the watch tells comes after the answers to newer writes: delegations that were given back, and jobs
-// that have ended, do not come back with it.
-TEST_P(WentBack, TheWatchTellsOldNews) {
-  Options five = options();
-  five.nodes = 5;
-  five.jobs = 60;
-  World world(five);
+// Watch events arrive after the answers to newer writes. They must not restore delegations that were handed
+// back or jobs that have ended.
+TEST_P(MonotonicAnswers, TheWatchDeliversStaleEvents) {
+  Options five_nodes = options();
+  five_nodes.nodes = 5;
+  five_nodes.jobs = 60;
+  World world(five_nodes);
   world.network.max_watch_delay_s = 1.2;
   add_jobs(world, 2, 150);
   world.at(250, [&world] { world.network.max_watch_delay_s = 0; });
@@ -267,8 +272,8 @@
 
   expect_invariants_hold(world);
   int tasks_returned = 0;
-  for (int i = 0; i < five.nodes; i++) {
-    for (int p = 0; p < five.nodes; p++) {
+  for (int i = 0; i < five_nodes.nodes; i++) {
+    for (int p = 0; p < five_nodes.nodes; p++) {
       const ShardLeader* shard = world.nodes[static_cast<std::size_t>(i)].node->shard(p);
       if (shard != nullptr) tasks_returned += static_cast<int>(shard->counters().tasks_returned);
     }
@@ -276,16 +281,18 @@
   EXPECT_GT(tasks_returned, 5);
 }
 
-// Everything at once, with users who look closely all the time.
-TEST_P(WentBack, ManyTroublesMeet) {
-  Options rough = options();
-  rough.message_loss_share = 0.01;
-  rough.late_commit_share = 0.05;
-  rough.jobs = 40;
-  World world(rough);
+// All failures overlap, while users poll all nodes around each change of a job.
+TEST_P(MonotonicAnswers, RandomFailuresOverlap) {
+  Options unreliable = options();
+  unreliable.message_loss_share = 0.01;
+  unreliable.late_commit_share = 0.05;
+  unreliable.jobs = 40;
+  World world(unreliable);
   add_jobs(world, 2, 120);
   world.network.commit_answer_delay_s = [&world](const std::string&, const Json&) {
-    return world.uniform(0, 1) < 0.3 ? kLost : world.uniform(0, 1) < 0.2 ? world.uniform(0.1, 1.4) : 0.0;
+    return world.uniform(0, 1) < 0.3   ? kLostAnswerDelaySeconds
+           : world.uniform(0, 1) < 0.2 ? world.uniform(0.1, 1.4)
+                                       : 0.0;
   };
   for (double t = 20; t < 130; t += 9) {
     world.at(t, [&world] {
@@ -324,35 +331,37 @@
   expect_invariants_hold(world);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, WentBack, ::testing::Range(1, 1 + seed_count()));
+INSTANTIATE_TEST_SUITE_P(Seeds, MonotonicAnswers, ::testing::Range(1, 1 + seed_count()));
 
-// ---------------------------------------------------------------- the check itself
+// ---------------------------------------------------------------- AnswerHistory itself
 
 namespace {
-JobAnswer poll(double asked, double received, const std::string& phase) {
-  return {asked, received, true, phase};
+JobAnswer poll(double asked_at, double received_at, const std::string& phase) {
+  return {asked_at, received_at, true, phase};
 }
 }  // namespace
 
-TEST(AnswerHistory, AnOlderAnswerIsFoundByTheOrderOfAskingAndReceiving) {
-  AnswerHistory told;
-  EXPECT_FALSE(told.record(poll(1, 2, "queued")));
-  EXPECT_FALSE(told.record(poll(3, 4, "done")));
-  EXPECT_FALSE(told.record(poll(3.5, 5, "running"))) << "asked before the end was told";
-  EXPECT_TRUE(told.record(poll(4.001, 5, "running")));
-  EXPECT_FALSE(told.record(poll(6, 7, "done")));
+TEST(AnswerHistory, DetectsAnAnswerOlderThanOneReceivedBeforeItsRequest) {
+  AnswerHistory history;
+  EXPECT_FALSE(history.record(poll(1, 2, "queued")));
+  EXPECT_FALSE(history.record(poll(3, 4, "done")));
+  EXPECT_FALSE(history.record(poll(3.5, 5, "running")))
+      << "the request was sent before the answer with the end arrived, so an older phase is allowed";
+  EXPECT_TRUE(history.record(poll(4.001, 5, "running")));
+  EXPECT_FALSE(history.record(poll(6, 7, "done")));
 }
 
 TEST(AnswerHistory, AJobHasOneTerminalState) {
-  AnswerHistory told;
-  EXPECT_FALSE(told.record(poll(1, 9, "aborted")));
-  EXPECT_TRUE(told.record(poll(1, 2, "done")));
+  AnswerHistory history;
+  EXPECT_FALSE(history.record(poll(1, 9, "aborted")));
+  EXPECT_TRUE(history.record(poll(1, 2, "done")));
 }
 
 TEST(AnswerHistory, AnAcceptedJobIsNotUnknown) {
-  AnswerHistory told;
-  EXPECT_FALSE(told.record({1, 2, false, ""}));
-  EXPECT_FALSE(told.record(poll(3, 4, "queued")));
-  EXPECT_FALSE(told.record({3.5, 5, false, ""})) << "asked before the acceptance was told";
-  EXPECT_TRUE(told.record({4.5, 5, false, ""}));
+  AnswerHistory history;
+  EXPECT_FALSE(history.record({1, 2, false, ""}));
+  EXPECT_FALSE(history.record(poll(3, 4, "queued")));
+  EXPECT_FALSE(history.record({3.5, 5, false, ""}))
+      << "the request was sent before the acceptance arrived, so 'unknown' is allowed";
+  EXPECT_TRUE(history.record({4.5, 5, false, ""}));
 }
