--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -39,34 +39,34 @@
 };
 
 // A machine with a task of a gang in this phase, and where `apart` of one that is spread over machines.
-Worker* find_member(World& world, const std::string& phase, bool apart = false) {
+Worker* find_member(World& world, const std::string& phase, bool is_spread = false) {
   for (auto& [name, worker] : world.workers) {
     if (worker->dead || worker->hung) continue;
     for (const Task& task : worker->tasks) {
       if (task.job == nullptr || !task.job->gang || task.phase != phase) continue;
-      int here = 0;
-      for (const Task& other : worker->tasks) here += other.ref == task.ref ? 1 : 0;
-      if (!apart || here < task.job->task_count) return worker.get();
+      int tasks_on_machine = 0;
+      for (const Task& other : worker->tasks) tasks_on_machine += other.ref == task.ref ? 1 : 0;
+      if (!is_spread || tasks_on_machine < task.job->task_count) return worker.get();
     }
   }
   return nullptr;
 }
 
 // Does it as soon as there is such a machine.
-void when_member(World& world, const std::string& phase, bool apart,
-                 const std::function<void(Worker&)>& act) {
-  if (Worker* worker = find_member(world, phase, apart)) return act(*worker);
-  world.in(0.05, [&world, phase, apart, act] { when_member(world, phase, apart, act); });
+void on_member_in_phase(World& world, const std::string& phase, bool is_spread,
+                        const std::function<void(Worker&)>& action) {
+  if (Worker* worker = find_member(world, phase, is_spread)) return action(*worker);
+  world.in(0.05, [&world, phase, is_spread, action] { on_member_in_phase(world, phase, is_spread, action); });
 }
 
 // The cloud takes the machine away.
-void take_away(World& world, Worker& worker, double notice_s) {
+void evict_machine(World& world, Worker& worker, double notice_s) {
   worker.eviction_notice_s = notice_s;
   worker.note_change();
   world.in(notice_s, [&worker] { worker.dead = true; });
 }
 
-bool places_a_gang(const Json& txn) {
+bool places_gang(const Json& txn) {
   for (const Json& change : txn["then"]) {
     if (!change.contains("put") || change["put"].get<std::string>().rfind("h/", 0) != 0) continue;
     for (const auto& [machine_name, record] : change["data"]["m"].items()) {
@@ -82,17 +82,17 @@
 }
 
 // Gives how many machines hold members of the gang; the first two are taken away.
-int give_notice_to_two_members(World& world, const std::string& ref) {
+int evict_two_members(World& world, const std::string& ref) {
   int members = 0;
   for (auto& [name, worker] : world.workers) {
     const bool member = std::any_of(worker->tasks.begin(), worker->tasks.end(),
                                     [&ref](const Task& task) { return task.ref == ref; });
-    if (member && members++ < 2) take_away(world, *worker, 14);
+    if (member && members++ < 2) evict_machine(world, *worker, 14);
   }
   return members;
 }
 
-bool stop_is_recorded(const World& world) {
+bool is_stop_recorded(const World& world) {
   const auto& values = world.state.values();
   return std::any_of(values.begin(), values.end(), [](const auto& record) {
     const auto& [key, value] = record;
@@ -102,7 +102,7 @@
 
 }  // namespace
 
-TEST_P(Gang, AllOfThemOnAQuietDay) {
+TEST_P(Gang, AllGangsCompleteWithoutFailures) {
   World world(options());
   add_gangs(world, 3, 20);
 
@@ -114,14 +114,14 @@
 }
 
 // The others wait, and a replacement with the same attempt number completes the gang.
-TEST_P(Gang, ATaskThatIsLostBeforeTheStartIsReplaced) {
-  Options day = options();
-  day.loss = 0;
-  World world(day);
+TEST_P(Gang, TaskLostBeforeTheStartIsReplaced) {
+  Options sim_options = options();
+  sim_options.loss = 0;
+  World world(sim_options);
   add_gangs(world, 3, 20);
   world.at(30, [&world] {
     world.submit(gang_job(world, 90, 31, 8, 20, 4));
-    when_member(world, "waiting", true, [](Worker& worker) { worker.reboot(false); });
+    on_member_in_phase(world, "waiting", true, [](Worker& worker) { worker.reboot(false); });
   });
 
   world.run_until(260);
@@ -129,12 +129,12 @@
   expect_all_done(world);
 }
 
-TEST_P(Gang, AMachineOfARunningGangLosesPower) {
+TEST_P(Gang, MachineOfRunningGangLosesPower) {
   World world(options());
   add_gangs(world, 3, 40);
   for (int i = 0; i < 3; i++) {
     world.at(45 + 7 * i, [&world] {
-      when_member(world, "running", false, [](Worker& worker) { worker.reboot(false); });
+      on_member_in_phase(world, "running", false, [](Worker& worker) { worker.reboot(false); });
     });
   }
   world.troubles_end = 70;
@@ -149,9 +149,12 @@
 TEST_P(Gang, MachinesHang) {
   World world(options());
   add_gangs(world, 3, 40);
-  world.at(20, [&world] { when_member(world, "waiting", false, [](Worker& worker) { worker.hang(25); }); });
-  world.at(50, [&world] { when_member(world, "running", true, [](Worker& worker) { worker.hang(8); }); });
-  world.at(60, [&world] { when_member(world, "running", false, [](Worker& worker) { worker.hang(40); }); });
+  world.at(
+      20, [&world] { on_member_in_phase(world, "waiting", false, [](Worker& worker) { worker.hang(25); }); });
+  world.at(50,
+           [&world] { on_member_in_phase(world, "running", true, [](Worker& worker) { worker.hang(8); }); });
+  world.at(
+      60, [&world] { on_member_in_phase(world, "running", false, [](Worker& worker) { worker.hang(40); }); });
   world.troubles_end = 105;
 
   world.run_until(360);
@@ -163,19 +166,19 @@
   World world(options());
   add_gangs(world, 3, 30);
   world.at(15, [&world] {
-    when_member(world, "pulling", false, [&world](Worker& worker) {
+    on_member_in_phase(world, "pulling", false, [&world](Worker& worker) {
       worker.answers_lost = true;
       world.in(40, [&worker] { worker.answers_lost = false; });
     });
   });
   world.at(40, [&world] {
-    when_member(world, "running", false, [&world](Worker& worker) {
+    on_member_in_phase(world, "running", false, [&world](Worker& worker) {
       worker.outbound_unreachable = true;
       world.in(40, [&worker] { worker.outbound_unreachable = false; });
     });
   });
   world.at(45, [&world] {
-    when_member(world, "running", true, [&world](Worker& worker) {
+    on_member_in_phase(world, "running", true, [&world](Worker& worker) {
       worker.inbound_unreachable = true;
       world.in(40, [&worker] { worker.inbound_unreachable = false; });
     });
@@ -188,21 +191,21 @@
 }
 
 // Two members are told in the same second: one decision, durable first, and all are told in time.
-TEST_P(Gang, NoticesToTwoMembersInTheSameSecond) {
-  Options day = options();
-  day.loss = 0;
-  day.market = 12;
-  World world(day);
+TEST_P(Gang, EvictionNoticesToTwoMembersInTheSameSecond) {
+  Options sim_options = options();
+  sim_options.loss = 0;
+  sim_options.market = 12;
+  World world(sim_options);
   UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   const std::string ref = job.ref;
   world.submit(job);
   int stopped_without_record = 0;
   world.at(75, [&] {
-    const int members = give_notice_to_two_members(world, ref);
+    const int members = evict_two_members(world, ref);
     ASSERT_GT(members, 1);
   });
   world.network.on_commit = [&](const std::string&, const Json&) {
-    if (!stop_is_recorded(world) && world.gangs.saves == 0 && find_member(world, "saving") != nullptr)
+    if (!is_stop_recorded(world) && world.gangs.saves == 0 && find_member(world, "saving") != nullptr)
       stopped_without_record++;
   };
   world.troubles_end = 95;
@@ -217,50 +220,51 @@
 }
 
 // The owner ends as the decision becomes durable; a stop half told is gone on with.
-TEST_P(Gang, TheOwnerEndsInTheMiddleOfAStop) {
-  Options day = options();
-  day.market = 12;
-  World world(day);
+TEST_P(Gang, OwnerCrashesDuringStop) {
+  Options sim_options = options();
+  sim_options.market = 12;
+  World world(sim_options);
   world.submit(gang_job(world, 90, 3, 8, 80, 4));  // on two machines at the least
   add_gangs(world, 3, 60);
-  bool ended = false;
+  bool has_crashed = false;
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
-    if (ended || txn.dump().find("\"x\":[") == std::string::npos) return;
-    ended = true;
+    if (has_crashed || txn.dump().find("\"x\":[") == std::string::npos) return;
+    has_crashed = true;
     world.in(0.02, [&world, from] { world.nodes.crash(node_index(from), GetParam() % 2 == 0 ? 0.3 : 8); });
   };
   world.at(70, [&world] {
-    when_member(world, "running", true, [&world](Worker& worker) { take_away(world, worker, 15); });
+    on_member_in_phase(world, "running", true,
+                       [&world](Worker& worker) { evict_machine(world, worker, 15); });
   });
   world.troubles_end = 100;
 
   world.run_until(380);
 
   expect_all_done(world);
-  EXPECT_TRUE(ended);
+  EXPECT_TRUE(has_crashed);
 }
 
 // The shard is handed back, and the limits of the state service fall, while the gang is being stopped.
-TEST_P(Gang, TheShardIsHandedBackInTheMiddleOfAStop) {
-  Options day = options();
-  day.market = 12;
-  day.next_value_kb = 2;
-  day.next_txn_ops = 4;
-  World world(day);
+TEST_P(Gang, ShardIsHandedBackDuringStop) {
+  Options sim_options = options();
+  sim_options.market = 12;
+  sim_options.next_value_kb = 2;
+  sim_options.next_txn_ops = 4;
+  World world(sim_options);
   const UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   world.submit(job);
   add_gangs(world, 3, 60);
   // The node that it belongs to is away, and comes back: 15 s later the shard is handed back to it.
-  const int home = shard_of(job.ref, world.options.nodes);
-  world.at(50, [&world, home] { world.nodes.crash(home, 5); });
-  bool met = false;
+  const int home_node = shard_of(job.ref, world.options.nodes);
+  world.at(50, [&world, home_node] { world.nodes.crash(home_node, 5); });
+  bool handed_back = false;
   world.network.on_commit = [&](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
-      const bool released = change.contains("delete") && change["delete"] == keys::shard_owner(home);
-      if (!released || met) continue;
-      met = true;
+      const bool released = change.contains("delete") && change["delete"] == keys::shard_owner(home_node);
+      if (!released || handed_back) continue;
+      handed_back = true;
       world.in(0, [&world] {
-        if (Worker* worker = find_member(world, "running")) take_away(world, *worker, 15);
+        if (Worker* worker = find_member(world, "running")) evict_machine(world, *worker, 15);
         world.state.lower_limits(2, 4, world.options.write_rps);
       });
     }
@@ -270,18 +274,18 @@
   world.run_until(380);
 
   expect_all_done(world);
-  EXPECT_TRUE(met);
+  EXPECT_TRUE(handed_back);
   EXPECT_EQ(world.state.too_large, 0);
 }
 
 // Between the durable write and the launches, and with the answer to that write lost.
-TEST_P(Gang, TheOwnerEndsAfterTheWriteThatPlacesThem) {
+TEST_P(Gang, OwnerCrashesAfterPlacementWrite) {
   World world(options());
   add_gangs(world, 20, 20);
-  int ended = 0;
+  int crashes = 0;
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
-    if (ended >= 2 || !places_a_gang(txn)) return;
-    ended++;
+    if (crashes >= 2 || !places_gang(txn)) return;
+    crashes++;
     world.in(0, [&world, from] { world.nodes.crash(node_index(from), 0.3); });
   };
   world.troubles_end = 80;
@@ -289,33 +293,33 @@
   world.run_until(360);
 
   expect_all_done(world);
-  EXPECT_GT(ended, 0);
+  EXPECT_GT(crashes, 0);
 }
 
-TEST_P(Gang, TheAnswerToTheWriteThatPlacesThemIsLost) {
+TEST_P(Gang, AnswerToPlacementWriteIsLost) {
   World world(options());
   add_gangs(world, 20, 20);
-  int lost = 0;
+  int placement_writes = 0;
   world.network.commit_answer = [&](const std::string&, const Json& txn) {
-    return places_a_gang(txn) && lost++ % 2 == 0 ? -1.0 : 0.0;
+    return places_gang(txn) && placement_writes++ % 2 == 0 ? -1.0 : 0.0;
   };
 
   world.run_until(300);
 
   expect_all_done(world);
-  EXPECT_GT(lost, 0);
+  EXPECT_GT(placement_writes, 0);
 }
 
 // Old copies of reports, also of earlier attempts, and transactions that are carried out late.
-TEST_P(Gang, CopiesComeLate) {
-  Options day = options();
-  day.copies = 0.15;
-  day.late_writes = 0.02;
-  World world(day);
+TEST_P(Gang, DuplicateReportsAndDelayedWrites) {
+  Options sim_options = options();
+  sim_options.copies = 0.15;
+  sim_options.late_writes = 0.02;
+  World world(sim_options);
   add_gangs(world, 3, 30);
   for (int i = 0; i < 3; i++) {
     world.at(40 + 9 * i, [&world] {
-      when_member(world, "running", false, [](Worker& worker) { worker.reboot(false); });
+      on_member_in_phase(world, "running", false, [](Worker& worker) { worker.reboot(false); });
     });
   }
   world.at(62, [&world] { world.nodes.crash(some_node(world), 0.3); });
@@ -333,7 +337,7 @@
   double at = 8;
   for (const char* phase : {"pulling", "waiting", "running", "saving"}) {
     world.at(at, [&world, &cancelled, phase] {
-      when_member(world, phase, false, [&world, &cancelled, phase](Worker& worker) {
+      on_member_in_phase(world, phase, false, [&world, &cancelled, phase](Worker& worker) {
         for (const Task& task : worker.tasks) {
           if (task.job == nullptr || !task.job->gang || task.phase != phase) continue;
           cancelled++;
@@ -345,7 +349,8 @@
     at += 12;
   }
   world.at(41, [&world] {
-    when_member(world, "running", false, [&world](Worker& worker) { take_away(world, worker, 15); });
+    on_member_in_phase(world, "running", false,
+                       [&world](Worker& worker) { evict_machine(world, worker, 15); });
   });
 
   world.run_until(300);
@@ -354,7 +359,7 @@
   EXPECT_GE(cancelled, 3);
 }
 
-TEST_P(Gang, AllControllersAreAwayForLongerThanALease) {
+TEST_P(Gang, AllControllersAreDownForLongerThanALease) {
   World world(options());
   add_gangs(world, 3, 40);
   world.at(45, [&world] {
@@ -368,11 +373,12 @@
 }
 
 // A zone with some members is cut off; they go on under the old lease.
-TEST_P(Gang, MembersAreCutOff) {
+TEST_P(Gang, MembersArePartitioned) {
   World world(options());
   add_gangs(world, 3, 40);
   world.at(45, [&world] {
-    when_member(world, "running", true, [&world](Worker& worker) { world.network.cut_off(worker.name); });
+    on_member_in_phase(world, "running", true,
+                       [&world](Worker& worker) { world.network.cut_off(worker.name); });
   });
   world.at(50, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.at(85, [&world] { world.network.mend_nodes(); });
@@ -384,12 +390,12 @@
 }
 
 // Small tasks take every bit of room as it comes free; it is kept for the gang all the same.
-TEST_P(Gang, RoomGathersAmongSmallTasks) {
-  Options day = options();
-  day.market = 2;
-  day.zones = {"a"};
-  day.team_max = 400;
-  World world(day);
+TEST_P(Gang, CapacityIsReservedAmongSmallTasks) {
+  Options sim_options = options();
+  sim_options.market = 2;
+  sim_options.zones = {"a"};
+  sim_options.team_max = 400;
+  World world(sim_options);
   for (int i = 0; i < 30; i++) {
     UserJob job = plain_job(world, i, 2 + 4 * i, 60, 8, 1);
     job.body["urgency"] = "urgent";
@@ -404,18 +410,18 @@
   world.run_until(420);
 
   expect_kept(world);
-  const UserJob& served = world.jobs.at(ref);
-  ASSERT_GE(served.gang_began, 0);
-  EXPECT_LT(served.first_start - served.submit_at, 90);
+  const UserJob& gang_result = world.jobs.at(ref);
+  ASSERT_GE(gang_result.gang_began, 0);
+  EXPECT_LT(gang_result.first_start - gang_result.submit_at, 90);
 }
 
 // Two that each need more than half of all room do not hold half of it each.
-TEST_P(Gang, TwoDoNotWaitForEachOther) {
-  Options day = options();
-  day.market = 1;
-  day.zones = {"a"};
-  day.team_max = 400;
-  World world(day);
+TEST_P(Gang, CompetingGangsDoNotDeadlock) {
+  Options sim_options = options();
+  sim_options.market = 1;
+  sim_options.zones = {"a"};
+  sim_options.team_max = 400;
+  World world(sim_options);
   for (int i = 0; i < 4; i++) {
     UserJob gang = gang_job(world, 90 + i, 3 + 0.1 * i, 7, 20, 2);
     gang.body["loaner"] = true;
@@ -428,11 +434,11 @@
 }
 
 // More than one shard's share of the team's limit: it is gathered.
-TEST_P(Gang, TheTeamsLimitIsGathered) {
-  Options day = options();
-  day.team_cpus = 20;
-  day.team_max = 24;  // 8 a shard
-  World world(day);
+TEST_P(Gang, TeamLimitIsCollectedFromAllShards) {
+  Options sim_options = options();
+  sim_options.team_cpus = 20;
+  sim_options.team_max = 24;  // 8 a shard
+  World world(sim_options);
   for (int i = 0; i < 3; i++) {
     UserJob gang = gang_job(world, 90 + i, 3 + i, 8, 15, 2);
     gang.body["owner"] = "red";
@@ -446,13 +452,13 @@
 }
 
 // Jobs submitted with a mistake fail everywhere until they are cancelled; neither machines nor others suffer.
-TEST_P(Gang, OneThatFailsEverywhere) {
+TEST_P(Gang, GangThatFailsOnEveryMachine) {
   World world(options());
   add_gangs(world, 3, 20);
-  UserJob bad = gang_job(world, 90, 5, 4, 20, 1);
-  bad.mistaken = true;
-  bad.cancel_at = 120;
-  world.submit(bad);
+  UserJob failing_gang = gang_job(world, 90, 5, 4, 20, 1);
+  failing_gang.mistaken = true;
+  failing_gang.cancel_at = 120;
+  world.submit(failing_gang);
 
   world.run_until(300);
 
@@ -462,11 +468,11 @@
 
 // Not accepted while a controller of the version before is known to live; then accepted by all.
 TEST_P(Gang, AreAcceptedOnceAllControllersCanRunThem) {
-  Options day = options();
-  day.earlier_version = true;
-  day.next_value_kb = 2;
-  day.next_txn_ops = 4;
-  World world(day);
+  Options sim_options = options();
+  sim_options.earlier_version = true;
+  sim_options.next_value_kb = 2;
+  sim_options.next_txn_ops = 4;
+  World world(sim_options);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2 + 2 * i, 8, 20));
   double accepted_at = 0;
   world.network.on_commit = [&](const std::string&, const Json& txn) {
@@ -476,11 +482,11 @@
   };
   for (int i = 0; i < 3; i++) world.at(30 + 10 * i, [&world, i] { world.nodes.upgrade(i, 2); });
   // (Users submit them only later. A node that is upgraded already says when to come back.)
-  int told_to_wait = 0;
-  world.at(36, [&world, &told_to_wait] {
+  int early_status = 0;
+  world.at(36, [&world, &early_status] {
     const UserJob early = gang_job(world, 90, 36, 4, 15);
     world.network.send("user", {client_address_of(0), "POST", "/v2/runs", dump_json(early.body), 5},
-                       [&told_to_wait](const HttpReply& reply) { told_to_wait = reply.status; });
+                       [&early_status](const HttpReply& reply) { early_status = reply.status; });
   });
   for (int i = 0; i < 4; i++) world.submit(gang_job(world, 95 + i, 70 + i, 4, 15));
   world.at(80, [&world] { world.state.lower_limits(2, 4, 20); });
@@ -490,7 +496,7 @@
   world.run_until(300);
 
   expect_kept(world);
-  EXPECT_EQ(told_to_wait, 503);
+  EXPECT_EQ(early_status, 503);
   EXPECT_GT(accepted_at, 60);
   for (const auto& [ref, job] : world.jobs) {
     if (job.submit_at > 60) {
@@ -500,10 +506,10 @@
 }
 
 // Not a gang: the failure of one task says nothing of the others.
-TEST_P(Gang, AnArrayGoesOnWhenSomeOfItsTasksFail) {
-  Options day = options();
-  day.loss = 0;
-  World world(day);
+TEST_P(Gang, ArrayContinuesWhenSomeTasksFail) {
+  Options sim_options = options();
+  sim_options.loss = 0;
+  World world(sim_options);
   UserJob job = plain_job(world, 1, 3, 90, 25, 2);
   const std::string ref = job.ref;
   world.submit(job);
@@ -529,7 +535,7 @@
   EXPECT_LE(starts, 90 + 16);  // two rounds of failures on a machine that holds eight
 }
 
-TEST(GangAttempt, AnArrayHasNone) {
+TEST(GangAttempt, OnlyGangAttemptsFail) {
   Job array;
   array.fail_attempt();
   EXPECT_FALSE(array.attempt.failed);
@@ -539,7 +545,7 @@
   EXPECT_TRUE(gang.attempt.failed);
 }
 
-TEST(GangAdmission, ItsTasksTogetherStayWithinTheTeamsLimit) {
+TEST(GangAdmission, WholeGangMustFitTheTeamLimit) {
   JobSpec spec;
   spec.is_gang = true;
   spec.team = "red";
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr double kSmallValues = 2;  // KiB
-constexpr int kSmallTransactions = 4;
+constexpr double kSmallValueKibibytes = 2;  // KiB
+constexpr int kSmallTransactionOperations = 4;
 
-class Limits : public ::testing::TestWithParam<int> {
+class StateLimits : public ::testing::TestWithParam<int> {
  protected:
   void SetUp() override { set_up_log(); }
   // Room for hundreds of small tasks, so that records grow large.
@@ -27,29 +27,29 @@
     out.market = 8;
     out.team_cpus = 150;
     out.team_max = 600;
-    out.next_value_kb = kSmallValues;
-    out.next_txn_ops = kSmallTransactions;
+    out.next_value_kb = kSmallValueKibibytes;
+    out.next_txn_ops = kSmallTransactionOperations;
     out.next_write_rps = 20;
     out.rate_limits = true;
     return out;
   }
-  static void add_many_tasks(World& world, double at, double run_s) {
-    for (int i = 0; i < 10; i++) world.submit(plain_job(world, i, at + 2 * i, 60, run_s, 1));
+  static void add_many_tasks(World& world, double first_submit_at, double run_s) {
+    for (int i = 0; i < 10; i++) world.submit(plain_job(world, i, first_submit_at + 2 * i, 60, run_s, 1));
   }
-  static void lower(World& world) {
-    world.state.lower_limits(kSmallValues, kSmallTransactions, world.options.next_write_rps);
+  static void lower_limits(World& world) {
+    world.state.lower_limits(kSmallValueKibibytes, kSmallTransactionOperations, world.options.next_write_rps);
   }
 };
 
-std::size_t largest_segment(const World& world) {
-  std::size_t most = 0;
+std::size_t largest_segment_bytes(const World& world) {
+  std::size_t largest_bytes = 0;
   for (const auto& [key, value] : world.state.values()) {
-    if (key.rfind("h/", 0) == 0) most = std::max(most, value.dump().size());
+    if (key.rfind("h/", 0) == 0) largest_bytes = std::max(largest_bytes, value.dump().size());
   }
-  return most;
+  return largest_bytes;
 }
 
-void put(World& world, const std::string& key, Json data) {
+void commit_record(World& world, const std::string& key, Json data) {
   Transaction txn;
   txn.put(key, std::move(data));
   world.state.handle("POST", "/commit", txn.body(), [](int status, const Json&) { EXPECT_EQ(status, 200); });
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-TEST(AdaptiveRate, FollowsRefusalsDownToTheAnnouncedRate) {
+TEST(AdaptiveRate, FallsToTheAnnouncedRateAfterRefusalAndRises) {
   AdaptiveRate rate(30, 21, 0);
   EXPECT_TRUE(rate.on_refusal(5));
   EXPECT_FALSE(rate.on_refusal(5.2));  // the same burst
@@ -68,18 +68,18 @@
   EXPECT_DOUBLE_EQ(rate.current_rps(), 30);
 }
 
-TEST(AdaptiveRate, StaysWhereNothingIsAnnounced) {
+TEST(AdaptiveRate, StaysWhenNoLowerRateIsAnnounced) {
   AdaptiveRate rate(30, 30, 0);
   EXPECT_FALSE(rate.on_refusal(5));
   EXPECT_DOUBLE_EQ(rate.current_rps(), 30);
 }
 
 // The smaller limits hold from the start, and take effect in the middle of a takeover.
-TEST_P(Limits, FallWhileAnOwnerIsReplaced) {
+TEST_P(StateLimits, AreLoweredDuringTakeover) {
   World world(options());
   add_many_tasks(world, 5, 40);
   world.at(60, [&world] { world.nodes.crash(1, 8); });
-  world.at(62, [&world] { lower(world); });
+  world.at(62, [&world] { lower_limits(world); });
   world.troubles_end = 75;
 
   world.run_until(330);
@@ -90,31 +90,31 @@
 
 // What the version before wrote is larger than what may be written later. It stays readable, and nothing in
 // it is lost while it is taken apart.
-TEST_P(Limits, SegmentsOfTheVersionBeforeAreTakenApart) {
-  Options day = options();
-  day.earlier_version = true;
-  World world(day);
+TEST_P(StateLimits, LargerSegmentsOfThePreviousVersionAreSplit) {
+  Options sim_options = options();
+  sim_options.earlier_version = true;
+  World world(sim_options);
   add_many_tasks(world, 2, 70);
-  std::size_t before = 0;
-  world.at(60, [&] { before = largest_segment(world); });
+  std::size_t largest_before_split_bytes = 0;
+  world.at(60, [&] { largest_before_split_bytes = largest_segment_bytes(world); });
   for (int i = 0; i < 3; i++) world.at(60 + 8 * i, [&world, i] { world.nodes.upgrade(i, 2); });
-  world.at(95, [&world] { lower(world); });
+  world.at(95, [&world] { lower_limits(world); });
   world.at(100, [&world] { world.nodes.crash(0, 0.3); });
   world.troubles_end = 110;
 
   world.run_until(420);
 
   expect_kept(world);
-  EXPECT_GT(before, static_cast<std::size_t>(1024 * kSmallValues));
+  EXPECT_GT(largest_before_split_bytes, static_cast<std::size_t>(1024 * kSmallValueKibibytes));
   EXPECT_EQ(world.state.too_large, 0);
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done) << ref;
 }
 
 // Processes of both versions end and come back while the journal segments change hands, and back.
-TEST_P(Limits, SegmentsGoToAndFroBetweenTheVersions) {
-  Options day = options();
-  day.earlier_version = true;
-  World world(day);
+TEST_P(StateLimits, SegmentsMoveBetweenVersionsInBothDirections) {
+  Options sim_options = options();
+  sim_options.earlier_version = true;
+  World world(sim_options);
   add_many_tasks(world, 2, 60);
   world.at(40, [&world] { world.nodes.upgrade(0, 1); });
   world.at(58, [&world] { world.nodes.crash(0, 9); });  // its shard goes to an old one, and comes back
@@ -132,15 +132,15 @@
 
 // Nothing was announced, and the service takes less all the same: writes are made smaller, and no shard is
 // given up over and over.
-TEST_P(Limits, FallWithoutAnyAnnouncement) {
-  Options day = options();
-  day.next_value_kb = 0;
-  day.next_txn_ops = 0;
-  day.next_write_rps = 0;
-  World world(day);
+TEST_P(StateLimits, AreLoweredWithoutAnnouncement) {
+  Options sim_options = options();
+  sim_options.next_value_kb = 0;
+  sim_options.next_txn_ops = 0;
+  sim_options.next_write_rps = 0;
+  World world(sim_options);
   world.state.may_be_too_large = true;
   add_many_tasks(world, 2, 60);
-  world.at(50, [&world] { world.state.lower_limits(kSmallValues, kSmallTransactions, 20); });
+  world.at(50, [&world] { world.state.lower_limits(kSmallValueKibibytes, kSmallTransactionOperations, 20); });
   world.troubles_end = 60;
 
   world.run_until(420);
@@ -151,29 +151,29 @@
 }
 
 // A hundred thousand tasks of which every other one is done: the completions fit no record of this size.
-TEST(LimitsOfRecords, ScatteredCompletionsOfAHugeJobAreKept) {
+TEST(RecordSizeLimits, ScatteredCompletionsOfHugeJobAreKept) {
   set_up_log();
-  Options day;
-  day.loss = 0;
-  day.nodes = 1;
-  day.page = 500;
-  day.next_value_kb = kSmallValues;
-  day.next_txn_ops = kSmallTransactions;
-  World world(day);
+  Options sim_options;
+  sim_options.loss = 0;
+  sim_options.nodes = 1;
+  sim_options.page = 500;
+  sim_options.next_value_kb = kSmallValueKibibytes;
+  sim_options.next_txn_ops = kSmallTransactionOperations;
+  World world(sim_options);
   UserJob job = plain_job(world, 1, 8, 100000, 30, 4);
   const std::string ref = job.ref;
   RangeSet done;
   world.at(6, [&] {
     JobRecord job_record;
-    std::string why;
-    job_record.spec = *parse_job(parse_json(dump_json(job.body)), why);
+    std::string reason;
+    job_record.spec = *parse_job(parse_json(dump_json(job.body)), reason);
     job_record.submitted_at = 1.7e9;
-    put(world, keys::job_record(0, ref), job_record.to_json());
+    commit_record(world, keys::job_record(0, ref), job_record.to_json());
     for (int chunk = 0; chunk * 512 < 100000; chunk++) {
       RangeSet scattered;
       for (int i = chunk * 512; i < std::min(100000, (chunk + 1) * 512); i += 2) scattered.insert(i);
       done.insert(scattered);
-      put(world, keys::progress_chunk(0, ref, chunk), {{"done", scattered.to_text()}});
+      commit_record(world, keys::progress_chunk(0, ref, chunk), {{"done", scattered.to_text()}});
     }
     for (int i = 0; i < 100000; i += 2) job.completed.insert(i);
     world.submit(job);
@@ -187,58 +187,60 @@
   EXPECT_GT(starts.size(), 20u);
   for (const auto& [index, count] : starts) EXPECT_EQ(index % 2, 1) << "done already, and started again";
   // What completed since is durable too, although no single record holds it all.
-  RangeSet kept;
+  RangeSet durable;
   for (const auto& [key, value] : world.state.values()) {
-    EXPECT_LE(value.dump().size(), 1024 * kSmallValues) << key;
-    if (key.rfind("d/0/", 0) == 0) kept.insert(*RangeSet::from_text(value["done"], 100000));
+    EXPECT_LE(value.dump().size(), 1024 * kSmallValueKibibytes) << key;
+    if (key.rfind("d/0/", 0) == 0) durable.insert(*RangeSet::from_text(value["done"], 100000));
     if (key.rfind("h/0/", 0) == 0 && value.contains("d") && value["d"].contains(ref))
-      kept.insert(*RangeSet::from_text(value["d"][ref], 100000));
+      durable.insert(*RangeSet::from_text(value["d"][ref], 100000));
   }
-  EXPECT_GT(kept.size(), done.size());
+  EXPECT_GT(durable.size(), done.size());
 }
 
 // More kinds of machine than one record of a rental can name are asked for in several steps.
-TEST(LimitsOfRecords, RentalsOfManyKinds) {
+TEST(RecordSizeLimits, RentalOfManyMachineTypesAndZonesIsSplit) {
   set_up_log();
-  Options day;
-  day.loss = 0;
-  day.market = 1;
-  day.zones.clear();
-  for (int i = 0; i < 30; i++) day.zones.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
-  day.team_max = 2000;
-  day.next_value_kb = 1;
-  day.next_txn_ops = 4;
-  day.cloud_rps = 50;
-  World world(day);
-  world.state.lower_limits(1, 4, day.write_rps);
+  Options sim_options;
+  sim_options.loss = 0;
+  sim_options.market = 1;
+  sim_options.zones.clear();
+  for (int i = 0; i < 30; i++)
+    sim_options.zones.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
+  sim_options.team_max = 2000;
+  sim_options.next_value_kb = 1;
+  sim_options.next_txn_ops = 4;
+  sim_options.cloud_rps = 50;
+  World world(sim_options);
+  world.state.lower_limits(1, 4, sim_options.write_rps);
   for (int i = 0; i < 4; i++) world.submit(plain_job(world, i, 3, 80, 15, 4));
-  std::size_t largest = 0;
-  world.network.on_commit = [&largest](const std::string&, const Json& txn) {
+  std::size_t largest_bytes = 0;
+  world.network.on_commit = [&largest_bytes](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
       if (change.contains("put") && change["put"].get<std::string>().rfind(keys::kRentals, 0) == 0)
-        largest = std::max(largest, change["data"].dump().size());
+        largest_bytes = std::max(largest_bytes, change["data"].dump().size());
     }
   };
 
   world.run_until(240);
 
   expect_kept(world);
-  EXPECT_GT(largest, 600u);
-  EXPECT_LE(largest, 1024u);
+  EXPECT_GT(largest_bytes, 600u);
+  EXPECT_LE(largest_bytes, 1024u);
   EXPECT_EQ(world.state.too_large, 0);
 }
 
 // The machine types fit no single record: a node that starts while the cloud is away finds them in several.
-TEST(LimitsOfRecords, MachineTypesInSeveralRecords) {
+TEST(RecordSizeLimits, MachineTypesAreReadFromSeveralRecords) {
   set_up_log();
-  Options day;
-  day.loss = 0;
-  day.zones.clear();
-  for (int i = 0; i < 20; i++) day.zones.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
-  day.next_value_kb = 1;
-  day.next_txn_ops = 4;
-  World world(day);
-  world.state.lower_limits(1, 4, day.write_rps);
+  Options sim_options;
+  sim_options.loss = 0;
+  sim_options.zones.clear();
+  for (int i = 0; i < 20; i++)
+    sim_options.zones.push_back("hall-with-a-name-of-some-length-" + std::to_string(i));
+  sim_options.next_value_kb = 1;
+  sim_options.next_txn_ops = 4;
+  World world(sim_options);
+  world.state.lower_limits(1, 4, sim_options.write_rps);
   world.submit(plain_job(world, 1, 3, 8, 15, 4));
   world.at(40, [&world] {
     world.cloud.outage = true;
@@ -255,7 +257,7 @@
 }
 
 // A list of machine types and a job's list of allowed types that fit no record.
-TEST(LimitsOfRecords, LongListsOfMachineTypes) {
+TEST(RecordSizeLimits, UnknownMachineTypesAreRemoved) {
   JobSpec spec;
   MachineTypes types =
       *MachineTypes::parse(parse_json(R"({"flavours":[{"name":"c4","cores":4,"memory_gb":16}]})"));
@@ -264,4 +266,4 @@
   EXPECT_EQ(*spec.machine_types, std::vector<std::string>{"c4"});
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Limits, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, StateLimits, ::testing::Range(1, 1 + seeds()));
--- a/tests/recovery_merge_test.cpp
+++ b/tests/recovery_merge_test.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-constexpr int kJobs = 6;
+constexpr int kJobCount = 6;
 constexpr int kTaskCount = 8;
-constexpr int kShards = 3;
+constexpr int kShardCount = 3;
 
-std::string name_of(int number) { return "job-" + std::to_string(1000 + number); }
+std::string job_name(int number) { return "job-" + std::to_string(1000 + number); }
 
-JobRecord job_record_of(int number) {
+JobRecord make_job_record(int number) {
   JobRecord job_record;
-  job_record.spec.ref = name_of(number);
+  job_record.spec.ref = job_name(number);
   job_record.spec.job_class = "w";
   job_record.spec.team = "red";
   job_record.spec.task_count = kTaskCount;
@@ -34,7 +34,7 @@
 JobEvidence draw_job(int number) {
   JobEvidence out;
   if (*rc::gen::arbitrary<bool>()) {
-    out.record = job_record_of(number);
+    out.record = make_job_record(number);
     out.record->cancelled = *rc::gen::arbitrary<bool>();
   }
   // A job ends in one way only.
@@ -46,7 +46,7 @@
   for (std::uint32_t task = 0; task < kTaskCount; task++) {
     const int state = *rc::gen::inRange(0, 5);
     if (state == 0) out.done.add(task);
-    if (state == 1) out.delegated[*rc::gen::inRange(0, kShards)].add(task);
+    if (state == 1) out.delegated[*rc::gen::inRange(0, kShardCount)].add(task);
     if (state == 2) {
       const int attempt = *rc::gen::inRange(1, 5);
       out.placements[static_cast<int>(task)] = {"host-" + std::to_string(attempt),
@@ -59,15 +59,15 @@
 
 Evidence draw_evidence() {
   Evidence out;
-  out.shards = kShards;
+  out.shards = kShardCount;
   out.highest_revision = *rc::gen::inRange<std::uint64_t>(0, 1000);
-  for (int shard = 0; shard < kShards; shard++) {
+  for (int shard = 0; shard < kShardCount; shard++) {
     if (*rc::gen::arbitrary<bool>())
       out.owners[shard] = {*rc::gen::inRange<std::uint64_t>(1, 9), *rc::gen::arbitrary<bool>(),
                            *rc::gen::arbitrary<bool>(), static_cast<double>(*rc::gen::inRange(-9, 9))};
   }
-  for (int number = 0; number < kJobs; number++) {
-    if (*rc::gen::arbitrary<bool>()) out.jobs[name_of(number)] = draw_job(number);
+  for (int number = 0; number < kJobCount; number++) {
+    if (*rc::gen::arbitrary<bool>()) out.jobs[job_name(number)] = draw_job(number);
   }
   for (int machine = 1; machine < 5; machine++) {
     MachineRecord record;
@@ -80,9 +80,9 @@
   return out;
 }
 
-std::string text_of(const Evidence& evidence) { return dump_json(evidence.to_json()); }
+std::string to_json_text(const Evidence& evidence) { return dump_json(evidence.to_json()); }
 
-Evidence merged(const std::vector<Evidence>& sources) {
+Evidence merge_all(const std::vector<Evidence>& sources) {
   Evidence out;
   for (const Evidence& source : sources) out.merge(source);
   return out;
@@ -90,8 +90,8 @@
 
 RebuildScope draw_scope() {
   RebuildScope out;
-  out.shards = kShards;
-  for (int shard = 0; shard < kShards; shard++) out.owner_covered.push_back(*rc::gen::arbitrary<bool>());
+  out.shards = kShardCount;
+  for (int shard = 0; shard < kShardCount; shard++) out.owner_covered.push_back(*rc::gen::arbitrary<bool>());
   out.nothing_runs = !out.covers_all_owners();
   return out;
 }
@@ -102,40 +102,40 @@
   const Evidence a = draw_evidence();
   const Evidence b = draw_evidence();
   const Evidence c = draw_evidence();
-  const std::string all = text_of(merged({a, b, c}));
-  RC_ASSERT(text_of(merged({c, a, b})) == all);
-  RC_ASSERT(text_of(merged({b, c, a, b, a})) == all);
-  RC_ASSERT(text_of(merged({merged({a, b}), merged({b, c})})) == all);
+  const std::string all = to_json_text(merge_all({a, b, c}));
+  RC_ASSERT(to_json_text(merge_all({c, a, b})) == all);
+  RC_ASSERT(to_json_text(merge_all({b, c, a, b, a})) == all);
+  RC_ASSERT(to_json_text(merge_all({merge_all({a, b}), merge_all({b, c})})) == all);
 }
 
-RC_GTEST_PROP(MergedEvidence, SurvivesTheWireInPieces, ()) {
+RC_GTEST_PROP(MergedEvidence, RoundTripsThroughJsonInChunks, ()) {
   const Evidence whole = draw_evidence();
-  const std::vector<Evidence> task_count =
+  const std::vector<Evidence> chunks =
       split_into_chunks(whole, static_cast<std::size_t>(*rc::gen::inRange(1, 5)));
   Evidence joined;
-  for (const Evidence& task : task_count) {
-    const auto read = Evidence::from_json(parse_json(text_of(task)));
-    RC_ASSERT(read.has_value());
-    joined.merge(*read);
+  for (const Evidence& chunk : chunks) {
+    const auto parsed = Evidence::from_json(parse_json(to_json_text(chunk)));
+    RC_ASSERT(parsed.has_value());
+    joined.merge(*parsed);
   }
-  RC_ASSERT(text_of(joined) == text_of(whole));
+  RC_ASSERT(to_json_text(joined) == to_json_text(whole));
 }
 
-RC_GTEST_PROP(MergedEvidence, UndoesNothingThatASourceKnows, ()) {
+RC_GTEST_PROP(MergedEvidence, PreservesWhatEverySourceReports, ()) {
   const std::vector<Evidence> sources = {draw_evidence(), draw_evidence(), draw_evidence()};
-  const Evidence all = merged(sources);
+  const Evidence all = merge_all(sources);
   const RebuildScope scope = draw_scope();
   for (const Evidence& source : sources) {
-    for (const auto& [ref, known] : source.jobs) {
+    for (const auto& [ref, reported] : source.jobs) {
       const JobOutcome outcome = derive_outcome(ref, all.jobs.at(ref), scope);
       // An ending stands; only what is placed of a cancelled job keeps it from being recorded as ended.
-      if (known.ending) {
+      if (reported.ending) {
         const bool stopping = outcome.kind == JobOutcome::Kind::kOpen && outcome.cancelled;
         RC_ASSERT(outcome.kind == JobOutcome::Kind::kEnded || stopping);
-        if (known.ending == JobPhase::kDone) RC_ASSERT(outcome.ending == JobPhase::kDone);
+        if (reported.ending == JobPhase::kDone) RC_ASSERT(outcome.ending == JobPhase::kDone);
       }
-      RC_ASSERT(known.done.isSubset(outcome.done));
-      if (known.record && known.record->cancelled && outcome.kind == JobOutcome::Kind::kOpen)
+      RC_ASSERT(reported.done.isSubset(outcome.done));
+      if (reported.record && reported.record->cancelled && outcome.kind == JobOutcome::Kind::kOpen)
         RC_ASSERT(outcome.cancelled);
     }
   }
@@ -143,20 +143,20 @@
 
 // What is neither done nor placed nor held starts again: so nothing that may run or may have completed is
 // among it.
-RC_GTEST_PROP(MergedEvidence, StartsNothingAgainThatMayRunOrHaveCompleted, ()) {
-  const Evidence all = merged({draw_evidence(), draw_evidence()});
+RC_GTEST_PROP(MergedEvidence, DoesNotRestartTasksThatMayRunOrHaveCompleted, ()) {
+  const Evidence all = merge_all({draw_evidence(), draw_evidence()});
   const RebuildScope scope = draw_scope();
   for (const auto& [ref, job] : all.jobs) {
     const JobOutcome outcome = derive_outcome(ref, job, scope);
     if (outcome.kind != JobOutcome::Kind::kOpen || outcome.cancelled) continue;
-    const bool home_owner_covered = scope.owner_covered[static_cast<std::size_t>(shard_of(ref, kShards))];
+    const bool home_owner_covered = scope.owner_covered[static_cast<std::size_t>(shard_of(ref, kShardCount))];
     for (std::uint32_t task = 0; task < kTaskCount; task++) {
       const bool placed = outcome.placements.count(static_cast<int>(task)) > 0;
-      const int ways =
+      const int record_count =
           (placed ? 1 : 0) + (outcome.held.contains(task) ? 1 : 0) + (outcome.done.contains(task) ? 1 : 0);
-      RC_ASSERT(ways <= 1);
-      const bool starts = ways == 0;
-      if (!starts) continue;
+      RC_ASSERT(record_count <= 1);
+      const bool is_restarted = record_count == 0;
+      if (!is_restarted) continue;
       RC_ASSERT(home_owner_covered);
       RC_ASSERT(!job.may_have_ended);
       RC_ASSERT(job.open_at_owner || job.recently_accepted);
@@ -168,36 +168,36 @@
 }
 
 // Every placed task is on one page, in its machine's shard, and its team may use what it uses.
-RC_GTEST_PROP(RebuiltRecords, HoldEveryPlacementOnceAndWithinItsTeamsLimit, ()) {
+RC_GTEST_PROP(RebuiltRecords, HoldEveryPlacementOnceWithinTheTeamLimit, ()) {
   Settings settings;
   settings.value_kb = 1;
-  settings.teams = {{"red", 8, kJobs * kTaskCount, 0, 0}};
-  const Evidence all = merged({draw_evidence(), draw_evidence()});
+  settings.teams = {{"red", 8, kJobCount * kTaskCount, 0, 0}};
+  const Evidence all = merge_all({draw_evidence(), draw_evidence()});
   RebuildScope scope;
-  scope.shards = kShards;
-  scope.owner_covered.assign(kShards, true);
+  scope.shards = kShardCount;
+  scope.owner_covered.assign(kShardCount, true);
   const RebuiltRecords records = rebuild_records(all, scope, {}, settings);
   int placed = 0;
-  double shared_out = 0;
+  double quota_cores = 0;
   for (const RecordWrite& record : records.other_records) {
     RC_ASSERT(dump_json(record.data).size() <= 1024);
     if (record.key.rfind(keys::kQuotaSplits, 0) == 0) {
-      for (const Json& cores : record.data["c"]) shared_out += cores.get<double>();
+      for (const Json& cores : record.data["c"]) quota_cores += cores.get<double>();
     }
     if (record.key.rfind("h/", 0) != 0) continue;
     const auto segment = SegmentRecord::from_json(record.data);
     RC_ASSERT(segment.has_value());
     for (const auto& [name, machine] : segment->machines) {
       placed += static_cast<int>(machine.placements.size());
-      RC_ASSERT(record.key.rfind(keys::segments(shard_of(name, kShards)), 0) == 0);
+      RC_ASSERT(record.key.rfind(keys::segments(shard_of(name, kShardCount)), 0) == 0);
     }
   }
   RC_ASSERT(placed == records.counts.placed_tasks);
   // (Without a record a limit is split evenly.)
-  RC_ASSERT(shared_out == kJobs * kTaskCount || (shared_out == 0 && placed == 0));
+  RC_ASSERT(quota_cores == kJobCount * kTaskCount || (quota_cores == 0 && placed == 0));
 }
 
-TEST(LossDetector, IsNotMisledByWhatIsOnlyLate) {
+TEST(LossDetector, IgnoresDelayedAnswers) {
   int losses = 0;
   LossDetector detector(0, [&losses](const std::string&) { losses++; });
   detector.on_revision(0, 10);
@@ -240,7 +240,7 @@
   EXPECT_EQ(answer["items"][0]["stamp"], 1004);
 }
 
-TEST(Incarnation, MetaOfAFirstIncarnationIsAsEarlierVersionsWriteItAndOthersTheyLeaveAlone) {
+TEST(Incarnation, OnlyTheFirstMetaHasTheFormThatEarlierVersionsWrite) {
   MetaRecord meta;
   meta.shards = 3;
   EXPECT_EQ(meta.to_json(), (Json{{"parts", 3}, {"form", 2}}));
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -12,36 +12,37 @@
 namespace {
 
 // By then a rebuilding is over that had to wait until nothing ran.
-constexpr double kOperatorAfter = 80;  // seconds
+constexpr double kOperatorDelaySeconds = 80;  // seconds
 // For all of an operator's decisions.
-constexpr double kDecisionsTake = 30;  // seconds
+constexpr double kDecisionsDurationSeconds = 30;  // seconds
 
 // Gives, once it has happened, how many revisions were lost. (Nothing may have changed since the copy was
 // made.)
-std::shared_ptr<std::uint64_t> set_back(World& world, double copied_at, double lost_at, bool leases = true) {
+std::shared_ptr<std::uint64_t> restore_earlier_copy(World& world, double copied_at, double lost_at,
+                                                    bool leases = true) {
   auto copy = std::make_shared<StateService::Copy>();
-  auto lost = std::make_shared<std::uint64_t>(0);
+  auto lost_revisions = std::make_shared<std::uint64_t>(0);
   world.at(copied_at, [&world, copy] { *copy = world.state.copy(); });
-  world.at(lost_at, [&world, copy, lost, leases] {
-    *lost = world.state.copy().revision - copy->revision;
+  world.at(lost_at, [&world, copy, lost_revisions, leases] {
+    *lost_revisions = world.state.copy().revision - copy->revision;
     if (!leases) copy->leases.clear();
     world.state.restore(*copy);
   });
-  return lost;
+  return lost_revisions;
 }
 
 // Tasks start all the time until long after the loss: workers show some that the surviving records do not
 // know.
-void add_witnesses(World& world) { world.submit(plain_job(world, 90, 44, 110, 8)); }
+void add_job_across_loss(World& world) { world.submit(plain_job(world, 90, 44, 110, 8)); }
 
-Json stored(const World& world, const std::string& key) {
+Json stored_value(const World& world, const std::string& key) {
   const auto found = world.state.values().find(key);
   return found == world.state.values().end() ? Json() : found->second;
 }
 
 // Looks at what is listed as unaccounted and decides by what the world knows: jobs that have completed are
 // done, the others run again. Repeats itself until the list is empty.
-void decide_as_operator(World& world) {
+void resolve_unaccounted_jobs(World& world) {
   const int node = some_node(world);
   world.network.send(
       "operator", {peer_address_of(node), "GET", "/ops/recovery/unaccounted", "", 2.0},
@@ -59,10 +60,10 @@
               [](const HttpReply&) {});
         }
       });
-  world.in(5, [&world] { decide_as_operator(world); });
+  world.in(5, [&world] { resolve_unaccounted_jobs(world); });
 }
 
-class LostState : public ::testing::TestWithParam<int> {
+class StateLoss : public ::testing::TestWithParam<int> {
  protected:
   void SetUp() override { set_up_log(); }
   static Options options() {
@@ -73,28 +74,29 @@
     return out;
   }
   // All serve the same incarnation, which is at least this one.
-  static void expect_incarnation(const World& world, int least) {
+  static void expect_incarnation(const World& world, int min_number) {
     for (const auto& process : world.nodes) {
       ASSERT_TRUE(process.node);
       EXPECT_TRUE(process.node->serving());
-      EXPECT_GE(process.node->incarnation().number, least);
+      EXPECT_GE(process.node->incarnation().number, min_number);
       EXPECT_EQ(process.node->incarnation(), world.nodes.front().node->incarnation());
     }
   }
   // An operator decides from `decides_at` on about what is listed as unaccounted; half a minute later the
   // troubles are over. What is then expected of the day's end.
-  static void end_with_operator(World& world, double decides_at, double ends_at, int least_incarnation) {
-    world.troubles_end = decides_at + kDecisionsTake;
-    world.at(decides_at, [&world] { decide_as_operator(world); });
+  static void run_with_operator(World& world, double operator_starts_at, double ends_at,
+                                int min_incarnation) {
+    world.troubles_end = operator_starts_at + kDecisionsDurationSeconds;
+    world.at(operator_starts_at, [&world] { resolve_unaccounted_jobs(world); });
     world.run_until(ends_at);
     expect_kept(world);
-    expect_incarnation(world, least_incarnation);
+    expect_incarnation(world, min_incarnation);
   }
 };
 
 }  // namespace
 
-TEST_P(LostState, NothingIsTakenForLossOnAnOrdinaryDayWithTroubles) {
+TEST_P(StateLoss, OutagesAndCrashesAreNotTakenForStateLoss) {
   World world(options());
   add_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 35) {
@@ -112,7 +114,7 @@
   EXPECT_TRUE(world.nodes.front().node->incarnation().is_first());
 }
 
-TEST_P(LostState, TheStoreIsEmptiedWhileAllControllersLive) {
+TEST_P(StateLoss, StateIsEmptiedWhileAllControllersRun) {
   World world(options());
   add_jobs(world, 2, 120);
   world.at(world.uniform(30, 90), [&world] { world.state.empty(); });
@@ -127,146 +129,147 @@
 
 // The copy that is restored is as old as a day's backup would be on this scale: jobs were accepted, begun,
 // ended and cancelled since.
-TEST_P(LostState, TheStoreIsSetBackWhileAllControllersLive) {
+TEST_P(StateLoss, EarlierStateIsRestoredWhileAllControllersRun) {
   World world(options());
   add_jobs(world, 2, 120);
-  const double loss = world.uniform(40, 90);
-  const auto lost = set_back(world, loss - world.uniform(0.2, 30), loss);
-  world.troubles_end = loss + 40;
+  const double loss_at = world.uniform(40, 90);
+  const auto lost_revisions = restore_earlier_copy(world, loss_at - world.uniform(0.2, 30), loss_at);
+  world.troubles_end = loss_at + 40;
 
   world.run_until(500);
 
   expect_kept(world);
-  expect_incarnation(world, *lost > 0 ? 2 : 1);
+  expect_incarnation(world, *lost_revisions > 0 ? 2 : 1);
 }
 
-TEST_P(LostState, TheStoreIsSetBackAndForgetsLeases) {
+TEST_P(StateLoss, EarlierStateIsRestoredWithoutLeases) {
   World world(options());
   add_jobs(world, 2, 120);
-  const double loss = world.uniform(40, 90);
-  const auto lost = set_back(world, loss - world.uniform(0.2, 30), loss, false);
-  world.troubles_end = loss + 40;
+  const double loss_at = world.uniform(40, 90);
+  const auto lost_revisions = restore_earlier_copy(world, loss_at - world.uniform(0.2, 30), loss_at, false);
+  world.troubles_end = loss_at + 40;
 
   world.run_until(500);
 
   expect_kept(world);
-  expect_incarnation(world, *lost > 0 ? 2 : 1);
+  expect_incarnation(world, *lost_revisions > 0 ? 2 : 1);
 }
 
-TEST_P(LostState, TheStoreIsSetBackDuringAnOutage) {
+TEST_P(StateLoss, EarlierStateIsRestoredDuringOutage) {
   World world(options());
   add_jobs(world, 2, 120);
-  const double loss = world.uniform(50, 80);
-  const auto lost = set_back(world, loss - world.uniform(1, 30), loss, false);
-  world.at(loss - world.uniform(1, 10), [&world] { world.state.set_outage(true); });
-  world.at(loss + world.uniform(1, 10), [&world] { world.state.set_outage(false); });
-  world.troubles_end = loss + 60;
+  const double loss_at = world.uniform(50, 80);
+  const auto lost_revisions = restore_earlier_copy(world, loss_at - world.uniform(1, 30), loss_at, false);
+  world.at(loss_at - world.uniform(1, 10), [&world] { world.state.set_outage(true); });
+  world.at(loss_at + world.uniform(1, 10), [&world] { world.state.set_outage(false); });
+  world.troubles_end = loss_at + 60;
 
   world.run_until(500);
 
   expect_kept(world);
-  expect_incarnation(world, *lost > 0 ? 2 : 1);
+  expect_incarnation(world, *lost_revisions > 0 ? 2 : 1);
 }
 
-TEST_P(LostState, AllControllersEndAtOnceRightAfterTheLoss) {
+TEST_P(StateLoss, AllControllersCrashRightAfterStateLoss) {
   World world(options());
   add_jobs(world, 2, 40);
-  add_witnesses(world);
-  const double loss = world.uniform(60, 80);
-  set_back(world, 55, loss);
-  world.at(loss, [&world] {
+  add_job_across_loss(world);
+  const double loss_at = world.uniform(60, 80);
+  restore_earlier_copy(world, 55, loss_at);
+  world.at(loss_at, [&world] {
     for (int node = 0; node < world.options.nodes; node++) world.nodes.crash(node, world.uniform(0.2, 8));
   });
 
-  end_with_operator(world, loss + kOperatorAfter, 600, 2);
+  run_with_operator(world, loss_at + kOperatorDelaySeconds, 600, 2);
 }
 
 // A controller ends at the moment of the loss, and some machines are silent: what runs there goes on until
 // their leases are over. (Without waiting for that, tasks were started elsewhere while they ran there.)
-TEST_P(LostState, AControllerEndsAtTheMomentOfTheLossAndMachinesAreSilent) {
+TEST_P(StateLoss, ControllerCrashesAtStateLossWhileMachinesAreUnreachable) {
   World world(options());
   add_jobs(world, 2, 40);
-  add_witnesses(world);
+  add_job_across_loss(world);
   world.submit(plain_job(world, 91, 45, 8, 70));
-  const double loss = world.uniform(60, 70);
-  set_back(world, 55, loss);
-  world.at(loss - 0.5, [&world] {
+  const double loss_at = world.uniform(60, 70);
+  restore_earlier_copy(world, 55, loss_at);
+  world.at(loss_at - 0.5, [&world] {
     for (const auto& [name, worker] : world.workers) {
       if (!worker->tasks.empty()) world.network.cut_off(name);
     }
   });
-  world.at(loss + 40, [&world] { world.network.cuts.clear(); });
-  world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 3)); });
+  world.at(loss_at + 40, [&world] { world.network.cuts.clear(); });
+  world.at(loss_at, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 3)); });
 
-  end_with_operator(world, loss + kOperatorAfter, 600, 2);
+  run_with_operator(world, loss_at + kOperatorDelaySeconds, 600, 2);
 }
 
-TEST_P(LostState, AControllerEndsAtTheMomentOfTheLoss) {
+TEST_P(StateLoss, ControllerCrashesAtStateLoss) {
   World world(options());
   add_jobs(world, 2, 40);
-  add_witnesses(world);
-  const double loss = world.uniform(60, 80);
-  set_back(world, 55, loss);
-  world.at(loss, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 20)); });
+  add_job_across_loss(world);
+  const double loss_at = world.uniform(60, 80);
+  restore_earlier_copy(world, 55, loss_at);
+  world.at(loss_at, [&world] { world.nodes.crash(some_node(world), world.uniform(0.2, 20)); });
 
-  end_with_operator(world, loss + kOperatorAfter, 600, 2);
+  run_with_operator(world, loss_at + kOperatorDelaySeconds, 600, 2);
 }
 
 // Whoever leads the rebuilding ends, at any step of it, and so does the next.
-TEST_P(LostState, LeadersOfTheRebuildingEnd) {
+TEST_P(StateLoss, RebuildLeadersCrash) {
   World world(options());
   add_jobs(world, 2, 40);
-  add_witnesses(world);
-  const double loss = world.uniform(60, 80);
-  set_back(world, 55, loss);
-  for (double t = loss + 1; t < loss + 60; t += world.uniform(1, 25)) {
+  add_job_across_loss(world);
+  const double loss_at = world.uniform(60, 80);
+  restore_earlier_copy(world, 55, loss_at);
+  for (double t = loss_at + 1; t < loss_at + 60; t += world.uniform(1, 25)) {
     world.at(t, [&world] {
-      const Json leader = stored(world, recovery::kLeaderKey);
+      const Json rebuild_leader = stored_value(world, recovery::kLeaderKey);
       for (int node = 0; node < world.options.nodes; node++) {
-        if (leader.is_object() && leader["node"] == node_name(node))
+        if (rebuild_leader.is_object() && rebuild_leader["node"] == node_name(node))
           world.nodes.crash(node, world.uniform(0.3, 8));
       }
     });
   }
 
-  end_with_operator(world, loss + 60 + kOperatorAfter, 700, 2);
+  run_with_operator(world, loss_at + 60 + kOperatorDelaySeconds, 700, 2);
 }
 
-TEST_P(LostState, StateIsLostAgainDuringTheRebuilding) {
+TEST_P(StateLoss, StateIsLostAgainDuringRebuild) {
   World world(options());
   add_jobs(world, 2, 120);
-  const double loss = world.uniform(40, 90);
-  world.at(loss, [&world] { world.state.empty(); });
-  world.at(loss + world.uniform(0.5, 4), [&world] { world.state.empty(); });
-  world.at(loss + world.uniform(20, 60), [&world] { world.state.empty(); });
+  const double loss_at = world.uniform(40, 90);
+  world.at(loss_at, [&world] { world.state.empty(); });
+  world.at(loss_at + world.uniform(0.5, 4), [&world] { world.state.empty(); });
+  world.at(loss_at + world.uniform(20, 60), [&world] { world.state.empty(); });
   // (A shard whose new owner had not read its records yet when they were lost again is not known in full.)
 
-  end_with_operator(world, loss + 60 + kOperatorAfter, 500, 3);
+  run_with_operator(world, loss_at + 60 + kOperatorDelaySeconds, 500, 3);
 }
 
 // One controller has its workers and users only: it has not noticed the loss, and is heard too late.
-TEST_P(LostState, AControllerIsCutOffAlongTheWholeRebuilding) {
+TEST_P(StateLoss, ControllerIsPartitionedThroughoutRebuild) {
   World world(options());
   add_jobs(world, 2, 40);
-  add_witnesses(world);
-  const double loss = world.uniform(60, 80);
-  const int cut = some_node(world);
-  set_back(world, 50, loss);
-  world.at(loss - world.uniform(0, 4), [&world, cut] { world.network.cut_node(cut, true); });
-  world.at(loss + 80, [&world] { world.network.mend_nodes(); });
-
-  end_with_operator(world, loss + 80 + kOperatorAfter, 700, 2);
+  add_job_across_loss(world);
+  const double loss_at = world.uniform(60, 80);
+  const int partitioned_node = some_node(world);
+  restore_earlier_copy(world, 50, loss_at);
+  world.at(loss_at - world.uniform(0, 4),
+           [&world, partitioned_node] { world.network.cut_node(partitioned_node, true); });
+  world.at(loss_at + 80, [&world] { world.network.mend_nodes(); });
+
+  run_with_operator(world, loss_at + 80 + kOperatorDelaySeconds, 700, 2);
 }
 
-TEST_P(LostState, MachinesHangAndAreSilentAndMessagesAndWritesComeLate) {
-  Options day = options();
-  day.copies = 0.05;
-  day.late_writes = 0.05;
-  day.state_copies = 0.05;
-  World world(day);
+TEST_P(StateLoss, MachinesHangOrAreUnreachableAndMessagesAndWritesAreDelayed) {
+  Options sim_options = options();
+  sim_options.copies = 0.05;
+  sim_options.late_writes = 0.05;
+  sim_options.state_copies = 0.05;
+  World world(sim_options);
   add_jobs(world, 2, 120);
-  const double loss = world.uniform(40, 90);
-  for (double t = loss - 15; t < loss + 15; t += world.uniform(2, 6)) {
+  const double loss_at = world.uniform(40, 90);
+  for (double t = loss_at - 15; t < loss_at + 15; t += world.uniform(2, 6)) {
     world.at(t, [&world] {
       if (Worker* worker = some_worker(world); worker != nullptr) {
         if (world.rng() % 2 == 0) {
@@ -279,25 +282,26 @@
       }
     });
   }
-  const auto lost = set_back(world, loss - world.uniform(1, 20), loss, world.rng() % 2 == 0);
-  world.at(loss + kOperatorAfter + 30, [&world] { decide_as_operator(world); });
-  world.troubles_end = loss + kOperatorAfter + 60;
+  const auto lost_revisions =
+      restore_earlier_copy(world, loss_at - world.uniform(1, 20), loss_at, world.rng() % 2 == 0);
+  world.at(loss_at + kOperatorDelaySeconds + 30, [&world] { resolve_unaccounted_jobs(world); });
+  world.troubles_end = loss_at + kOperatorDelaySeconds + 60;
 
   world.run_until(600);
 
   expect_kept(world);
-  expect_incarnation(world, *lost > 0 ? 2 : 1);
+  expect_incarnation(world, *lost_revisions > 0 ? 2 : 1);
 }
 
 // As the version in production does, which knows one form of `meta` only, from the moment when a rebuilding
 // begins.
-TEST(WithoutRecovery, RecordsThatAreOrWereRebuiltAreLeftAlone) {
-  for (const int begun : {2, 3}) {
+TEST(RecoveryDisabled, RecordsOfRebuildsAreNotModified) {
+  for (const int rebuild_number : {2, 3}) {
     World world(Options{});
     MetaRecord meta;
     meta.shards = 3;
     meta.incarnation = {2, "r/2-1/", 1000, {""}};
-    meta.rebuild_number = begun;
+    meta.rebuild_number = rebuild_number;
     const Json put = {{"put", "meta"}, {"data", meta.to_json()}};
     const Json transaction = {{"guards", Json::array()}, {"then", Json::array({put})}};
     world.state.handle("POST", "/commit", dump_json(transaction), [](int, const Json&) {});
@@ -305,8 +309,8 @@
     world.run_until(60);
     // They say that they live and what the cloud offers, and nothing else.
     for (const auto& [key, value] : world.state.values()) {
-      const bool harmless = key == "meta" || key == "types" || key.rfind("parts/@", 0) == 0;
-      EXPECT_TRUE(harmless) << key;
+      const bool is_expected_key = key == "meta" || key == "types" || key.rfind("parts/@", 0) == 0;
+      EXPECT_TRUE(is_expected_key) << key;
     }
     EXPECT_EQ(world.state.values().at("meta"), meta.to_json());
     EXPECT_EQ(world.cloud.rented, 0);
@@ -315,4 +319,4 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, LostState, ::testing::Range(1, 1 + seeds()));
+INSTANTIATE_TEST_SUITE_P(Seeds, StateLoss, ::testing::Range(1, 1 + seeds()));
