--- a/tests/gang_places_test.cpp
+++ b/tests/gang_places_test.cpp
@@ -1,4 +1,4 @@
-// Where the tasks of a gang can start all at once (scheduling/gang.hpp).
+// Tests of the search for machines on which all tasks of a gang can start at once (scheduling/gang.hpp).
 #include <gtest/gtest.h>
 
 #include "scheduling/gang.hpp"
@@ -50,7 +50,7 @@
   const auto shares = find_gang_places(needs, {machine(16, 1), machine(1, 2), machine(1, 2)});
   ASSERT_EQ(total_tasks(shares), 5);
   for (const GangShare& share : shares) EXPECT_LE(share.tasks, 3);
-  // What is placed already counts.
+  // Tasks that are already placed count.
   needs.tasks = 2;
   needs.placed_by_zone = {{1, 3}};
   for (const GangShare& share : find_gang_places(needs, {machine(16, 1), machine(2, 2)}))
@@ -77,14 +77,17 @@
 TEST(GangPlaces, SlowestImageFetchDecides) {
   const auto on_cached_machines =
       find_gang_places(gang_needs(4, 2), {machine(32, 0, 5), machine(4), machine(4)});
-  EXPECT_EQ(on_cached_machines.size(), 2u);  // two that have it start earlier than one that has not
+  EXPECT_EQ(on_cached_machines.size(),
+            2u);  // Two machines that have the image start earlier than one that must fetch it.
   const auto on_one_machine = find_gang_places(gang_needs(4, 2), {machine(32, 0, 5), machine(4)});
-  ASSERT_EQ(on_one_machine.size(), 1u);  // no start before 5 s: then on one machine
+  ASSERT_EQ(on_one_machine.size(),
+            1u);  // The gang cannot start before 5 s in any case, so one machine is best.
   EXPECT_EQ(on_one_machine[0].machine, 0u);
 }
 
 TEST(GangPlaces, SlotsAreLimitedByMemoryAndAccelerators) {
   EXPECT_EQ(slots({8, 3, 0}, {1, 1, 0}), 3);
   EXPECT_EQ(slots({8, 64, 2}, {1, 1, 1}), 2);
-  EXPECT_EQ(slots({0.3, 1, 0}, {0.1, 0, 0}), 3);  // sums of fractions come out a hair off
+  EXPECT_EQ(slots({0.3, 1, 0}, {0.1, 0, 0}),
+            3);  // Rounding errors in sums of fractions must not cost a slot.
 }
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,6 +1,6 @@
-// Gangs in the simulated cluster: their tasks start together or not at all, whatever happens meanwhile. The
-// machines play the protocol's rules for gangs (sim/gangs.hpp); the rules of the cluster are checked all the
-// time.
+// Tests of gangs in the simulated cluster: the tasks of a gang start together or not at all, also under
+// faults. The simulated machines follow the protocol's rules for gangs (sim/gangs.hpp). The rules of the
+// cluster are checked throughout each test.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -25,7 +25,7 @@
     out.team_max = 120;
     return out;
   }
-  // A few of each size, among arrays.
+  // Submits gangs of several sizes, and arrays among them.
   static void add_gangs(World& world, double from, double run_s) {
     const int sizes[] = {2, 3, 4, 6, 8};
     for (int i = 0; i < 8; i++)
@@ -38,7 +38,8 @@
   }
 };
 
-// A machine with a task of a gang in this phase, and where `apart` of one that is spread over machines.
+// Finds a machine with a gang task in this phase. With `is_spread`, the gang must be spread over several
+// machines.
 Worker* find_member(World& world, const std::string& phase, bool is_spread = false) {
   for (auto& [name, worker] : world.workers) {
     if (worker->dead || worker->hung) continue;
@@ -52,14 +53,14 @@
   return nullptr;
 }
 
-// Does it as soon as there is such a machine.
+// Applies `action` to the machine that find_member finds, as soon as there is one.
 void on_member_in_phase(World& world, const std::string& phase, bool is_spread,
                         const std::function<void(Worker&)>& action) {
   if (Worker* worker = find_member(world, phase, is_spread)) return action(*worker);
   world.in(0.05, [&world, phase, is_spread, action] { on_member_in_phase(world, phase, is_spread, action); });
 }
 
-// The cloud takes the machine away.
+// The cloud gives an eviction notice and removes the machine after `notice_s`.
 void evict_machine(World& world, Worker& worker, double notice_s) {
   worker.eviction_notice_s = notice_s;
   worker.note_change();
@@ -71,7 +72,7 @@
     if (!change.contains("put") || change["put"].get<std::string>().rfind("h/", 0) != 0) continue;
     for (const auto& [machine_name, record] : change["data"]["m"].items()) {
       for (const auto& [ref, tasks] : record["p"].items()) {
-        // Two tasks with one attempt number.
+        // Two tasks with the same attempt number belong to a gang.
         for (std::size_t i = 1; i + 2 < tasks.size(); i += 2) {
           if (tasks[i] == tasks[i + 2]) return true;
         }
@@ -81,7 +82,8 @@
   return false;
 }
 
-// Gives how many machines hold members of the gang; the first two are taken away.
+// Evicts the first two machines that hold members of the gang. Returns the number of machines that hold
+// members.
 int evict_two_members(World& world, const std::string& ref) {
   int members = 0;
   for (auto& [name, worker] : world.workers) {
@@ -113,7 +115,8 @@
   EXPECT_EQ(world.gangs.alone, 0);
 }
 
-// The others wait, and a replacement with the same attempt number completes the gang.
+// If a task is lost before the gang starts, the other tasks wait, and a replacement with the same attempt
+// number completes the gang.
 TEST_P(Gang, TaskLostBeforeTheStartIsReplaced) {
   Options sim_options = options();
   sim_options.loss = 0;
@@ -145,7 +148,8 @@
   EXPECT_GT(world.gangs.failures, 0);
 }
 
-// Waiting, running: what hangs stays on its machine until its lease is over, and no attempt begins before.
+// The tasks of a hung machine, waiting or running, stay on it until its lease expires. No new attempt may
+// begin before that.
 TEST_P(Gang, MachinesHang) {
   World world(options());
   add_gangs(world, 3, 40);
@@ -190,7 +194,8 @@
   expect_all_done(world);
 }
 
-// Two members are told in the same second: one decision, durable first, and all are told in time.
+// Two members receive an eviction notice in the same second. Only one decision to stop the gang is made, it
+// is durable before any member is stopped, and all members are stopped in time.
 TEST_P(Gang, EvictionNoticesToTwoMembersInTheSameSecond) {
   Options sim_options = options();
   sim_options.loss = 0;
@@ -219,12 +224,13 @@
   EXPECT_EQ(stopped_without_record, 0);
 }
 
-// The owner ends as the decision becomes durable; a stop half told is gone on with.
+// The owner crashes when the decision to stop the gang becomes durable. A stop that only some members have
+// received must be completed.
 TEST_P(Gang, OwnerCrashesDuringStop) {
   Options sim_options = options();
   sim_options.market = 12;
   World world(sim_options);
-  world.submit(gang_job(world, 90, 3, 8, 80, 4));  // on two machines at the least
+  world.submit(gang_job(world, 90, 3, 8, 80, 4));  // The gang needs at least two machines.
   add_gangs(world, 3, 60);
   bool has_crashed = false;
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
@@ -244,7 +250,7 @@
   EXPECT_TRUE(has_crashed);
 }
 
-// The shard is handed back, and the limits of the state service fall, while the gang is being stopped.
+// While the gang is being stopped, the shard is handed back and the limits of the state service are lowered.
 TEST_P(Gang, ShardIsHandedBackDuringStop) {
   Options sim_options = options();
   sim_options.market = 12;
@@ -254,7 +260,7 @@
   const UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   world.submit(job);
   add_gangs(world, 3, 60);
-  // The node that it belongs to is away, and comes back: 15 s later the shard is handed back to it.
+  // The home node of the gang crashes and restarts. The shard is handed back to it 15 s after the restart.
   const int home_node = shard_of(job.ref, world.options.nodes);
   world.at(50, [&world, home_node] { world.nodes.crash(home_node, 5); });
   bool handed_back = false;
@@ -278,7 +284,7 @@
   EXPECT_EQ(world.state.too_large, 0);
 }
 
-// Between the durable write and the launches, and with the answer to that write lost.
+// The owner crashes after the placements are durable and before the tasks are launched.
 TEST_P(Gang, OwnerCrashesAfterPlacementWrite) {
   World world(options());
   add_gangs(world, 20, 20);
@@ -310,7 +316,8 @@
   EXPECT_GT(placement_writes, 0);
 }
 
-// Old copies of reports, also of earlier attempts, and transactions that are carried out late.
+// Old copies of reports arrive late, some of them from earlier attempts, and some transactions are carried
+// out late.
 TEST_P(Gang, DuplicateReportsAndDelayedWrites) {
   Options sim_options = options();
   sim_options.copies = 0.15;
@@ -372,7 +379,7 @@
   expect_all_done(world);
 }
 
-// A zone with some members is cut off; they go on under the old lease.
+// A network partition separates a machine with some members. They continue to run under the old lease.
 TEST_P(Gang, MembersArePartitioned) {
   World world(options());
   add_gangs(world, 3, 40);
@@ -382,14 +389,15 @@
   });
   world.at(50, [&world] { world.nodes.crash(some_node(world), 0.3); });
   world.at(85, [&world] { world.network.mend_nodes(); });
-  world.troubles_end = 150;  // what was held back arrives up to a minute later
+  world.troubles_end = 150;  // Messages that were held back arrive up to 60 s later.
 
   world.run_until(420);
 
   expect_all_done(world);
 }
 
-// Small tasks take every bit of room as it comes free; it is kept for the gang all the same.
+// Small tasks use all capacity as soon as it becomes free. Capacity must nevertheless be reserved for the
+// gang, so that it does not starve.
 TEST_P(Gang, CapacityIsReservedAmongSmallTasks) {
   Options sim_options = options();
   sim_options.market = 2;
@@ -415,7 +423,7 @@
   EXPECT_LT(gang_result.first_start - gang_result.submit_at, 90);
 }
 
-// Two that each need more than half of all room do not hold half of it each.
+// Two gangs that each need more than half of the capacity must not each hold half of it and block each other.
 TEST_P(Gang, CompetingGangsDoNotDeadlock) {
   Options sim_options = options();
   sim_options.market = 1;
@@ -433,11 +441,11 @@
   expect_all_done(world);
 }
 
-// More than one shard's share of the team's limit: it is gathered.
+// A gang needs more than one shard's share of the team limit, so the shares of several shards are collected.
 TEST_P(Gang, TeamLimitIsCollectedFromAllShards) {
   Options sim_options = options();
   sim_options.team_cpus = 20;
-  sim_options.team_max = 24;  // 8 a shard
+  sim_options.team_max = 24;  // 8 cores per shard
   World world(sim_options);
   for (int i = 0; i < 3; i++) {
     UserJob gang = gang_job(world, 90 + i, 3 + i, 8, 15, 2);
@@ -451,7 +459,8 @@
   expect_all_done(world);
 }
 
-// Jobs submitted with a mistake fail everywhere until they are cancelled; neither machines nor others suffer.
+// A gang with a faulty description fails on every machine until it is cancelled. Neither machines nor other
+// jobs may suffer from it.
 TEST_P(Gang, GangThatFailsOnEveryMachine) {
   World world(options());
   add_gangs(world, 3, 20);
@@ -466,7 +475,8 @@
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done || job.mistaken) << ref;
 }
 
-// Not accepted while a controller of the version before is known to live; then accepted by all.
+// Gangs are not accepted while a controller of the previous version is known to run. Afterwards all
+// controllers accept them.
 TEST_P(Gang, AreAcceptedOnceAllControllersCanRunThem) {
   Options sim_options = options();
   sim_options.earlier_version = true;
@@ -481,7 +491,8 @@
     }
   };
   for (int i = 0; i < 3; i++) world.at(30 + 10 * i, [&world, i] { world.nodes.upgrade(i, 2); });
-  // (Users submit them only later. A node that is upgraded already says when to come back.)
+  // This gang is submitted early, the users' gangs only later. A node that is already upgraded answers when
+  // to retry.
   int early_status = 0;
   world.at(36, [&world, &early_status] {
     const UserJob early = gang_job(world, 90, 36, 4, 15);
@@ -505,7 +516,7 @@
   }
 }
 
-// Not a gang: the failure of one task says nothing of the others.
+// In an array, unlike in a gang, the failure of one task does not affect the other tasks.
 TEST_P(Gang, ArrayContinuesWhenSomeTasksFail) {
   Options sim_options = options();
   sim_options.loss = 0;
@@ -532,7 +543,7 @@
   EXPECT_TRUE(world.jobs.at(ref).told_done);
   int starts = 0;
   for (const auto& [index, count] : world.jobs.at(ref).starts) starts += count;
-  EXPECT_LE(starts, 90 + 16);  // two rounds of failures on a machine that holds eight
+  EXPECT_LE(starts, 90 + 16);  // The margin is two rounds of failures on a machine that holds eight tasks.
 }
 
 TEST(GangAttempt, OnlyGangAttemptsFail) {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,5 +1,5 @@
-// The limits of the state service: those announced in `state.next` bound what is written from the start, what
-// was written under larger ones is read and taken apart, and a rate that falls is followed.
+// Tests of the limits of the state service. Limits announced in `state.next` apply to writes from the start,
+// records written under larger limits are read and split, and the write rate follows a lowered limit.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr double kSmallValueKibibytes = 2;  // KiB
+constexpr double kSmallValueKibibytes = 2;
 constexpr int kSmallTransactionOperations = 4;
 
 class StateLimits : public ::testing::TestWithParam<int> {
  protected:
   void SetUp() override { set_up_log(); }
-  // Room for hundreds of small tasks, so that records grow large.
+  // The cluster has capacity for hundreds of small tasks, so that records grow large.
   static Options options() {
     Options out;
     out.seed = static_cast<std::uint64_t>(GetParam());
@@ -60,9 +60,9 @@
 TEST(AdaptiveRate, FallsToTheAnnouncedRateAfterRefusalAndRises) {
   AdaptiveRate rate(30, 21, 0);
   EXPECT_TRUE(rate.on_refusal(5));
-  EXPECT_FALSE(rate.on_refusal(5.2));  // the same burst
+  EXPECT_FALSE(rate.on_refusal(5.2));  // This refusal belongs to the same burst.
   EXPECT_DOUBLE_EQ(rate.current_rps(), 21);
-  EXPECT_FALSE(rate.raise(10));  // too early to try again
+  EXPECT_FALSE(rate.raise(10));  // It is too early to raise the rate again.
   EXPECT_DOUBLE_EQ(rate.current_rps(), 21);
   for (double now = 16; now < 60; now += 1) rate.raise(now);
   EXPECT_DOUBLE_EQ(rate.current_rps(), 30);
@@ -74,7 +74,7 @@
   EXPECT_DOUBLE_EQ(rate.current_rps(), 30);
 }
 
-// The smaller limits hold from the start, and take effect in the middle of a takeover.
+// Writers keep the smaller limits from the start. The service begins to enforce them during a takeover.
 TEST_P(StateLimits, AreLoweredDuringTakeover) {
   World world(options());
   add_many_tasks(world, 5, 40);
@@ -88,8 +88,8 @@
   EXPECT_EQ(world.state.too_large, 0);
 }
 
-// What the version before wrote is larger than what may be written later. It stays readable, and nothing in
-// it is lost while it is taken apart.
+// The previous version wrote segments that are larger than later limits allow. They must stay readable, and
+// no content may be lost while they are split.
 TEST_P(StateLimits, LargerSegmentsOfThePreviousVersionAreSplit) {
   Options sim_options = options();
   sim_options.earlier_version = true;
@@ -110,17 +110,20 @@
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done) << ref;
 }
 
-// Processes of both versions end and come back while the journal segments change hands, and back.
+// Processes of both versions crash and restart, so that journal segments pass from one version to the other
+// and back.
 TEST_P(StateLimits, SegmentsMoveBetweenVersionsInBothDirections) {
   Options sim_options = options();
   sim_options.earlier_version = true;
   World world(sim_options);
   add_many_tasks(world, 2, 60);
   world.at(40, [&world] { world.nodes.upgrade(0, 1); });
-  world.at(58, [&world] { world.nodes.crash(0, 9); });  // its shard goes to an old one, and comes back
+  world.at(58, [&world] {
+    world.nodes.crash(0, 9);
+  });  // Its shard moves to a node of the previous version and returns.
   world.at(60, [&world] { world.nodes.crash(1, 0.3); });
   world.at(95, [&world] { world.nodes.upgrade(1, 1); });
-  world.at(96, [&world] { world.nodes.crash(2, 5); });  // comes back old
+  world.at(96, [&world] { world.nodes.crash(2, 5); });  // This node restarts with the previous version.
   world.at(110, [&world] { world.nodes.upgrade(2, 1); });
   world.troubles_end = 125;
 
@@ -130,8 +133,8 @@
   EXPECT_EQ(world.state.too_large, 0);
 }
 
-// Nothing was announced, and the service takes less all the same: writes are made smaller, and no shard is
-// given up over and over.
+// The service lowers its limits without announcing it. Controllers must make their writes smaller, and no
+// shard may be given up again and again.
 TEST_P(StateLimits, AreLoweredWithoutAnnouncement) {
   Options sim_options = options();
   sim_options.next_value_kb = 0;
@@ -150,7 +153,8 @@
   EXPECT_LT(world.state.too_large, 40);
 }
 
-// A hundred thousand tasks of which every other one is done: the completions fit no record of this size.
+// Every second one of 100,000 tasks is completed. The completions do not fit into a single record of the
+// allowed size.
 TEST(RecordSizeLimits, ScatteredCompletionsOfHugeJobAreKept) {
   set_up_log();
   Options sim_options;
@@ -185,8 +189,9 @@
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   const auto& starts = world.jobs.at(ref).starts;
   EXPECT_GT(starts.size(), 20u);
-  for (const auto& [index, count] : starts) EXPECT_EQ(index % 2, 1) << "done already, and started again";
-  // What completed since is durable too, although no single record holds it all.
+  for (const auto& [index, count] : starts)
+    EXPECT_EQ(index % 2, 1) << "A task that had already completed was started again.";
+  // Later completions must also be durable, although no single record holds all completions.
   RangeSet durable;
   for (const auto& [key, value] : world.state.values()) {
     EXPECT_LE(value.dump().size(), 1024 * kSmallValueKibibytes) << key;
@@ -197,7 +202,8 @@
   EXPECT_GT(durable.size(), done.size());
 }
 
-// More kinds of machine than one record of a rental can name are asked for in several steps.
+// If a rental asks for more combinations of machine type and zone than one rental record can name, it is made
+// in several steps.
 TEST(RecordSizeLimits, RentalOfManyMachineTypesAndZonesIsSplit) {
   set_up_log();
   Options sim_options;
@@ -229,7 +235,8 @@
   EXPECT_EQ(world.state.too_large, 0);
 }
 
-// The machine types fit no single record: a node that starts while the cloud is away finds them in several.
+// The machine types do not fit into a single record. A node that starts during an outage of the cloud must
+// read them from several records.
 TEST(RecordSizeLimits, MachineTypesAreReadFromSeveralRecords) {
   set_up_log();
   Options sim_options;
@@ -256,7 +263,8 @@
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.told_done) << ref;
 }
 
-// A list of machine types and a job's list of allowed types that fit no record.
+// Unknown and repeated names are removed from a job's list of allowed machine types, which could otherwise be
+// too long for a record.
 TEST(RecordSizeLimits, UnknownMachineTypesAreRemoved) {
   JobSpec spec;
   MachineTypes types =
--- a/tests/recovery_merge_test.cpp
+++ b/tests/recovery_merge_test.cpp
@@ -1,4 +1,5 @@
-// Evidence of lost state, merged: by drawn histories of jobs and sources that know parts of them.
+// Property tests of merging evidence after a loss of state. The generated sources each know a part of the
+// history of some jobs.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -30,14 +31,15 @@
   return job_record;
 }
 
-// What one source says of one job. Placements name one machine an attempt, as attempts are unique.
+// Generates the evidence of one source on one job. Each attempt number stands for one machine, because
+// attempt numbers are unique.
 JobEvidence draw_job(int number) {
   JobEvidence out;
   if (*rc::gen::arbitrary<bool>()) {
     out.record = make_job_record(number);
     out.record->cancelled = *rc::gen::arbitrary<bool>();
   }
-  // A job ends in one way only.
+  // A job has only one ending, so all sources that know it report the same one.
   if (*rc::gen::inRange(0, 4) == 0) out.ending = number % 2 == 0 ? JobPhase::kDone : JobPhase::kCancelled;
   out.has_stored_record = *rc::gen::arbitrary<bool>();
   out.recently_accepted = *rc::gen::arbitrary<bool>();
@@ -128,7 +130,8 @@
   for (const Evidence& source : sources) {
     for (const auto& [ref, reported] : source.jobs) {
       const JobOutcome outcome = derive_outcome(ref, all.jobs.at(ref), scope);
-      // An ending stands; only what is placed of a cancelled job keeps it from being recorded as ended.
+      // A reported ending is preserved. Only a cancelled job that still has placed tasks is not yet recorded
+      // as ended.
       if (reported.ending) {
         const bool stopping = outcome.kind == JobOutcome::Kind::kOpen && outcome.cancelled;
         RC_ASSERT(outcome.kind == JobOutcome::Kind::kEnded || stopping);
@@ -141,8 +144,8 @@
   }
 }
 
-// What is neither done nor placed nor held starts again: so nothing that may run or may have completed is
-// among it.
+// Tasks that are neither done, placed nor held are started again. None of them may be a task that may be
+// running or may have completed.
 RC_GTEST_PROP(MergedEvidence, DoesNotRestartTasksThatMayRunOrHaveCompleted, ()) {
   const Evidence all = merge_all({draw_evidence(), draw_evidence()});
   const RebuildScope scope = draw_scope();
@@ -167,7 +170,8 @@
   }
 }
 
-// Every placed task is on one page, in its machine's shard, and its team may use what it uses.
+// Each placed task is in exactly one journal segment, which belongs to the shard of its machine, and the
+// quota of its team covers its cores.
 RC_GTEST_PROP(RebuiltRecords, HoldEveryPlacementOnceWithinTheTeamLimit, ()) {
   Settings settings;
   settings.value_kb = 1;
@@ -193,7 +197,7 @@
     }
   }
   RC_ASSERT(placed == records.counts.placed_tasks);
-  // (Without a record a limit is split evenly.)
+  // Without a quota record, a limit is split evenly.
   RC_ASSERT(quota_cores == kJobCount * kTaskCount || (quota_cores == 0 && placed == 0));
 }
 
@@ -201,9 +205,9 @@
   int losses = 0;
   LossDetector detector(0, [&losses](const std::string&) { losses++; });
   detector.on_revision(0, 10);
-  detector.on_revision(10, 10);  // nothing has changed
+  detector.on_revision(10, 10);  // The revision has not changed.
   detector.on_peer_revision(15);
-  // Asked before the revision 15 was heard of: the answer may well be older.
+  // The request was sent before the peer reported revision 15, so the answer may be older.
   detector.on_revision(10, 12);
   EXPECT_EQ(losses, 0);
   EXPECT_FALSE(detector.is_state_lost());
@@ -211,7 +215,7 @@
   EXPECT_EQ(losses, 1);
   EXPECT_TRUE(detector.is_state_lost());
   detector.on_other_incarnation();
-  EXPECT_EQ(losses, 1) << "told once";
+  EXPECT_EQ(losses, 1) << "The loss must be reported only once.";
 }
 
 TEST(Incarnation, KeysAndRevisionsAreTranslatedBothWays) {
@@ -223,15 +227,17 @@
   const KeySpace space(second);
   EXPECT_EQ(space.stored_key("w/j/0/job-1"), "r/2-77/w/j/0/job-1");
   EXPECT_EQ(space.logical_key("r/2-77/w/j/0/job-1"), "w/j/0/job-1");
-  EXPECT_EQ(space.stored_key("meta"), "meta") << "shared by all incarnations";
-  EXPECT_EQ(space.stored_key("/e/0/job-1"), "e/0/job-1") << "absolute";
+  EXPECT_EQ(space.stored_key("meta"), "meta") << "All incarnations share the key `meta`.";
+  EXPECT_EQ(space.stored_key("/e/0/job-1"), "e/0/job-1") << "A leading slash makes a key absolute.";
   EXPECT_EQ(space.ending_keys(0, "job-1"), (std::vector<std::string>{"e/0/job-1", "/e/0/job-1"}));
   const std::string body = R"({"guards":[{"k":"a","stamp":0},{"k":"b","stamp":1005},{"k":"c","stamp":7}],)"
                            R"("then":[{"put":"a","data":1},{"delete":"b"}]})";
   const Json stored = parse_json(space.stored_body(body));
-  EXPECT_EQ(stored["guards"][0]["stamp"], 0) << "it must not exist";
+  EXPECT_EQ(stored["guards"][0]["stamp"], 0)
+      << "Stamp 0 requires that the key does not exist, in every incarnation.";
   EXPECT_EQ(stored["guards"][1]["stamp"], 5);
-  EXPECT_GT(stored["guards"][2]["stamp"], 1'000'000) << "of an earlier incarnation: no such revision";
+  EXPECT_GT(stored["guards"][2]["stamp"], 1'000'000)
+      << "A stamp of an earlier incarnation must match no revision.";
   EXPECT_EQ(stored["then"][1]["delete"], "r/2-77/b");
   Json answer = parse_json(R"({"epoch":9,"failed":["r/2-77/a"],"items":[{"k":"r/2-77/b","stamp":4}]})");
   space.translate_reply(answer);
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -1,4 +1,4 @@
-// The state service comes back without its recent records, while whole nodes run in the simulated cluster.
+// Tests of whole nodes in the simulated cluster when the state service loses its recent records.
 #include <gtest/gtest.h>
 
 #include "recovery/unaccounted_jobs.hpp"
@@ -11,13 +11,14 @@
 
 namespace {
 
-// By then a rebuilding is over that had to wait until nothing ran.
-constexpr double kOperatorDelaySeconds = 80;  // seconds
-// For all of an operator's decisions.
-constexpr double kDecisionsDurationSeconds = 30;  // seconds
+// This long after a loss a rebuild is complete, even one that had to wait until no task could be running.
+constexpr double kOperatorDelaySeconds = 80;
+// An operator makes all decisions within this time.
+constexpr double kDecisionsDurationSeconds = 30;
 
-// Gives, once it has happened, how many revisions were lost. (Nothing may have changed since the copy was
-// made.)
+// Copies the state at `copied_at` and restores that copy at `lost_at`, without its leases if `leases` is
+// false. The result receives the number of lost revisions at `lost_at`. It is 0 if nothing changed after the
+// copy was made.
 std::shared_ptr<std::uint64_t> restore_earlier_copy(World& world, double copied_at, double lost_at,
                                                     bool leases = true) {
   auto copy = std::make_shared<StateService::Copy>();
@@ -31,8 +32,8 @@
   return lost_revisions;
 }
 
-// Tasks start all the time until long after the loss: workers show some that the surviving records do not
-// know.
+// Submits a job whose tasks keep starting until long after the loss, so that workers report tasks that the
+// surviving records do not contain.
 void add_job_across_loss(World& world) { world.submit(plain_job(world, 90, 44, 110, 8)); }
 
 Json stored_value(const World& world, const std::string& key) {
@@ -40,8 +41,9 @@
   return found == world.state.values().end() ? Json() : found->second;
 }
 
-// Looks at what is listed as unaccounted and decides by what the world knows: jobs that have completed are
-// done, the others run again. Repeats itself until the list is empty.
+// Acts as an operator: requests the list of unaccounted jobs and resolves each by its true state in the
+// simulated cluster. Completed jobs are done, cancelled and aborted ones are cancelled, and the others run
+// again. The request repeats every 5 s, so that jobs that remain on the list are resolved later.
 void resolve_unaccounted_jobs(World& world) {
   const int node = some_node(world);
   world.network.send(
@@ -73,7 +75,7 @@
     out.recovery = true;
     return out;
   }
-  // All serve the same incarnation, which is at least this one.
+  // Checks that all nodes serve the same incarnation and that its number is at least `min_number`.
   static void expect_incarnation(const World& world, int min_number) {
     for (const auto& process : world.nodes) {
       ASSERT_TRUE(process.node);
@@ -82,8 +84,8 @@
       EXPECT_EQ(process.node->incarnation(), world.nodes.front().node->incarnation());
     }
   }
-  // An operator decides from `decides_at` on about what is listed as unaccounted; half a minute later the
-  // troubles are over. What is then expected of the day's end.
+  // Runs until `ends_at` and checks the result. From `operator_starts_at` on, an operator resolves
+  // unaccounted jobs; the troubles are over when the operator's decisions are made.
   static void run_with_operator(World& world, double operator_starts_at, double ends_at,
                                 int min_incarnation) {
     world.troubles_end = operator_starts_at + kDecisionsDurationSeconds;
@@ -124,11 +126,11 @@
 
   expect_kept(world);
   expect_incarnation(world, 2);
-  EXPECT_EQ(world.lost_to_leases, 0) << "tasks went on meanwhile";
+  EXPECT_EQ(world.lost_to_leases, 0) << "Tasks must keep their leases while the records are rebuilt.";
 }
 
-// The copy that is restored is as old as a day's backup would be on this scale: jobs were accepted, begun,
-// ended and cancelled since.
+// The restored copy is as old as a daily backup would be on this time scale. Jobs were accepted, started,
+// completed and cancelled after it was made.
 TEST_P(StateLoss, EarlierStateIsRestoredWhileAllControllersRun) {
   World world(options());
   add_jobs(world, 2, 120);
@@ -183,8 +185,8 @@
   run_with_operator(world, loss_at + kOperatorDelaySeconds, 600, 2);
 }
 
-// A controller ends at the moment of the loss, and some machines are silent: what runs there goes on until
-// their leases are over. (Without waiting for that, tasks were started elsewhere while they ran there.)
+// A controller crashes at the moment of the loss while some machines are unreachable. Tasks on these machines
+// run until the leases expire. A rebuild that did not wait for that started the same tasks elsewhere.
 TEST_P(StateLoss, ControllerCrashesAtStateLossWhileMachinesAreUnreachable) {
   World world(options());
   add_jobs(world, 2, 40);
@@ -214,7 +216,7 @@
   run_with_operator(world, loss_at + kOperatorDelaySeconds, 600, 2);
 }
 
-// Whoever leads the rebuilding ends, at any step of it, and so does the next.
+// The leader of the rebuild crashes at an arbitrary step, and so do its successors.
 TEST_P(StateLoss, RebuildLeadersCrash) {
   World world(options());
   add_jobs(world, 2, 40);
@@ -241,12 +243,14 @@
   world.at(loss_at, [&world] { world.state.empty(); });
   world.at(loss_at + world.uniform(0.5, 4), [&world] { world.state.empty(); });
   world.at(loss_at + world.uniform(20, 60), [&world] { world.state.empty(); });
-  // (A shard whose new owner had not read its records yet when they were lost again is not known in full.)
+  // An operator is needed because a shard is not known in full if its new owner had not yet read its records
+  // when they were lost again.
 
   run_with_operator(world, loss_at + 60 + kOperatorDelaySeconds, 500, 3);
 }
 
-// One controller has its workers and users only: it has not noticed the loss, and is heard too late.
+// One controller reaches only its workers and users. It does not notice the loss, and its evidence arrives
+// too late for the rebuild.
 TEST_P(StateLoss, ControllerIsPartitionedThroughoutRebuild) {
   World world(options());
   add_jobs(world, 2, 40);
@@ -293,8 +297,8 @@
   expect_incarnation(world, *lost_revisions > 0 ? 2 : 1);
 }
 
-// As the version in production does, which knows one form of `meta` only, from the moment when a rebuilding
-// begins.
+// With recovery disabled, controllers modify no records from the start of a rebuild on. They behave as the
+// version in production, which knows only one form of `meta`.
 TEST(RecoveryDisabled, RecordsOfRebuildsAreNotModified) {
   for (const int rebuild_number : {2, 3}) {
     World world(Options{});
@@ -307,7 +311,7 @@
     world.state.handle("POST", "/commit", dump_json(transaction), [](int, const Json&) {});
     world.submit(plain_job(world, 1, 5, 2, 5));
     world.run_until(60);
-    // They say that they live and what the cloud offers, and nothing else.
+    // Controllers write only their heartbeats and the machine types that the cloud offers.
     for (const auto& [key, value] : world.state.values()) {
       const bool is_expected_key = key == "meta" || key == "types" || key.rfind("parts/@", 0) == 0;
       EXPECT_TRUE(is_expected_key) << key;
