--- a/tests/gang_places_test.cpp
+++ b/tests/gang_places_test.cpp
@@ -77,17 +77,17 @@
 TEST(GangPlaces, SlowestImageFetchDecides) {
   const auto on_cached_machines =
       find_gang_places(gang_needs(4, 2), {machine(32, 0, 5), machine(4), machine(4)});
-  EXPECT_EQ(on_cached_machines.size(),
-            2u);  // Two machines that have the image start earlier than one that must fetch it.
+  // Two machines that have the image start earlier than one that must fetch it.
+  EXPECT_EQ(on_cached_machines.size(), 2u);
   const auto on_one_machine = find_gang_places(gang_needs(4, 2), {machine(32, 0, 5), machine(4)});
-  ASSERT_EQ(on_one_machine.size(),
-            1u);  // The gang cannot start before 5 s in any case, so one machine is best.
+  // The gang cannot start before 5 s in any case, so one machine is best.
+  ASSERT_EQ(on_one_machine.size(), 1u);
   EXPECT_EQ(on_one_machine[0].machine, 0u);
 }
 
 TEST(GangPlaces, SlotsAreLimitedByMemoryAndAccelerators) {
   EXPECT_EQ(slots({8, 3, 0}, {1, 1, 0}), 3);
   EXPECT_EQ(slots({8, 64, 2}, {1, 1, 1}), 2);
-  EXPECT_EQ(slots({0.3, 1, 0}, {0.1, 0, 0}),
-            3);  // Rounding errors in sums of fractions must not cost a slot.
+  // Rounding errors in sums of fractions must not cost a slot.
+  EXPECT_EQ(slots({0.3, 1, 0}, {0.1, 0, 0}), 3);
 }
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -302,6 +302,7 @@
   EXPECT_GT(crashes, 0);
 }
 
+// The owner does not receive the answer to the write that places a gang.
 TEST_P(Gang, AnswerToPlacementWriteIsLost) {
   World world(options());
   add_gangs(world, 20, 20);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -118,12 +118,11 @@
   World world(sim_options);
   add_many_tasks(world, 2, 60);
   world.at(40, [&world] { world.nodes.upgrade(0, 1); });
-  world.at(58, [&world] {
-    world.nodes.crash(0, 9);
-  });  // Its shard moves to a node of the previous version and returns.
+  // The shard of node 0 moves to a node of the previous version and returns.
+  world.at(58, [&world] { world.nodes.crash(0, 9); });
   world.at(60, [&world] { world.nodes.crash(1, 0.3); });
   world.at(95, [&world] { world.nodes.upgrade(1, 1); });
-  world.at(96, [&world] { world.nodes.crash(2, 5); });  // This node restarts with the previous version.
+  world.at(96, [&world] { world.nodes.crash(2, 5); });  // Node 2 restarts with the previous version.
   world.at(110, [&world] { world.nodes.upgrade(2, 1); });
   world.troubles_end = 125;
 
