--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -1,6 +1,6 @@
-// Gangs in the simulated cluster: their tasks start together or not at all, whatever happens meanwhile. The
-// machines play the protocol's rules for gangs (sim/gangs.hpp); the rules of the cluster are checked all the
-// time.
+// Tests of gangs in the simulated cluster: the tasks of a gang start together or not at all, also under
+// faults. The simulated machines follow the protocol's rules for gangs (sim/gangs.hpp). The rules of the
+// cluster are checked throughout each test.
 #include <gtest/gtest.h>
 
 #include "bookkeeping/records.hpp"
@@ -25,7 +25,7 @@
     out.team_max_cpus = 120;
     return out;
   }
-  // A few of each size, among arrays.
+  // Submits gangs of several sizes, and arrays among them.
   static void add_gangs(World& world, double from, double run_s) {
     const int sizes[] = {2, 3, 4, 6, 8};
     for (int i = 0; i < 8; i++)
@@ -39,40 +39,41 @@
   }
 };
 
-// A machine with a task of a gang in this phase, and where `apart` of one that is spread over machines.
-Worker* find_member(World& world, const std::string& phase, bool apart = false) {
+// Finds a machine with a gang task in this phase. With `is_spread`, the gang must be spread over several
+// machines.
+Worker* find_member(World& world, const std::string& phase, bool is_spread = false) {
   for (auto& [name, worker] : world.workers) {
     if (worker->dead || worker->hung) continue;
     for (const Task& task : worker->tasks) {
       if (task.job == nullptr || !task.job->gang || task.phase != phase) continue;
-      int here = 0;
-      for (const Task& other : worker->tasks) here += other.ref == task.ref ? 1 : 0;
-      if (!apart || here < task.job->task_count) return worker.get();
+      int tasks_on_machine = 0;
+      for (const Task& other : worker->tasks) tasks_on_machine += other.ref == task.ref ? 1 : 0;
+      if (!is_spread || tasks_on_machine < task.job->task_count) return worker.get();
     }
   }
   return nullptr;
 }
 
-// Does it as soon as there is such a machine.
-void when_member(World& world, const std::string& phase, bool apart,
-                 const std::function<void(Worker&)>& act) {
-  if (Worker* worker = find_member(world, phase, apart)) return act(*worker);
-  world.in(0.05, [&world, phase, apart, act] { when_member(world, phase, apart, act); });
+// Applies `action` to the machine that find_member finds, as soon as there is one.
+void on_member_in_phase(World& world, const std::string& phase, bool is_spread,
+                        const std::function<void(Worker&)>& action) {
+  if (Worker* worker = find_member(world, phase, is_spread)) return action(*worker);
+  world.in(0.05, [&world, phase, is_spread, action] { on_member_in_phase(world, phase, is_spread, action); });
 }
 
-// The cloud takes the machine away.
-void take_away(World& world, Worker& worker, double notice_s) {
+// The cloud gives an eviction notice and removes the machine after `notice_s`.
+void evict_machine(World& world, Worker& worker, double notice_s) {
   worker.eviction_notice_s = notice_s;
   worker.mark_changed();
   world.in(notice_s, [&worker] { worker.dead = true; });
 }
 
-bool places_a_gang(const Json& txn) {
+bool places_gang(const Json& txn) {
   for (const Json& change : txn["then"]) {
     if (!change.contains("put") || change["put"].get<std::string>().rfind("h/", 0) != 0) continue;
     for (const auto& [machine_name, record] : change["data"]["m"].items()) {
       for (const auto& [ref, tasks] : record["p"].items()) {
-        // Two tasks with one attempt number.
+        // Two tasks with the same attempt number belong to a gang.
         for (std::size_t i = 1; i + 2 < tasks.size(); i += 2) {
           if (tasks[i] == tasks[i + 2]) return true;
         }
@@ -82,18 +83,19 @@
   return false;
 }
 
-// Gives how many machines hold members of the gang; the first two are taken away.
-int give_notice_to_two_members(World& world, const std::string& ref) {
+// Evicts the first two machines that hold members of the gang. Returns the number of machines that hold
+// members.
+int evict_two_members(World& world, const std::string& ref) {
   int members = 0;
   for (auto& [name, worker] : world.workers) {
     const bool member = std::any_of(worker->tasks.begin(), worker->tasks.end(),
                                     [&ref](const Task& task) { return task.ref == ref; });
-    if (member && members++ < 2) take_away(world, *worker, 14);
+    if (member && members++ < 2) evict_machine(world, *worker, 14);
   }
   return members;
 }
 
-bool stop_is_recorded(const World& world) {
+bool is_stop_recorded(const World& world) {
   const auto& values = world.state.values();
   return std::any_of(values.begin(), values.end(), [](const auto& record) {
     const auto& [key, value] = record;
@@ -103,7 +105,7 @@
 
 }  // namespace
 
-TEST_P(Gang, AllOfThemOnAQuietDay) {
+TEST_P(Gang, AllGangsCompleteWithoutFailures) {
   World world(options());
   add_gangs(world, 3, 20);
 
@@ -114,15 +116,16 @@
   EXPECT_EQ(world.gangs.tasks_without_peers, 0);
 }
 
-// The others wait, and a replacement with the same attempt number completes the gang.
-TEST_P(Gang, ATaskThatIsLostBeforeTheStartIsReplaced) {
-  Options day = options();
-  day.message_loss_share = 0;
-  World world(day);
+// If a task is lost before the gang starts, the other tasks wait, and a replacement with the same attempt
+// number completes the gang.
+TEST_P(Gang, TaskLostBeforeTheStartIsReplaced) {
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   add_gangs(world, 3, 20);
   world.at(30, [&world] {
     world.submit(gang_job(world, 90, 31, 8, 20, 4));
-    when_member(world, "waiting", true, [](Worker& worker) { worker.reboot(false); });
+    on_member_in_phase(world, "waiting", true, [](Worker& worker) { worker.reboot(false); });
   });
 
   world.run_until(260);
@@ -130,12 +133,12 @@
   expect_all_done(world);
 }
 
-TEST_P(Gang, AMachineOfARunningGangLosesPower) {
+TEST_P(Gang, MachineOfRunningGangLosesPower) {
   World world(options());
   add_gangs(world, 3, 40);
   for (int i = 0; i < 3; i++) {
     world.at(45 + 7 * i, [&world] {
-      when_member(world, "running", false, [](Worker& worker) { worker.reboot(false); });
+      on_member_in_phase(world, "running", false, [](Worker& worker) { worker.reboot(false); });
     });
   }
   world.faults_end_at = 70;
@@ -146,13 +149,17 @@
   EXPECT_GT(world.gangs.attempts_failed, 0);
 }
 
-// Waiting, running: what hangs stays on its machine until its lease is over, and no attempt begins before.
+// The tasks of a hung machine, waiting or running, stay on it until its lease expires. No new attempt may
+// begin before that.
 TEST_P(Gang, MachinesHang) {
   World world(options());
   add_gangs(world, 3, 40);
-  world.at(20, [&world] { when_member(world, "waiting", false, [](Worker& worker) { worker.hang(25); }); });
-  world.at(50, [&world] { when_member(world, "running", true, [](Worker& worker) { worker.hang(8); }); });
-  world.at(60, [&world] { when_member(world, "running", false, [](Worker& worker) { worker.hang(40); }); });
+  world.at(
+      20, [&world] { on_member_in_phase(world, "waiting", false, [](Worker& worker) { worker.hang(25); }); });
+  world.at(50,
+           [&world] { on_member_in_phase(world, "running", true, [](Worker& worker) { worker.hang(8); }); });
+  world.at(
+      60, [&world] { on_member_in_phase(world, "running", false, [](Worker& worker) { worker.hang(40); }); });
   world.faults_end_at = 105;
 
   world.run_until(360);
@@ -164,19 +171,19 @@
   World world(options());
   add_gangs(world, 3, 30);
   world.at(15, [&world] {
-    when_member(world, "pulling", false, [&world](Worker& worker) {
+    on_member_in_phase(world, "pulling", false, [&world](Worker& worker) {
       worker.loses_report_answers = true;
       world.in(40, [&worker] { worker.loses_report_answers = false; });
     });
   });
   world.at(40, [&world] {
-    when_member(world, "running", false, [&world](Worker& worker) {
+    on_member_in_phase(world, "running", false, [&world](Worker& worker) {
       worker.outbound_unreachable = true;
       world.in(40, [&worker] { worker.outbound_unreachable = false; });
     });
   });
   world.at(45, [&world] {
-    when_member(world, "running", true, [&world](Worker& worker) {
+    on_member_in_phase(world, "running", true, [&world](Worker& worker) {
       worker.inbound_unreachable = true;
       world.in(40, [&worker] { worker.inbound_unreachable = false; });
     });
@@ -188,22 +195,23 @@
   expect_all_done(world);
 }
 
-// Two members are told in the same second: one decision, durable first, and all are told in time.
-TEST_P(Gang, NoticesToTwoMembersInTheSameSecond) {
-  Options day = options();
-  day.message_loss_share = 0;
-  day.market_machines = 12;
-  World world(day);
+// Two members receive an eviction notice in the same second. Only one decision to stop the gang is made, it
+// is durable before any member is stopped, and all members are stopped in time.
+TEST_P(Gang, EvictionNoticesToTwoMembersInTheSameSecond) {
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  sim_options.market_machines = 12;
+  World world(sim_options);
   UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   const std::string ref = job.ref;
   world.submit(job);
   int stopped_without_record = 0;
   world.at(75, [&] {
-    const int members = give_notice_to_two_members(world, ref);
+    const int members = evict_two_members(world, ref);
     ASSERT_GT(members, 1);
   });
   world.network.on_commit = [&](const std::string&, const Json&) {
-    if (!stop_is_recorded(world) && world.gangs.attempts_saved == 0 &&
+    if (!is_stop_recorded(world) && world.gangs.attempts_saved == 0 &&
         find_member(world, "saving") != nullptr)
       stopped_without_record++;
   };
@@ -218,51 +226,53 @@
   EXPECT_EQ(stopped_without_record, 0);
 }
 
-// The owner ends as the decision becomes durable; a stop half told is gone on with.
-TEST_P(Gang, TheOwnerEndsInTheMiddleOfAStop) {
-  Options day = options();
-  day.market_machines = 12;
-  World world(day);
-  world.submit(gang_job(world, 90, 3, 8, 80, 4));  // on two machines at the least
+// The owner crashes when the decision to stop the gang becomes durable. A stop that only some members have
+// received must be completed.
+TEST_P(Gang, OwnerCrashesDuringStop) {
+  Options sim_options = options();
+  sim_options.market_machines = 12;
+  World world(sim_options);
+  world.submit(gang_job(world, 90, 3, 8, 80, 4));  // The gang needs at least two machines.
   add_gangs(world, 3, 60);
-  bool ended = false;
+  bool has_crashed = false;
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
-    if (ended || txn.dump().find("\"x\":[") == std::string::npos) return;
-    ended = true;
+    if (has_crashed || txn.dump().find("\"x\":[") == std::string::npos) return;
+    has_crashed = true;
     world.in(0.02, [&world, from] { world.nodes.crash(node_index(from), GetParam() % 2 == 0 ? 0.3 : 8); });
   };
   world.at(70, [&world] {
-    when_member(world, "running", true, [&world](Worker& worker) { take_away(world, worker, 15); });
+    on_member_in_phase(world, "running", true,
+                       [&world](Worker& worker) { evict_machine(world, worker, 15); });
   });
   world.faults_end_at = 100;
 
   world.run_until(380);
 
   expect_all_done(world);
-  EXPECT_TRUE(ended);
+  EXPECT_TRUE(has_crashed);
 }
 
-// The shard is handed back, and the limits of the state service fall, while the gang is being stopped.
-TEST_P(Gang, TheShardIsHandedBackInTheMiddleOfAStop) {
-  Options day = options();
-  day.market_machines = 12;
-  day.next_value_kb = 2;
-  day.next_txn_ops = 4;
-  World world(day);
+// While the gang is being stopped, the shard is handed back and the limits of the state service are lowered.
+TEST_P(Gang, ShardIsHandedBackDuringStop) {
+  Options sim_options = options();
+  sim_options.market_machines = 12;
+  sim_options.next_value_kb = 2;
+  sim_options.next_txn_ops = 4;
+  World world(sim_options);
   const UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   world.submit(job);
   add_gangs(world, 3, 60);
-  // The node that it belongs to is away, and comes back: 15 s later the shard is handed back to it.
-  const int home = shard_of(job.ref, world.options.nodes);
-  world.at(50, [&world, home] { world.nodes.crash(home, 5); });
-  bool met = false;
+  // The home node of the gang crashes and restarts. The shard is handed back to it 15 s after the restart.
+  const int home_node = shard_of(job.ref, world.options.nodes);
+  world.at(50, [&world, home_node] { world.nodes.crash(home_node, 5); });
+  bool handed_back = false;
   world.network.on_commit = [&](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
-      const bool released = change.contains("delete") && change["delete"] == keys::shard_owner(home);
-      if (!released || met) continue;
-      met = true;
+      const bool released = change.contains("delete") && change["delete"] == keys::shard_owner(home_node);
+      if (!released || handed_back) continue;
+      handed_back = true;
       world.in(0, [&world] {
-        if (Worker* worker = find_member(world, "running")) take_away(world, *worker, 15);
+        if (Worker* worker = find_member(world, "running")) evict_machine(world, *worker, 15);
         world.state.lower_limits(2, 4, world.options.write_rps);
       });
     }
@@ -272,18 +282,18 @@
   world.run_until(380);
 
   expect_all_done(world);
-  EXPECT_TRUE(met);
+  EXPECT_TRUE(handed_back);
   EXPECT_EQ(world.state.oversized_transactions, 0);
 }
 
-// Between the durable write and the launches, and with the answer to that write lost.
-TEST_P(Gang, TheOwnerEndsAfterTheWriteThatPlacesThem) {
+// The owner crashes after the placements are durable and before the tasks are launched.
+TEST_P(Gang, OwnerCrashesAfterPlacementWrite) {
   World world(options());
   add_gangs(world, 20, 20);
-  int ended = 0;
+  int crashes = 0;
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
-    if (ended >= 2 || !places_a_gang(txn)) return;
-    ended++;
+    if (crashes >= 2 || !places_gang(txn)) return;
+    crashes++;
     world.in(0, [&world, from] { world.nodes.crash(node_index(from), 0.3); });
   };
   world.faults_end_at = 80;
@@ -291,33 +301,35 @@
   world.run_until(360);
 
   expect_all_done(world);
-  EXPECT_GT(ended, 0);
+  EXPECT_GT(crashes, 0);
 }
 
-TEST_P(Gang, TheAnswerToTheWriteThatPlacesThemIsLost) {
+// The owner does not receive the answer to the write that places a gang.
+TEST_P(Gang, AnswerToPlacementWriteIsLost) {
   World world(options());
   add_gangs(world, 20, 20);
-  int lost = 0;
+  int placement_writes = 0;
   world.network.commit_answer_delay_s = [&](const std::string&, const Json& txn) {
-    return places_a_gang(txn) && lost++ % 2 == 0 ? -1.0 : 0.0;
+    return places_gang(txn) && placement_writes++ % 2 == 0 ? -1.0 : 0.0;
   };
 
   world.run_until(300);
 
   expect_all_done(world);
-  EXPECT_GT(lost, 0);
+  EXPECT_GT(placement_writes, 0);
 }
 
-// Old copies of reports, also of earlier attempts, and transactions that are carried out late.
-TEST_P(Gang, CopiesComeLate) {
-  Options day = options();
-  day.message_copy_share = 0.15;
-  day.late_commit_share = 0.02;
-  World world(day);
+// Old copies of reports arrive late, some of them from earlier attempts, and some transactions are carried
+// out late.
+TEST_P(Gang, DuplicateReportsAndDelayedWrites) {
+  Options sim_options = options();
+  sim_options.message_copy_share = 0.15;
+  sim_options.late_commit_share = 0.02;
+  World world(sim_options);
   add_gangs(world, 3, 30);
   for (int i = 0; i < 3; i++) {
     world.at(40 + 9 * i, [&world] {
-      when_member(world, "running", false, [](Worker& worker) { worker.reboot(false); });
+      on_member_in_phase(world, "running", false, [](Worker& worker) { worker.reboot(false); });
     });
   }
   world.at(62, [&world] { world.nodes.crash(random_node(world), 0.3); });
@@ -335,7 +347,7 @@
   double at = 8;
   for (const char* phase : {"pulling", "waiting", "running", "saving"}) {
     world.at(at, [&world, &cancelled, phase] {
-      when_member(world, phase, false, [&world, &cancelled, phase](Worker& worker) {
+      on_member_in_phase(world, phase, false, [&world, &cancelled, phase](Worker& worker) {
         for (const Task& task : worker.tasks) {
           if (task.job == nullptr || !task.job->gang || task.phase != phase) continue;
           cancelled++;
@@ -347,7 +359,8 @@
     at += 12;
   }
   world.at(41, [&world] {
-    when_member(world, "running", false, [&world](Worker& worker) { take_away(world, worker, 15); });
+    on_member_in_phase(world, "running", false,
+                       [&world](Worker& worker) { evict_machine(world, worker, 15); });
   });
 
   world.run_until(300);
@@ -356,7 +369,7 @@
   EXPECT_GE(cancelled, 3);
 }
 
-TEST_P(Gang, AllControllersAreAwayForLongerThanALease) {
+TEST_P(Gang, AllControllersAreDownForLongerThanALease) {
   World world(options());
   add_gangs(world, 3, 40);
   world.at(45, [&world] {
@@ -369,30 +382,31 @@
   expect_all_done(world);
 }
 
-// A zone with some members is cut off; they go on under the old lease.
-TEST_P(Gang, MembersAreCutOff) {
+// A network partition separates a machine with some members. They continue to run under the old lease.
+TEST_P(Gang, MembersArePartitioned) {
   World world(options());
   add_gangs(world, 3, 40);
   world.at(45, [&world] {
-    when_member(world, "running", true,
-                [&world](Worker& worker) { world.network.partition_machine(worker.name); });
+    on_member_in_phase(world, "running", true,
+                       [&world](Worker& worker) { world.network.partition_machine(worker.name); });
   });
   world.at(50, [&world] { world.nodes.crash(random_node(world), 0.3); });
   world.at(85, [&world] { world.network.heal_partitions(); });
-  world.faults_end_at = 150;  // what was held back arrives up to a minute later
+  world.faults_end_at = 150;  // Messages that were held back arrive up to 60 s later.
 
   world.run_until(420);
 
   expect_all_done(world);
 }
 
-// Small tasks take every bit of room as it comes free; it is kept for the gang all the same.
-TEST_P(Gang, RoomGathersAmongSmallTasks) {
-  Options day = options();
-  day.market_machines = 2;
-  day.zones = {"a"};
-  day.team_max_cpus = 400;
-  World world(day);
+// Small tasks use all capacity as soon as it becomes free. Capacity must nevertheless be reserved for the
+// gang, so that it does not starve.
+TEST_P(Gang, CapacityIsReservedAmongSmallTasks) {
+  Options sim_options = options();
+  sim_options.market_machines = 2;
+  sim_options.zones = {"a"};
+  sim_options.team_max_cpus = 400;
+  World world(sim_options);
   for (int i = 0; i < 30; i++) {
     UserJob job = plain_job(world, i, 2 + 4 * i, 60, 8, 1);
     job.body["urgency"] = "urgent";
@@ -407,18 +421,18 @@
   world.run_until(420);
 
   expect_invariants_hold(world);
-  const UserJob& served = world.jobs.at(ref);
-  ASSERT_GE(served.gang_started_at, 0);
-  EXPECT_LT(served.first_started_at - served.submit_at, 90);
+  const UserJob& gang_result = world.jobs.at(ref);
+  ASSERT_GE(gang_result.gang_started_at, 0);
+  EXPECT_LT(gang_result.first_started_at - gang_result.submit_at, 90);
 }
 
-// Two that each need more than half of all room do not hold half of it each.
-TEST_P(Gang, TwoDoNotWaitForEachOther) {
-  Options day = options();
-  day.market_machines = 1;
-  day.zones = {"a"};
-  day.team_max_cpus = 400;
-  World world(day);
+// Two gangs that each need more than half of the capacity must not each hold half of it and block each other.
+TEST_P(Gang, CompetingGangsDoNotDeadlock) {
+  Options sim_options = options();
+  sim_options.market_machines = 1;
+  sim_options.zones = {"a"};
+  sim_options.team_max_cpus = 400;
+  World world(sim_options);
   for (int i = 0; i < 4; i++) {
     UserJob gang = gang_job(world, 90 + i, 3 + 0.1 * i, 7, 20, 2);
     gang.body["loaner"] = true;
@@ -430,12 +444,12 @@
   expect_all_done(world);
 }
 
-// More than one shard's share of the team's limit: it is gathered.
-TEST_P(Gang, TheTeamsLimitIsGathered) {
-  Options day = options();
-  day.team_cpus = 20;
-  day.team_max_cpus = 24;  // 8 a shard
-  World world(day);
+// A gang needs more than one shard's share of the team limit, so the shares of several shards are collected.
+TEST_P(Gang, TeamLimitIsCollectedFromAllShards) {
+  Options sim_options = options();
+  sim_options.team_cpus = 20;
+  sim_options.team_max_cpus = 24;  // 8 cores per shard
+  World world(sim_options);
   for (int i = 0; i < 3; i++) {
     UserJob gang = gang_job(world, 90 + i, 3 + i, 8, 15, 2);
     gang.body["owner"] = "red";
@@ -448,14 +462,15 @@
   expect_all_done(world);
 }
 
-// Jobs submitted with a mistake fail everywhere until they are cancelled; neither machines nor others suffer.
-TEST_P(Gang, OneThatFailsEverywhere) {
+// A gang with a faulty description fails on every machine until it is cancelled. Neither machines nor other
+// jobs may suffer from it.
+TEST_P(Gang, GangThatFailsOnEveryMachine) {
   World world(options());
   add_gangs(world, 3, 20);
-  UserJob bad = gang_job(world, 90, 5, 4, 20, 1);
-  bad.always_fails = true;
-  bad.cancel_at = 120;
-  world.submit(bad);
+  UserJob failing_gang = gang_job(world, 90, 5, 4, 20, 1);
+  failing_gang.always_fails = true;
+  failing_gang.cancel_at = 120;
+  world.submit(failing_gang);
 
   world.run_until(300);
 
@@ -463,13 +478,14 @@
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.user_saw_done || job.always_fails) << ref;
 }
 
-// Not accepted while a controller of the version before is known to live; then accepted by all.
+// Gangs are not accepted while a controller of the previous version is known to run. Afterwards all
+// controllers accept them.
 TEST_P(Gang, AreAcceptedOnceAllControllersCanRunThem) {
-  Options day = options();
-  day.earlier_version = true;
-  day.next_value_kb = 2;
-  day.next_txn_ops = 4;
-  World world(day);
+  Options sim_options = options();
+  sim_options.earlier_version = true;
+  sim_options.next_value_kb = 2;
+  sim_options.next_txn_ops = 4;
+  World world(sim_options);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2 + 2 * i, 8, 20));
   double accepted_at = 0;
   world.network.on_commit = [&](const std::string&, const Json& txn) {
@@ -478,12 +494,13 @@
     }
   };
   for (int i = 0; i < 3; i++) world.at(30 + 10 * i, [&world, i] { world.nodes.upgrade(i, 2); });
-  // (Users submit them only later. A node that is upgraded already says when to come back.)
-  int told_to_wait = 0;
-  world.at(36, [&world, &told_to_wait] {
+  // This gang is submitted early, the users' gangs only later. A node that is already upgraded answers when
+  // to retry.
+  int early_status = 0;
+  world.at(36, [&world, &early_status] {
     const UserJob early = gang_job(world, 90, 36, 4, 15);
     world.network.send("user", {client_address_of(0), "POST", "/v2/runs", dump_json(early.body), 5},
-                       [&told_to_wait](const HttpReply& reply) { told_to_wait = reply.status; });
+                       [&early_status](const HttpReply& reply) { early_status = reply.status; });
   });
   for (int i = 0; i < 4; i++) world.submit(gang_job(world, 95 + i, 70 + i, 4, 15));
   world.at(80, [&world] { world.state.lower_limits(2, 4, 20); });
@@ -493,7 +510,7 @@
   world.run_until(300);
 
   expect_invariants_hold(world);
-  EXPECT_EQ(told_to_wait, 503);
+  EXPECT_EQ(early_status, 503);
   EXPECT_GT(accepted_at, 60);
   for (const auto& [ref, job] : world.jobs) {
     if (job.submit_at > 60) {
@@ -502,11 +519,11 @@
   }
 }
 
-// Not a gang: the failure of one task says nothing of the others.
-TEST_P(Gang, AnArrayGoesOnWhenSomeOfItsTasksFail) {
-  Options day = options();
-  day.message_loss_share = 0;
-  World world(day);
+// In an array, unlike in a gang, the failure of one task does not affect the other tasks.
+TEST_P(Gang, ArrayContinuesWhenSomeTasksFail) {
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   UserJob job = plain_job(world, 1, 3, 90, 25, 2);
   const std::string ref = job.ref;
   world.submit(job);
@@ -529,10 +546,10 @@
   EXPECT_TRUE(world.jobs.at(ref).user_saw_done);
   int starts = 0;
   for (const auto& [index, count] : world.jobs.at(ref).starts) starts += count;
-  EXPECT_LE(starts, 90 + 16);  // two rounds of failures on a machine that holds eight
+  EXPECT_LE(starts, 90 + 16);  // The margin is two rounds of failures on a machine that holds eight tasks.
 }
 
-TEST(GangAttempt, AnArrayHasNone) {
+TEST(GangAttempt, OnlyGangAttemptsFail) {
   Job array;
   array.fail_attempt();
   EXPECT_FALSE(array.attempt.failed);
@@ -542,7 +559,7 @@
   EXPECT_TRUE(gang.attempt.failed);
 }
 
-TEST(GangAdmission, ItsTasksTogetherStayWithinTheTeamsLimit) {
+TEST(GangAdmission, WholeGangMustFitTheTeamLimit) {
   JobSpec spec;
   spec.is_gang = true;
   spec.team = "red";
