--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -22,25 +22,25 @@
 
 }  // namespace
 
-TEST_F(LargeFleet, QuietDay) {
-  constexpr double kDay = 260;
-  Options most = large_fleet(1);
-  most.market = 2 * kLargeMarket;
-  most.team_max = 14000;
-  World world(most);
+TEST_F(LargeFleet, TrafficWithoutFaultsIsBounded) {
+  constexpr double kDurationSeconds = 260;
+  Options doubled_market = large_fleet(1);
+  doubled_market.market = 2 * kLargeMarket;
+  doubled_market.team_max = 14000;
+  World world(doubled_market);
   add_crowd(world, 800, 100);
 
-  world.run_until(kDay);
+  world.run_until(kDurationSeconds);
 
   expect_kept(world);
   EXPECT_GT(world.cloud.rented, 2000);
   // What is sent does not grow with the fleet or the queue, but with time, nodes and starts.
   const double nodes = world.options.nodes;
-  EXPECT_LT(world.network.counts["/peer/summary"], 1.1 * kDay * nodes);
-  EXPECT_LT(world.network.counts["/peer/beat"], 1.1 * kDay / 2 * nodes * (nodes - 1));
-  EXPECT_LT(world.network.counts["/peer/borrow"], 1.1 * kDay / 0.4 * nodes);
+  EXPECT_LT(world.network.counts["/peer/summary"], 1.1 * kDurationSeconds * nodes);
+  EXPECT_LT(world.network.counts["/peer/beat"], 1.1 * kDurationSeconds / 2 * nodes * (nodes - 1));
+  EXPECT_LT(world.network.counts["/peer/borrow"], 1.1 * kDurationSeconds / 0.4 * nodes);
   EXPECT_LT(world.state.changes_made, world.starts) << "a change covers several starts";
-  EXPECT_LT(world.network.counts["state request"], kDay * world.options.state_rps / 2);
+  EXPECT_LT(world.network.counts["state request"], kDurationSeconds * world.options.state_rps / 2);
   EXPECT_LT(world.network.counts["command"], world.starts / 4)
       << "launches ride in answers, commands only stop";
   if (std::getenv("SIM_SIZES") != nullptr) {
@@ -57,10 +57,10 @@
 TEST_F(LargeFleet, AllNodesRestartWhileTheStateServiceIsSlow) {
   World world(large_fleet(2));
   add_crowd(world, 300, 120);
-  double down = 0;  // of any shard, since the last restart
-  const auto until_active = [&world, &down](double since) {
+  double longest_inactive_s = 0;  // of any shard, since the last restart
+  const auto measure_until_active = [&world, &longest_inactive_s](double restarted_at) {
     auto check = std::make_shared<std::function<void()>>();
-    *check = [&world, &down, since, check] {
+    *check = [&world, &longest_inactive_s, restarted_at, check] {
       for (int p = 0; p < world.options.nodes; p++) {
         bool active = false;
         for (const Nodes::Process& process : world.nodes) {
@@ -72,13 +72,13 @@
           return;
         }
       }
-      down = std::max(down, world.now - since);
+      longest_inactive_s = std::max(longest_inactive_s, world.now - restarted_at);
     };
     world.in(0.5, [check] { (*check)(); });
   };
-  const auto restart_all = [&world, &until_active](double after) {
-    for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, after + world.uniform(0, 0.3));
-    until_active(world.now + after);
+  const auto restart_all = [&world, &measure_until_active](double delay_s) {
+    for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, delay_s + world.uniform(0, 0.3));
+    measure_until_active(world.now + delay_s);
   };
   world.at(60, [&world] { world.state.slow_s = 0.15; });
   world.at(70, [&restart_all] { restart_all(0.2); });
@@ -96,27 +96,27 @@
   world.run_until(330);
 
   expect_kept(world);
-  EXPECT_GT(down, 0);
-  EXPECT_LT(down, 8);  // the lease of a process before it, and some ten reads
+  EXPECT_GT(longest_inactive_s, 0);
+  EXPECT_LT(longest_inactive_s, 8);  // the lease of a process before it, and some ten reads
 }
 
 // Most of a zone's machines are cut off, a tenth of the others hang and some die for good, and copies of old
 // messages keep coming. What was only cut off is not given back, and what was lost is rented anew once, not
 // again and again.
-TEST_F(LargeFleet, MuchOfAZoneIsCutOffWhileMachinesHangAndDie) {
-  Options mixed = large_fleet(3);
-  mixed.copies = 0.02;
-  mixed.state_copies = 0.02;
-  World world(mixed);
+TEST_F(LargeFleet, MostOfAZoneIsPartitionedWhileMachinesHangAndDie) {
+  Options with_copies = large_fleet(3);
+  with_copies.copies = 0.02;
+  with_copies.state_copies = 0.02;
+  World world(with_copies);
   add_crowd(world, 300, 150);
-  std::vector<Worker*> cut;
+  std::vector<Worker*> cut_workers;
   int rented_before = 0;
-  world.at(60, [&world, &cut, &rented_before] {
+  world.at(60, [&world, &cut_workers, &rented_before] {
     rented_before = world.cloud.rented;
     int count = 0;
     for (auto& [name, worker] : world.workers) {
       if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // some 15 % of all
-      if (!worker->tasks.empty()) cut.push_back(worker.get());
+      if (!worker->tasks.empty()) cut_workers.push_back(worker.get());
       world.network.cut_off(name);
     }
   });
@@ -127,12 +127,12 @@
       worker->hang(world.uniform(10, 30));
     }
   });
-  world.at(95, [&world, &cut] {
+  world.at(95, [&world, &cut_workers] {
     world.network.cuts.clear();
-    int kept = 0;
-    for (const Worker* worker : cut) kept += worker->dead ? 0 : 1;
-    EXPECT_GT(cut.size(), 20u);
-    EXPECT_GT(kept * 10, static_cast<int>(cut.size()) * 9)
+    int alive = 0;
+    for (const Worker* worker : cut_workers) alive += worker->dead ? 0 : 1;
+    EXPECT_GT(cut_workers.size(), 20u);
+    EXPECT_GT(alive * 10, static_cast<int>(cut_workers.size()) * 9)
         << "machines that were only cut off were given back";
   });
   world.at(110, [&world] {
@@ -153,14 +153,14 @@
 // The controller that rents machines stands still for longer than any lease while its clocks run on, then
 // another one for a while. What waited in its sockets and timers must not be carried out as if it still owned
 // anything.
-TEST_F(LargeFleet, AFrozenControllerStartsNothingWhenItWakes) {
+TEST_F(LargeFleet, AFrozenControllerStartsNothingWhenItResumes) {
   World world(large_fleet(4));
   add_crowd(world, 300, 150);
-  const auto freeze = [&world](int node, double for_s) {
+  const auto freeze = [&world](int node, double duration_s) {
     const std::string name = node_name(node);
-    world.nodes.freeze(node, for_s);
+    world.nodes.freeze(node, duration_s);
     world.network.isolated[name] = world.now;
-    world.in(for_s + 0.01, [&world, name] { world.network.isolated.erase(name); });
+    world.in(duration_s + 0.01, [&world, name] { world.network.isolated.erase(name); });
   };
   world.at(60, [&freeze] { freeze(0, 30); });
   world.at(110, [&freeze] { freeze(2, 9); });
--- a/tests/job_status_test.cpp
+++ b/tests/job_status_test.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-const std::string kJob = "job-000412";
+const std::string kJobRef = "job-000412";
 const char* const kOpenJobRecord = R"({"k":"h","data":{"phase":"open"},"stamp":7})";
 const char* const kCancelledJobRecord = R"({"k":"h","data":{"phase":"aborted","spread":false},"stamp":8})";
 const char* const kSpreadJobRecord = R"({"k":"h","data":{"phase":"aborted","spread":true},"stamp":8})";
-const char* const kMissing = R"({"epoch":9})";
-const char* const kDone = R"({"k":"e","data":{"phase":"done","pieces":3},"stamp":9})";
+const char* const kMissingRecord = R"({"epoch":9})";
+const char* const kDoneRecord = R"({"k":"e","data":{"phase":"done","pieces":3},"stamp":9})";
 
 Settings settings() {
   Settings out;
@@ -30,8 +30,8 @@
 class JobStatuses : public ::testing::Test {
  protected:
   // Asks for a read; its finding comes into the list of this name.
-  void ask(std::vector<JobFinding>& findings) {
-    statuses_.read(kJob, [&findings](const JobFinding& found) { findings.push_back(found); });
+  void request_status(std::vector<JobFinding>& findings) {
+    statuses_.read(kJobRef, [&findings](const JobFinding& found) { findings.push_back(found); });
   }
   static bool is_status(const JobFinding& found, JobPhase phase) {
     return found.kind == JobFinding::Kind::kStatus && found.status.phase == phase;
@@ -47,26 +47,26 @@
 }  // namespace
 
 // The job ends while a read that began before the question is on its way back with "open".
-TEST_F(JobStatuses, AQuestionIsNotAnsweredByAReadThatBeganBeforeIt) {
+TEST_F(JobStatuses, ARequestIsNotAnsweredByAnEarlierRead) {
   std::vector<JobFinding> first;
   std::vector<JobFinding> second;
-  ask(first);
-  ask(second);
+  request_status(first);
+  request_status(second);
   ASSERT_EQ(env_.calls.size(), 1u);
   env_.answer(200, kOpenJobRecord);
   ASSERT_EQ(first.size(), 1u);
   EXPECT_TRUE(is_status(first[0], JobPhase::kQueued));
   ASSERT_TRUE(second.empty());
-  env_.answer(404, kMissing);
-  env_.answer(200, kDone);
+  env_.answer(404, kMissingRecord);
+  env_.answer(200, kDoneRecord);
   ASSERT_EQ(second.size(), 1u);
   EXPECT_TRUE(is_status(second[0], JobPhase::kDone));
   EXPECT_EQ(second[0].status.done, 3);
 }
 
-TEST_F(JobStatuses, HoweverManyAskThereAreTwoReadsAndABoundOnThoseWhoWait) {
+TEST_F(JobStatuses, ConcurrentRequestsShareReadsAndWaitersAreBounded) {
   std::vector<JobFinding> findings;
-  for (int i = 0; i < 200; i++) ask(findings);
+  for (int i = 0; i < 200; i++) request_status(findings);
   EXPECT_EQ(env_.calls.size(), 1u);
   const auto refused_at_once = findings.size();
   EXPECT_GT(refused_at_once, 100u);
@@ -79,14 +79,14 @@
     EXPECT_TRUE(is_status(findings[i], JobPhase::kQueued));
 }
 
-TEST_F(JobStatuses, WhatTheStateServiceDoesNotSayIsUndecided) {
+TEST_F(JobStatuses, AStatusThatTheStateServiceCannotGiveIsUndecided) {
   std::vector<JobFinding> findings;
-  ask(findings);
+  request_status(findings);
   env_.answer(503, R"({"error":"trouble"})");
-  ask(findings);
-  env_.answer(404, kMissing);
+  request_status(findings);
+  env_.answer(404, kMissingRecord);
   env_.answer(0, "");
-  ask(findings);
+  request_status(findings);
   env_.answer(200, kSpreadJobRecord);
   ASSERT_EQ(findings.size(), 3u);
   for (const JobFinding& found : findings) EXPECT_EQ(found.kind, JobFinding::Kind::kUndecided);
@@ -94,9 +94,9 @@
 
 TEST_F(JobStatuses, AJobWithoutRecordsIsUnknown) {
   std::vector<JobFinding> findings;
-  ask(findings);
-  env_.answer(404, kMissing);
-  env_.answer(404, kMissing);
+  request_status(findings);
+  env_.answer(404, kMissingRecord);
+  env_.answer(404, kMissingRecord);
   ASSERT_EQ(findings.size(), 1u);
   EXPECT_EQ(findings[0].kind, JobFinding::Kind::kUnknownJob);
 }
@@ -104,16 +104,16 @@
 // A terminal state that was read is told from then on, whatever the shard's owner still remembers.
 TEST_F(JobStatuses, ATerminalStateIsFinal) {
   owned_ = JobFinding{JobFinding::Kind::kStatus, {JobPhase::kRunning, 1, 2}};
-  EXPECT_TRUE(is_status(*statuses_.from_memory(kJob), JobPhase::kRunning));
+  EXPECT_TRUE(is_status(*statuses_.from_memory(kJobRef), JobPhase::kRunning));
   std::vector<JobFinding> findings;
-  ask(findings);
+  request_status(findings);
   env_.answer(200, kCancelledJobRecord);
-  EXPECT_TRUE(is_status(*statuses_.from_memory(kJob), JobPhase::kCancelled));
-  statuses_.note_terminal(kJob, {JobPhase::kDone, 3, 0});
-  EXPECT_TRUE(is_status(*statuses_.from_memory(kJob), JobPhase::kCancelled));
+  EXPECT_TRUE(is_status(*statuses_.from_memory(kJobRef), JobPhase::kCancelled));
+  statuses_.note_terminal(kJobRef, {JobPhase::kDone, 3, 0});
+  EXPECT_TRUE(is_status(*statuses_.from_memory(kJobRef), JobPhase::kCancelled));
 }
 
-TEST_F(JobStatuses, TheMemoryOfEndedJobsIsBounded) {
+TEST_F(JobStatuses, TheCacheOfTerminalStatesIsBounded) {
   for (int i = 0; i < 20000; i++)
     statuses_.note_terminal("job-" + std::to_string(100000 + i), {JobPhase::kDone, 1, 0});
   EXPECT_EQ(statuses_.terminal("job-100000"), nullptr);
--- a/tests/loopback/real_cluster.cpp
+++ b/tests/loopback/real_cluster.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr double kStep = 0.005;
-constexpr std::size_t kLargestBody = std::size_t{2} * 1024 * 1024;
-const std::string kState = "127.2.0.1:2379";
-const std::string kCloud = "127.2.0.2:8443";
+constexpr double kStepSeconds = 0.005;
+constexpr std::size_t kMaxBodyBytes = std::size_t{2} * 1024 * 1024;
+const std::string kStateAddress = "127.2.0.1:2379";
+const std::string kCloudAddress = "127.2.0.2:8443";
 
 // The addresses of the simulated cluster lie in 10.0.0.0/8, and their twins here in 127.0.0.0/8.
 std::string to_loopback(const std::string& address) { return "127" + address.substr(2); }
@@ -31,7 +31,7 @@
   return text;
 }
 
-std::string target_of(const HttpRequest& request) {
+std::string request_target(const HttpRequest& request) {
   return request.query.empty() ? request.path : request.path + "?" + request.query;
 }
 
@@ -44,12 +44,12 @@
 }  // namespace
 
 RealCluster::RealCluster(const sim::Options& options, std::string directory)
-    : world_(options), directory_(std::move(directory)), began_(env_.now()) {
+    : world_(options), directory_(std::move(directory)), started_at_(env_.now()) {
   world_.network.call_node = [this](const HttpCall& call, const std::function<void(HttpReply)>& reply) {
-    HttpCall real = call;
-    real.destination = to_loopback(call.destination);
-    real.body = addresses_to_loopback(call.body);
-    env_.call(std::move(real), reply);
+    HttpCall loopback_call = call;
+    loopback_call.destination = to_loopback(call.destination);
+    loopback_call.body = addresses_to_loopback(call.body);
+    env_.call(std::move(loopback_call), reply);
   };
   // (Once, before any process reads it: written again for each, it was empty for a moment, and a process that
   // was started before began without recovery.)
@@ -66,17 +66,19 @@
 
 void RealCluster::serve_state() {
   servers_.push_back(std::make_unique<HttpServer>(
-      env_.base(), kState, kLargestBody, 0, [this](const HttpRequest& request, const Responder& responder) {
+      env_.base(), kStateAddress, kMaxBodyBytes, 0,
+      [this](const HttpRequest& request, const Responder& responder) {
         world_.state.handle(
-            request.method, target_of(request), request.body,
+            request.method, request_target(request), request.body,
             [responder](int status, const Json& body) { responder.send(status, dump_json(body)); });
       }));
 }
 
 void RealCluster::serve_cloud() {
   servers_.push_back(std::make_unique<HttpServer>(
-      env_.base(), kCloud, kLargestBody, 0, [this](const HttpRequest& request, const Responder& responder) {
-        world_.cloud.handle(target_of(request), request.body, answer_with(responder));
+      env_.base(), kCloudAddress, kMaxBodyBytes, 0,
+      [this](const HttpRequest& request, const Responder& responder) {
+        world_.cloud.handle(request_target(request), request.body, answer_with(responder));
       }));
 }
 
@@ -85,7 +87,7 @@
     if (workers_.count(address) > 0) continue;
     const std::string at = address;
     workers_[address] = std::make_unique<HttpServer>(
-        env_.base(), to_loopback(address), kLargestBody, 0,
+        env_.base(), to_loopback(address), kMaxBodyBytes, 0,
         [this, at](const HttpRequest& request, const Responder& responder) {
           const auto found = world_.by_address.find(at);
           if (found == world_.by_address.end() || found->second->dead) return;
@@ -95,16 +97,16 @@
 }
 
 void RealCluster::step() {
-  world_.run_until(env_.now() - began_);
+  world_.run_until(env_.now() - started_at_);
   serve_new_workers();
-  env_.after(kStep, [this] { step(); });
+  env_.after(kStepSeconds, [this] { step(); });
 }
 
-bool RealCluster::run_until(const std::function<bool()>& holds, double patience_s) {
-  const double give_up_at = env_.now() + patience_s;
-  while (!holds()) {
-    if (env_.now() > give_up_at) return false;
-    env_.after(10 * kStep, [this] { env_.stop(); });
+bool RealCluster::run_until(const std::function<bool()>& condition, double timeout_s) {
+  const double deadline = env_.now() + timeout_s;
+  while (!condition()) {
+    if (env_.now() > deadline) return false;
+    env_.after(10 * kStepSeconds, [this] { env_.stop(); });
     env_.run();
   }
   return true;
@@ -121,7 +123,7 @@
     text << "[[members]]\nnode = \"" << sim::node_name(other) << "\"\narea = \"a\"\naddress = \""
          << to_loopback(sim::peer_address_of(other)) << "\"\n";
   }
-  text << "[outside]\ncloud = \"" << kCloud << "\"\nstate = \"" << kState << "\"\n"
+  text << "[outside]\ncloud = \"" << kCloudAddress << "\"\nstate = \"" << kStateAddress << "\"\n"
        << "[settings]\ninitial_size = 3\nzones = [\"a\", \"b\"]\nskew_ms = 100.0\n";
   for (const char* team : {"red", "blue"}) {
     text << "[[settings.teams]]\nname = \"" << team << "\"\ncpus = " << options.team_cpus
@@ -168,7 +170,7 @@
 
 // The program runs beside this process, whose loop goes on meanwhile: the controllers need their state
 // service.
-RealCluster::Output RealCluster::control(const std::string& arguments) {
+RealCluster::Output RealCluster::run_mothslipctl(const std::string& arguments) {
   std::string command = MOTHSLIPCTL_PROGRAM;
   for (int node = 0; node < world_.options.nodes; node++)
     command += " --at " + to_loopback(sim::peer_address_of(node));
--- a/tests/loopback/real_cluster.hpp
+++ b/tests/loopback/real_cluster.hpp
@@ -26,7 +26,7 @@
 
   [[nodiscard]] sim::World& world() { return world_; }
   // Lets time pass until this holds; false: it has not for so long.
-  bool run_until(const std::function<bool()>& holds, double patience_s);
+  bool run_until(const std::function<bool()>& condition, double timeout_s);
   // Ends the process at once, or all of them, and starts it again.
   void restart_node(int node);
   struct Output {
@@ -34,7 +34,7 @@
     std::string text;
   };
   // Runs mothslipctl against all controllers.
-  Output control(const std::string& arguments);
+  Output run_mothslipctl(const std::string& arguments);
 
  private:
   [[nodiscard]] std::string write_settings(int node) const;
@@ -51,7 +51,7 @@
   std::map<std::string, std::unique_ptr<HttpServer>> workers_;  // by address in the simulated cluster
   sim::World world_;
   std::string directory_;
-  double began_;
+  double started_at_;
   std::map<int, pid_t> processes_;
 };
 
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -15,7 +15,7 @@
 
 // Nothing here is a bound on how fast the service is: a test that waits so long will be ended by the test
 // runner.
-constexpr double kPatience = 1e9;
+constexpr double kNoTimeoutSeconds = 1e9;
 
 class Loopback : public ::testing::Test {
  protected:
@@ -33,7 +33,7 @@
     out.seed = 3;
     return out;
   }
-  static bool all_told(sim::World& world) {
+  static bool all_jobs_ended(sim::World& world) {
     return std::all_of(world.jobs.begin(), world.jobs.end(),
                        [](const auto& item) { return item.second.told_done || item.second.told_aborted; });
   }
@@ -42,61 +42,63 @@
 
 }  // namespace
 
-TEST_F(Loopback, EveryJobEndsOnceThoughTheStoreIsWipedWhileJobsRun) {
+TEST_F(Loopback, JobsRunOnceWhenTheStateServiceIsWiped) {
   RealCluster cluster(options(), directory_);
   sim::World& world = cluster.world();
   for (int number = 0; number < 6; number++) world.submit(sim::plain_job(world, number, 2, 4, 4 + number));
-  ASSERT_TRUE(cluster.run_until([&world] { return world.starts >= 8; }, kPatience));
+  ASSERT_TRUE(cluster.run_until([&world] { return world.starts >= 8; }, kNoTimeoutSeconds));
   world.state.empty();
-  ASSERT_TRUE(cluster.run_until([&world] { return all_told(world); }, kPatience));
+  ASSERT_TRUE(cluster.run_until([&world] { return all_jobs_ended(world); }, kNoTimeoutSeconds));
   EXPECT_TRUE(world.violations.empty()) << world.summary();
   for (const auto& [ref, job] : world.jobs) {
     EXPECT_TRUE(job.told_done) << ref;
     for (const auto& [task, starts] : job.starts) EXPECT_EQ(starts, 1) << ref << "/" << task;
   }
-  const RealCluster::Output status = cluster.control("--json recovery status");
+  const RealCluster::Output status = cluster.run_mothslipctl("--json recovery status");
   EXPECT_EQ(status.exit_code, 0) << status.text;
   EXPECT_EQ(parse_json(status.text).value("incarnation", 0), 2) << status.text;
-  const RealCluster::Output list = cluster.control("recovery unaccounted");
+  const RealCluster::Output list = cluster.run_mothslipctl("recovery unaccounted");
   EXPECT_EQ(list.exit_code, 0);
   EXPECT_EQ(list.text, "every job is accounted for\n");
 }
 
-TEST_F(Loopback, AnOperatorDecidesAboutJobsThatNobodyCanAccountFor) {
+TEST_F(Loopback, AnOperatorResolvesUnaccountedJobs) {
   RealCluster cluster(options(), directory_);
   sim::World& world = cluster.world();
   for (int number = 0; number < 3; number++) world.submit(sim::plain_job(world, number, 2, 2, 40));
-  ASSERT_TRUE(cluster.run_until([&world] { return world.starts >= 4; }, kPatience));
+  ASSERT_TRUE(cluster.run_until([&world] { return world.starts >= 4; }, kNoTimeoutSeconds));
   // All that remember end, and workers alone know what runs.
   world.state.empty();
   for (int node = 0; node < world.options.nodes; node++) cluster.restart_node(node);
   const auto rebuilt = [&cluster] {
-    const Json status = parse_json(cluster.control("--json recovery status").text);
+    const Json status = parse_json(cluster.run_mothslipctl("--json recovery status").text);
     return status.is_object() && status.value("serving", false) && status.value("incarnation", 0) == 2;
   };
-  ASSERT_TRUE(cluster.run_until(rebuilt, kPatience));
-  const RealCluster::Output table = cluster.control("recovery unaccounted");
+  ASSERT_TRUE(cluster.run_until(rebuilt, kNoTimeoutSeconds));
+  const RealCluster::Output table = cluster.run_mothslipctl("recovery unaccounted");
   EXPECT_EQ(table.exit_code, 0) << table.text;
-  const Json list = parse_json(cluster.control("--json recovery unaccounted").text);
+  const Json list = parse_json(cluster.run_mothslipctl("--json recovery unaccounted").text);
   ASSERT_FALSE(list["unaccounted"].empty());
   const std::string ref = list["unaccounted"][0]["job"];
   EXPECT_NE(table.text.find(ref), std::string::npos) << table.text;
   EXPECT_EQ(world.state.values().count("w/j/0/" + ref), 0u) << "its description is lost";
 
-  EXPECT_EQ(cluster.control("recovery resolve job-999999 --as done").exit_code, 1) << "it is not unaccounted";
-  EXPECT_EQ(cluster.control("recovery resolve " + ref + " --as lost").exit_code, 2);
-  const RealCluster::Output decision = cluster.control("recovery resolve " + ref + " --as done");
+  EXPECT_EQ(cluster.run_mothslipctl("recovery resolve job-999999 --as done").exit_code, 1)
+      << "it is not unaccounted";
+  EXPECT_EQ(cluster.run_mothslipctl("recovery resolve " + ref + " --as lost").exit_code, 2);
+  const RealCluster::Output decision = cluster.run_mothslipctl("recovery resolve " + ref + " --as done");
   EXPECT_EQ(decision.exit_code, 0) << decision.text;
   EXPECT_EQ(decision.text, ref + ": done\n");
-  const Json after = parse_json(cluster.control("--json recovery unaccounted").text);
+  const Json after = parse_json(cluster.run_mothslipctl("--json recovery unaccounted").text);
   for (const Json& entry : after["unaccounted"]) EXPECT_NE(entry["job"], ref);
-  ASSERT_TRUE(cluster.run_until([&world, &ref] { return world.jobs.at(ref).told_done; }, kPatience));
+  ASSERT_TRUE(cluster.run_until([&world, &ref] { return world.jobs.at(ref).told_done; }, kNoTimeoutSeconds));
 }
 
-TEST_F(Loopback, TheClientEndsWithAClearErrorWhereNobodyAnswers) {
+TEST_F(Loopback, TheClientReportsThatNoControllerAnswers) {
   RealCluster cluster(options(), directory_);
-  const RealCluster::Output nobody = cluster.control("--at 127.9.9.9:1 --timeout 1 recovery status");
-  EXPECT_EQ(nobody.exit_code, 0) << "the others answer: " << nobody.text;
+  const RealCluster::Output with_other_controllers =
+      cluster.run_mothslipctl("--at 127.9.9.9:1 --timeout 1 recovery status");
+  EXPECT_EQ(with_other_controllers.exit_code, 0) << "the others answer: " << with_other_controllers.text;
   FILE* pipe = popen(MOTHSLIPCTL_PROGRAM " --at 127.9.9.9:1 --timeout 1 recovery status 2>&1", "r");
   ASSERT_NE(pipe, nullptr);
   char text[200] = {};
--- a/tests/measure_recovery.cpp
+++ b/tests/measure_recovery.cpp
@@ -12,21 +12,21 @@
 
 namespace {
 
-constexpr double kLossAt = 150;
-constexpr double kEnd = 700;
-constexpr double kNever = -1;
+constexpr double kLossAtSeconds = 150;
+constexpr double kEndAtSeconds = 700;
+constexpr double kNotObserved = -1;
 
-struct Measured {
-  double published = kNever;  // seconds after the loss
-  double first_start = kNever;
-  double nine_tenths_answered = kNever;
+struct Measurement {
+  double published_after_s = kNotObserved;  // seconds after the loss
+  double first_start_after_s = kNotObserved;
+  double nine_tenths_answered_after_s = kNotObserved;
   std::size_t machines = 0;
-  int placed_before = 0;
+  int placed_before_loss = 0;
   int lost_tasks = 0;
   int changes = 0;
 };
 
-bool all_serve(const World& world) {
+bool all_nodes_serve(const World& world) {
   for (const auto& process : world.nodes) {
     if (!process.node || !process.node->serving() || process.node->incarnation().is_first()) return false;
   }
@@ -38,26 +38,27 @@
   int open = 0;
   int answered = 0;
   for (const auto& [ref, job] : world.jobs) {
-    if (!job.accepted || job.told_done || job.told_aborted || job.submit_at > kLossAt) continue;
+    if (!job.accepted || job.told_done || job.told_aborted || job.submit_at > kLossAtSeconds) continue;
     open++;
     answered += job.asked_since < 0 ? 1 : 0;
   }
   return open == 0 ? 1 : static_cast<double>(answered) / open;
 }
 
-void observe(World& world, Measured& out, int starts_at_loss) {
-  const double since = world.now - kLossAt;
-  const bool serving = all_serve(world);
-  if (out.published < 0 && serving) {
-    out.published = since;
+void observe(World& world, Measurement& out, int starts_at_loss) {
+  const double since_loss_s = world.now - kLossAtSeconds;
+  const bool serving = all_nodes_serve(world);
+  if (out.published_after_s < 0 && serving) {
+    out.published_after_s = since_loss_s;
     starts_at_loss = world.starts;
   }
-  if (serving && out.first_start < 0 && world.starts > starts_at_loss) out.first_start = since;
+  if (serving && out.first_start_after_s < 0 && world.starts > starts_at_loss)
+    out.first_start_after_s = since_loss_s;
   // (Users ask every 5 s: before that nobody has asked again.)
-  constexpr double kAskedAgain = 6;
-  if (serving && out.nine_tenths_answered < 0 && since > out.published + kAskedAgain &&
-      answered_share(world) >= 0.9)
-    out.nine_tenths_answered = since;
+  constexpr double kPollMarginSeconds = 6;
+  if (serving && out.nine_tenths_answered_after_s < 0 &&
+      since_loss_s > out.published_after_s + kPollMarginSeconds && answered_share(world) >= 0.9)
+    out.nine_tenths_answered_after_s = since_loss_s;
   world.in(0.1, [&world, &out, starts_at_loss] { observe(world, out, starts_at_loss); });
 }
 
@@ -72,32 +73,35 @@
   options.team_cpus = options.team_max * market / kLargeMarket;
   World world(options);
   add_crowd(world, std::max(20, 4 * market), 250);
-  Measured measured;
+  Measurement measurement;
   StateService::Copy copy;
-  if (loss != "emptied") world.at(kLossAt - std::atof(loss.c_str()), [&] { copy = world.state.copy(); });
-  world.at(kLossAt, [&] {
+  if (loss != "emptied")
+    world.at(kLossAtSeconds - std::atof(loss.c_str()), [&] { copy = world.state.copy(); });
+  world.at(kLossAtSeconds, [&] {
     for (const auto& [name, worker] : world.workers) {
       if (!worker->up()) continue;
-      measured.machines++;
-      for (const Task& task : worker->tasks) measured.placed_before += worker->on_machine(task) ? 1 : 0;
+      measurement.machines++;
+      for (const Task& task : worker->tasks)
+        measurement.placed_before_loss += worker->on_machine(task) ? 1 : 0;
     }
-    measured.changes = world.state.changes_made;
-    measured.lost_tasks = world.lost_to_leases;
+    measurement.changes = world.state.changes_made;
+    measurement.lost_tasks = world.lost_to_leases;
     world.state.restore(copy);
-    observe(world, measured, world.starts);
+    observe(world, measurement, world.starts);
   });
-  world.at(kLossAt + 60, [&] {
-    measured.changes = world.state.changes_made - measured.changes;
-    measured.lost_tasks = world.lost_to_leases - measured.lost_tasks;
+  world.at(kLossAtSeconds + 60, [&] {
+    measurement.changes = world.state.changes_made - measurement.changes;
+    measurement.lost_tasks = world.lost_to_leases - measurement.lost_tasks;
   });
-  world.run_until(kEnd);
-  int told = 0;
-  for (const auto& [ref, job] : world.jobs) told += job.told_done || job.told_aborted ? 1 : 0;
-  std::cout << "machines " << measured.machines << ", tasks on them " << measured.placed_before << ", loss "
-            << loss << ": serving after " << measured.published << " s, first start after "
-            << measured.first_start << " s, nine tenths of open jobs answered after "
-            << measured.nine_tenths_answered << " s, changes in 60 s " << measured.changes << ", tasks lost "
-            << measured.lost_tasks << ", jobs ended " << told << " of " << world.jobs.size()
-            << ", rules broken " << world.violations.size() << '\n';
+  world.run_until(kEndAtSeconds);
+  int ended_jobs = 0;
+  for (const auto& [ref, job] : world.jobs) ended_jobs += job.told_done || job.told_aborted ? 1 : 0;
+  std::cout << "machines " << measurement.machines << ", tasks on them " << measurement.placed_before_loss
+            << ", loss " << loss << ": serving after " << measurement.published_after_s
+            << " s, first start after " << measurement.first_start_after_s
+            << " s, nine tenths of open jobs answered after " << measurement.nine_tenths_answered_after_s
+            << " s, changes in 60 s " << measurement.changes << ", tasks lost " << measurement.lost_tasks
+            << ", jobs ended " << ended_jobs << " of " << world.jobs.size() << ", rules broken "
+            << world.violations.size() << '\n';
   return world.violations.empty() ? 0 : 1;
 }
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -13,9 +13,9 @@
 
 using Route = ReportRelay::Route;
 
-constexpr std::uint64_t kToken = 41;
+constexpr std::uint64_t kOwnerToken = 41;
 
-ReportRelay::Visit visit(std::uint64_t token, std::uint64_t owner_token = kToken) {
+ReportRelay::Visit make_visit(std::uint64_t token, std::uint64_t owner_token = kOwnerToken) {
   return {"host-000001", token, "roost-1", owner_token};
 }
 
@@ -39,31 +39,31 @@
 
 }  // namespace
 
-TEST(ReportRelay, ANewWorkerIsRedirectedAndOneThatComesBackIsRelayed) {
+TEST(ReportRelay, ANewWorkerIsRedirectedAndAReturningOneIsRelayed) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 100);
-  EXPECT_EQ(relay.route(visit(0), 100), Route::kRedirect);
-  EXPECT_EQ(relay.route(visit(0), 100.3), Route::kRedirect) << "too soon to have failed at the owner";
-  relay.heard_from("roost-1", {kToken}, 106);
-  EXPECT_EQ(relay.route(visit(0), 106), Route::kRelay);
+  relay.heard_from("roost-1", {kOwnerToken}, 100);
+  EXPECT_EQ(relay.route(make_visit(0), 100), Route::kRedirect);
+  EXPECT_EQ(relay.route(make_visit(0), 100.3), Route::kRedirect) << "too soon to have failed at the owner";
+  relay.heard_from("roost-1", {kOwnerToken}, 106);
+  EXPECT_EQ(relay.route(make_visit(0), 106), Route::kRelay);
 }
 
 TEST(ReportRelay, AWorkerThatTheOwnerHasServedIsRelayedAtOnce) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 100);
+  relay.heard_from("roost-1", {kOwnerToken}, 100);
   // A new owner shows its token to machines that it has not served yet.
-  EXPECT_EQ(relay.route(visit(kToken), 101), Route::kRedirect);
-  relay.heard_from("roost-1", {kToken}, 130);
-  EXPECT_EQ(relay.route(visit(kToken), 130), Route::kRelay);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 101), Route::kRedirect);
+  relay.heard_from("roost-1", {kOwnerToken}, 130);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 130), Route::kRelay);
 }
 
-TEST(ReportRelay, TheWayToTheOwnerIsTriedAgainInTime) {
+TEST(ReportRelay, WorkersAreRedirectedToTheOwnerPeriodically) {
   ReportRelay relay;
   int redirects = 0;
   int relays = 0;
   for (double now = 20; now < 220; now += 2) {
-    relay.heard_from("roost-1", {kToken}, now);
-    const Route route = relay.route(visit(kToken), now);
+    relay.heard_from("roost-1", {kOwnerToken}, now);
+    const Route route = relay.route(make_visit(kOwnerToken), now);
     redirects += route == Route::kRedirect ? 1 : 0;
     relays += route == Route::kRelay ? 1 : 0;
   }
@@ -72,49 +72,49 @@
 }
 
 // Through one node for a while, then through another: back here it is not redirected once more first.
-TEST(ReportRelay, OneThatWasRelayedHereLongAgoIsRelayedAtOnce) {
+TEST(ReportRelay, APreviouslyRelayedWorkerIsRelayedAtOnce) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 0);
-  relay.heard_from("roost-1", {kToken}, 20);
-  EXPECT_EQ(relay.route(visit(kToken), 20), Route::kRelay);
-  relay.heard_from("roost-1", {kToken}, 60);
-  EXPECT_EQ(relay.route(visit(kToken), 60), Route::kRelay);
+  relay.heard_from("roost-1", {kOwnerToken}, 0);
+  relay.heard_from("roost-1", {kOwnerToken}, 20);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kRelay);
+  relay.heard_from("roost-1", {kOwnerToken}, 60);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 60), Route::kRelay);
 }
 
-TEST(ReportRelay, AnOwnerThatCannotBeReachedFromHereIsLeftToOtherNodes) {
+TEST(ReportRelay, AWorkerIsSentToTheNextNodeWhenTheOwnerIsUnreachable) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 0);
-  EXPECT_EQ(relay.route(visit(kToken), 20), Route::kNextNode);
-  relay.heard_from("roost-1", {kToken}, 22);
-  EXPECT_EQ(relay.route(visit(kToken), 22), Route::kRelay);
+  relay.heard_from("roost-1", {kOwnerToken}, 0);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kNextNode);
+  relay.heard_from("roost-1", {kOwnerToken}, 22);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 22), Route::kRelay);
   relay.relay_failed("roost-1");
-  EXPECT_EQ(relay.route(visit(kToken), 23), Route::kNextNode);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 23), Route::kNextNode);
 }
 
-TEST(ReportRelay, ANewOwnerIsRedirectedToAndMachinesAreForgotten) {
+TEST(ReportRelay, ANewOwnerCausesARedirectAndOldMachinesExpire) {
   ReportRelay relay;
-  relay.heard_from("roost-1", {kToken}, 0);
-  relay.heard_from("roost-1", {kToken}, 20);
-  EXPECT_EQ(relay.route(visit(kToken), 20), Route::kRelay);
-  EXPECT_EQ(relay.route(visit(kToken, kToken + 1), 21), Route::kRedirect);
-  EXPECT_EQ(relay.route({"host-000002", 0, "roost-1", kToken}, 22), Route::kRedirect);
+  relay.heard_from("roost-1", {kOwnerToken}, 0);
+  relay.heard_from("roost-1", {kOwnerToken}, 20);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kRelay);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken, kOwnerToken + 1), 21), Route::kRedirect);
+  EXPECT_EQ(relay.route({"host-000002", 0, "roost-1", kOwnerToken}, 22), Route::kRedirect);
   EXPECT_EQ(relay.size(), 2u);
-  relay.route({"host-000003", 0, "roost-1", kToken}, 300);
+  relay.route({"host-000003", 0, "roost-1", kOwnerToken}, 300);
   EXPECT_EQ(relay.size(), 1u);
 }
 
 // Incident ae2d: a controller that no machine reached, with everything else in order, kept its shards for 40
 // s while the leases of all its machines ran out, 264 tasks with them.
-TEST_P(Reachability, AnOwnerIsCutFromItsWorkers) {
+TEST_P(Reachability, AnOwnerIsPartitionedFromItsWorkers) {
   World world(options());
   add_long_jobs(world);
-  int on_its_machines = 0;
-  int lost_before = 0;
+  int tasks_on_cut_machines = 0;
+  int lost_before_cut = 0;
   world.at(45, [&] {
-    lost_before = world.lost_to_leases;
+    lost_before_cut = world.lost_to_leases;
     for (auto& [name, worker] : world.workers) {
       if (world.nodes.owner_of(shard_of(name, world.options.nodes)) == 0)
-        on_its_machines += static_cast<int>(worker->tasks.size());
+        tasks_on_cut_machines += static_cast<int>(worker->tasks.size());
     }
     world.network.cut_from_workers(0);
   });
@@ -124,8 +124,9 @@
   world.run_until(400);
 
   expect_kept(world);
-  EXPECT_GT(on_its_machines, 0);
-  EXPECT_EQ(world.lost_to_leases, lost_before) << "of " << on_its_machines << " tasks on its machines";
+  EXPECT_GT(tasks_on_cut_machines, 0);
+  EXPECT_EQ(world.lost_to_leases, lost_before_cut)
+      << "of " << tasks_on_cut_machines << " tasks on its machines";
 }
 
 // The machines of one zone cannot reach a node and some of the others; they are served all the same.
@@ -134,14 +135,14 @@
   large.nodes = 5;
   World world(large);
   add_long_jobs(world);
-  int cut = 0;
-  int lost_before = 0;
+  int busy_machines_cut = 0;
+  int lost_before_cut = 0;
   world.at(45, [&] {
-    lost_before = world.lost_to_leases;
+    lost_before_cut = world.lost_to_leases;
     for (auto& [name, worker] : world.workers) {
       if (!worker->up() || worker->zone != "a") continue;
       world.network.cuts.insert({name, node_name(1)});
-      cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
+      busy_machines_cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
     }
     world.network.cuts.insert({node_name(1), node_name(2)});  // the next node that they try
   });
@@ -151,8 +152,8 @@
   world.run_until(400);
 
   expect_kept(world);
-  EXPECT_GT(cut, 0);
-  EXPECT_EQ(world.lost_to_leases, lost_before);
+  EXPECT_GT(busy_machines_cut, 0);
+  EXPECT_EQ(world.lost_to_leases, lost_before_cut);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Reachability, ::testing::Range(0, seeds()));
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -34,29 +34,29 @@
 
 // Section 3.4.1: <10 GB, 6 cores> takes three tasks of type II and one of type I, and is then full.
 TEST(Fitness, ThePapersTable) {
-  const Resources one = {3, 1, 0};  // type I: cores, GB
-  const Resources two = {1, 3, 0};  // type II
-  const Resources weights = {1, 1, 0};
+  const Resources type_one = {3, 1, 0};  // type I: cores, GB
+  const Resources type_two = {1, 3, 0};  // type II
+  const Resources resource_weights = {1, 1, 0};
   Resources room = {6, 10, 0};
   const double expected[][2] = {{28, 36}, {22, 26}, {16, 16}, {6, 10}};
-  PreferenceWeights w;
-  w.urgency = w.alignment = 0;
-  w.resource = weights;
-  int taken[2] = {0, 0};
+  PreferenceWeights preference_weights;
+  preference_weights.urgency = preference_weights.alignment = 0;
+  preference_weights.resource = resource_weights;
+  int placed_counts[2] = {0, 0};
   const int order[] = {1, 1, 0, 1};  // at <4,4> both score 16: the paper leaves the tie open
   for (int step = 0; step < 4; step++) {
-    EXPECT_DOUBLE_EQ(fitness(one, room, weights), expected[step][0]);
-    EXPECT_DOUBLE_EQ(fitness(two, room, weights), expected[step][1]);
-    const int best = choose_request(room, {request(one), request(two)}, w);
+    EXPECT_DOUBLE_EQ(fitness(type_one, room, resource_weights), expected[step][0]);
+    EXPECT_DOUBLE_EQ(fitness(type_two, room, resource_weights), expected[step][1]);
+    const int best = choose_request(room, {request(type_one), request(type_two)}, preference_weights);
     ASSERT_EQ(best, order[step]);
-    const Resources& chosen = best == 0 ? one : two;
+    const Resources& chosen = best == 0 ? type_one : type_two;
     for (std::size_t r = 0; r < 3; r++) room[r] -= chosen[r];
-    taken[best]++;
+    placed_counts[best]++;
   }
-  EXPECT_EQ(taken[0], 1);
-  EXPECT_EQ(taken[1], 3);
+  EXPECT_EQ(placed_counts[0], 1);
+  EXPECT_EQ(placed_counts[1], 3);
   EXPECT_EQ(room, (Resources{0, 0, 0}));
-  EXPECT_EQ(choose_request(room, {request(one), request(two)}, w), -1);
+  EXPECT_EQ(choose_request(room, {request(type_one), request(type_two)}, preference_weights), -1);
 }
 
 TEST(Preference, TermsAreMinMaxNormalisedAndWeighted) {
@@ -69,24 +69,24 @@
   c.held = {8, 8, 0};
   c.stages = 3;
   c.stages_finished = 1;
-  const PreferenceWeights w;  // 0.2, 0.2, 0.6
-  const auto p = preferences({8, 8, 0}, {a, b, c}, w);
+  const PreferenceWeights preference_weights;  // 0.2, 0.2, 0.6
+  const auto scores = preferences({8, 8, 0}, {a, b, c}, preference_weights);
   // F: 64, 16, 32; U: 0, 8, 4; A: 1/5, 1/5, 4/5.
-  EXPECT_NEAR(p[0], 0.2, 1e-12);
-  EXPECT_NEAR(p[1], 0.2, 1e-12);
-  EXPECT_NEAR(p[2], 0.2 / 3 + 0.1 + 0.6, 1e-12);
+  EXPECT_NEAR(scores[0], 0.2, 1e-12);
+  EXPECT_NEAR(scores[1], 0.2, 1e-12);
+  EXPECT_NEAR(scores[2], 0.2 / 3 + 0.1 + 0.6, 1e-12);
 }
 
-TEST(Preference, AFlatTermAddsNothing) {
+TEST(Preference, ATermThatIsEqualForAllAddsNothing) {
   ResourceRequest a = request({2, 2, 0});
   ResourceRequest b = request({1, 1, 0});
-  const auto p = preferences({8, 8, 0}, {a, b}, {});
-  EXPECT_DOUBLE_EQ(p[0], 0.2) << "urgency and alignment are the same for both";
-  EXPECT_DOUBLE_EQ(p[1], 0);
+  const auto scores = preferences({8, 8, 0}, {a, b}, {});
+  EXPECT_DOUBLE_EQ(scores[0], 0.2) << "urgency and alignment are the same for both";
+  EXPECT_DOUBLE_EQ(scores[1], 0);
   EXPECT_DOUBLE_EQ(preferences({8, 8, 0}, {a}, {})[0], 0);
 }
 
-TEST(Preference, WhatDoesNotFitIsNotListed) {
+TEST(Preference, RequestsThatDoNotFitAreExcluded) {
   ResourceRequest big = request({9, 1, 0});
   ResourceRequest small = request({1, 1, 0});
   EXPECT_EQ(choose_request({8, 8, 0}, {big, small}, {}), 1);
@@ -111,7 +111,7 @@
   EXPECT_DOUBLE_EQ(deadline_pressure(25, 10), 0.5);
 }
 
-TEST(Sizing, RentsTheCheapestThatFitsAndSpreads) {
+TEST(Sizing, RentsTheCheapestFittingTypeAndAvoidsRefusedMarkets) {
   const std::vector<FleetType> types = {type(8, 64, 0.62, 0.19), type(32, 64, 1.71, 0.50)};
   std::vector<FleetMarket> markets;
   for (int t : {0, 1}) {
@@ -139,7 +139,7 @@
   EXPECT_TRUE(plan.new_machines.empty());
 }
 
-TEST(Sizing, WhatIsFreeOrBootingIsUsedFirst) {
+TEST(Sizing, FreeAndBootingMachinesAreUsedFirst) {
   const std::vector<FleetType> types = {type(8, 64, 0.62, 0.19)};
   const std::vector<FleetMarket> markets = {{0, 0, true, false, 0}};
   FleetMachine machine;
@@ -156,7 +156,7 @@
   EXPECT_EQ(plan.new_machines[0].count, 1);
 }
 
-TEST(Sizing, NothingIsRentedForADeadlineThatIsMetAnyway) {
+TEST(Sizing, NothingIsRentedForADeadlineThatTheFleetMeets) {
   const std::vector<FleetType> types = {type(8, 64, 0.62, 0.19)};  // boots in 30 s
   const std::vector<FleetMarket> markets = {{0, 0, false, false, 0}};
   FleetMachine busy;
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -22,13 +22,14 @@
   return out;
 }
 
-class Player {
+class TracePlayer {
  public:
-  Player() : world_(one_node()) {
+  TracePlayer() : world_(one_node()) {
     set_up_log();
     world_.network.outside = [this](const HttpCall& call) {
       const Json body = parse_json(call.body);
-      said_.push_back("~ " + call.destination.substr(0, call.destination.find(':')) + " " + orders(body));
+      output_.push_back("~ " + call.destination.substr(0, call.destination.find(':')) + " " +
+                        format_orders(body));
     };
     world_.run_until(5);
     world_.cloud.outage = true;  // the trace brings its own machines
@@ -36,7 +37,7 @@
 
   // What the controller says to one line of the trace.
   std::vector<std::string> play(const std::string& line) {
-    said_.clear();
+    output_.clear();
     std::istringstream in(line);
     std::string verb;
     in >> verb;
@@ -51,8 +52,8 @@
       const HttpReply reply =
           ask(poll ? "GET" : "POST", "/v2/runs/" + ref + (poll ? "" : "/cancel"), poll ? "" : "{}");
       const Json body = parse_json(reply.body);
-      said_.push_back("= " + std::to_string(reply.status) + " " +
-                      (body.is_object() ? body.value("phase", body.value("error", "")) : ""));
+      output_.push_back("= " + std::to_string(reply.status) + " " +
+                        (body.is_object() ? body.value("phase", body.value("error", "")) : ""));
     } else if (verb == "wait") {
       double seconds = 0;
       in >> seconds;
@@ -69,18 +70,18 @@
     } else {
       ADD_FAILURE() << "no such verb: " << line;
     }
-    return said_;
+    return output_;
   }
 
  private:
   HttpReply ask(const std::string& method, const std::string& path, const std::string& body) {
     HttpReply out;
-    bool over = false;
+    bool is_complete = false;
     world_.network.send("user", {"10.0.0.1:8080", method, path, body, 5}, [&](HttpReply reply) {
       out = std::move(reply);
-      over = true;
+      is_complete = true;
     });
-    while (!over) world_.run_until(world_.now + 0.01);
+    while (!is_complete) world_.run_until(world_.now + 0.01);
     return out;
   }
 
@@ -115,7 +116,7 @@
       report["pieces"].push_back(item);
     }
     const HttpReply reply = ask("POST", "/hello", report.dump());
-    said_.push_back("= " + std::to_string(reply.status) + " " + orders(parse_json(reply.body)));
+    output_.push_back("= " + std::to_string(reply.status) + " " + format_orders(parse_json(reply.body)));
   }
 
   // submit REF pieces=N cores=N owner=TEAM [field=value]...
@@ -148,11 +149,11 @@
     }
     const HttpReply reply = ask("POST", "/v2/runs", body.dump());
     const Json answer = parse_json(reply.body);
-    said_.push_back("= " + std::to_string(reply.status) + " " +
-                    (answer.is_object() ? answer.value("phase", answer.value("error", "")) : ""));
+    output_.push_back("= " + std::to_string(reply.status) + " " +
+                      (answer.is_object() ? answer.value("phase", answer.value("error", "")) : ""));
   }
 
-  std::string orders(const Json& body) {
+  std::string format_orders(const Json& body) {
     if (!body.is_object() || !body.contains("baton")) return body.is_object() ? body.value("error", "") : "";
     std::string out = alias(fencing_tokens_, "B", body["baton"].get<std::uint64_t>());
     for (const Json& order : body["orders"]) {
@@ -165,8 +166,8 @@
   // Tokens and attempts are named in the order in which they are first seen.
   static std::string alias(std::map<std::string, std::uint64_t>& names, const char* letter,
                            std::uint64_t value) {
-    for (const auto& [name, known] : names) {
-      if (known == value) return name;
+    for (const auto& [name, existing] : names) {
+      if (existing == value) return name;
     }
     std::string name = letter + std::to_string(names.size() + 1);
     names.emplace(name, value);
@@ -176,7 +177,7 @@
   World world_;
   std::map<std::string, std::uint64_t> fencing_tokens_;
   std::map<std::string, std::uint64_t> attempts_;
-  std::vector<std::string> said_;
+  std::vector<std::string> output_;
 };
 
 std::vector<std::string> trace_files() {
@@ -192,23 +193,23 @@
 
 }  // namespace
 
-TEST_P(Trace, IsDecidedAsWritten) {
+TEST_P(Trace, ProducesTheRecordedDecisions) {
   std::ifstream file(std::string(TRACES_DIR) + "/" + GetParam() + ".trace");
-  Player player;
+  TracePlayer player;
   std::string line;
   std::string step;
   std::vector<std::string> expected;
-  int number = 0;
-  int at = 0;
+  int line_number = 0;
+  int step_line = 0;
   int checked = 0;
   const auto finish = [&] {
     if (step.empty()) return;
-    EXPECT_EQ(player.play(step), expected) << GetParam() << ".trace:" << at << ": " << step;
+    EXPECT_EQ(player.play(step), expected) << GetParam() << ".trace:" << step_line << ": " << step;
     checked += static_cast<int>(expected.size());
     expected.clear();
   };
   while (std::getline(file, line)) {
-    number++;
+    line_number++;
     if (line.empty() || line[0] == '#') continue;
     if (line[0] == '=' || line[0] == '~') {
       expected.push_back(line);
@@ -216,11 +217,11 @@
     }
     finish();
     step = line;
-    at = number;
+    step_line = line_number;
   }
   finish();
   EXPECT_GT(checked, 0);
 }
 
-INSTANTIATE_TEST_SUITE_P(Kept, Trace, ::testing::ValuesIn(trace_files()),
+INSTANTIATE_TEST_SUITE_P(Recorded, Trace, ::testing::ValuesIn(trace_files()),
                          [](const auto& test) { return test.param; });
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-Json good_job() {
+Json valid_job() {
   return parse_json(
       R"({"ref":"job-000412","workload":"train","owner":"vision","shape":"array","urgency":"urgent",
     "pieces":16,"cores":8.0,"accelerators":0,"memory_gb":64.0,"bundle":"img-07","pull_gb":6.2,"flavours":["g8"],
@@ -23,7 +23,7 @@
     "snapshot_cost_s":4.0,"due_s":900.0,"later":"ignored"})");
 }
 
-const char* const kSettings = R"(
+const char* const kSettingsToml = R"(
 node = "roost-0"
 area = "a"
 front = "10.0.0.1:8080"
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-TEST(Ranges, BehaveLikeASetOfIndicesAndSurviveTheirTextForm) {
+TEST(Ranges, MatchASetOfIndicesAndSurviveTheTextForm) {
   std::mt19937 rng(7);
   RangeSet ranges;
   std::set<int> model;
@@ -94,18 +94,18 @@
     ASSERT_EQ(ranges.contains(first), model.count(first) > 0);
     ASSERT_EQ(ranges.first().value_or(-1), model.empty() ? -1 : *model.begin());
   }
-  const auto back = RangeSet::from_text(ranges.to_text(), 1000);
-  ASSERT_TRUE(back.has_value());
-  EXPECT_EQ(back->ranges(), ranges.ranges());
+  const auto restored = RangeSet::from_text(ranges.to_text(), 1000);
+  ASSERT_TRUE(restored.has_value());
+  EXPECT_EQ(restored->ranges(), ranges.ranges());
 }
 
-TEST(Ranges, AFullJobOfTheLargestSizeIsAFewBytes) {
+TEST(Ranges, ACompleteRangeHasAShortTextForm) {
   RangeSet all;
   for (int i = 0; i < 100000; i++) all.insert(i);
   EXPECT_EQ(all.to_text(), "0+100000");
 }
 
-TEST(Ranges, DamagedTextIsNotBelieved) {
+TEST(Ranges, DamagedTextIsRejected) {
   for (const char* text : {"x", "0+", "1,", "-1", "0+0", "0+11", "5,5", "1+2+3", "99999999999"}) {
     EXPECT_FALSE(RangeSet::from_text(text, 10).has_value()) << text;
   }
@@ -113,26 +113,26 @@
 }
 
 TEST(Records, SurviveTheRoundTrip) {
-  std::string why;
-  JobRecord job_record{*parse_job(good_job(), why), 12.5, true};
-  const auto head2 = JobRecord::from_json(parse_json(dump_json(job_record.to_json())));
-  ASSERT_TRUE(head2.has_value());
-  EXPECT_TRUE(head2->cancelled);
-  EXPECT_EQ(job_to_json(head2->spec), job_to_json(job_record.spec));
+  std::string bad_field;
+  JobRecord job_record{*parse_job(valid_job(), bad_field), 12.5, true};
+  const auto restored_job = JobRecord::from_json(parse_json(dump_json(job_record.to_json())));
+  ASSERT_TRUE(restored_job.has_value());
+  EXPECT_TRUE(restored_job->cancelled);
+  EXPECT_EQ(job_to_json(restored_job->spec), job_to_json(job_record.spec));
 
-  MachineRecord machine_name{
+  MachineRecord machine_record{
       "10.1.0.2:9000", "g8", "a", true, 3, {{"job-2", 5, 9}, {"job-1", 0, 7}, {"job-2", 6, 10}}, {}};
-  const auto host2 = MachineRecord::from_json(parse_json(dump_json(machine_name.to_json())));
-  ASSERT_TRUE(host2.has_value());
-  EXPECT_EQ(host2->to_json(), machine_name.to_json());
-  EXPECT_EQ(host2->placements.size(), 3u);
+  const auto restored_machine = MachineRecord::from_json(parse_json(dump_json(machine_record.to_json())));
+  ASSERT_TRUE(restored_machine.has_value());
+  EXPECT_EQ(restored_machine->to_json(), machine_record.to_json());
+  EXPECT_EQ(restored_machine->placements.size(), 3u);
   EXPECT_FALSE(MachineRecord::from_json(parse_json(R"({"a":1})")).has_value());
 }
 
-TEST(Submission, AGoodJobIsReadInFull) {
-  std::string why;
-  const auto spec = parse_job(good_job(), why);
-  ASSERT_TRUE(spec.has_value()) << why;
+TEST(Submission, AValidJobIsParsedInFull) {
+  std::string bad_field;
+  const auto spec = parse_job(valid_job(), bad_field);
+  ASSERT_TRUE(spec.has_value()) << bad_field;
   EXPECT_EQ(spec->task_count, 16);
   EXPECT_EQ(spec->urgency, Urgency::kUrgent);
   EXPECT_EQ(spec->machine_types->front(), "g8");
@@ -140,8 +140,8 @@
   EXPECT_DOUBLE_EQ(*spec->deadline_s, 900);
 }
 
-TEST(Submission, EachBadFieldIsNamed) {
-  const std::vector<std::pair<std::string, Json>> bad = {
+TEST(Submission, EachInvalidFieldIsNamed) {
+  const std::vector<std::pair<std::string, Json>> invalid = {
       {"ref", "x-1"},      {"ref", "job-"},       {"ref", "job-1x"},
       {"ref", 7},          {"workload", nullptr}, {"owner", ""},
       {"shape", "daemon"}, {"urgency", "high"},   {"pieces", 0},
@@ -151,56 +151,56 @@
       {"hall", 3},         {"together", 1},       {"loaner", nullptr},
       {"guess_s", -2},     {"due_s", "soon"},     {"snapshot_every_s", -1},
   };
-  for (const auto& [field, value] : bad) {
-    Json job = good_job();
+  for (const auto& [field, value] : invalid) {
+    Json job = valid_job();
     job[field] = value;
-    std::string why;
-    EXPECT_FALSE(parse_job(job, why).has_value()) << field << " " << value;
-    EXPECT_EQ(why, field);
+    std::string bad_field;
+    EXPECT_FALSE(parse_job(job, bad_field).has_value()) << field << " " << value;
+    EXPECT_EQ(bad_field, field);
   }
   for (const char* field : {"ref", "pieces", "cores", "bundle", "loaner", "guess_s"}) {
-    Json job = good_job();
+    Json job = valid_job();
     job.erase(field);
-    std::string why;
-    EXPECT_FALSE(parse_job(job, why).has_value()) << field;
+    std::string bad_field;
+    EXPECT_FALSE(parse_job(job, bad_field).has_value()) << field;
   }
-  Json job = good_job();
+  Json job = valid_job();
   for (const char* field : {"flavours", "hall", "due_s"}) job.erase(field);
-  std::string why;
-  EXPECT_TRUE(parse_job(job, why).has_value()) << why;
+  std::string bad_field;
+  EXPECT_TRUE(parse_job(job, bad_field).has_value()) << bad_field;
 }
 
-TEST(Submission, WhatCanNeverRunIsTold) {
-  const Settings settings = parse_settings(kSettings, "node.toml");
+TEST(Submission, JobsThatCanNeverRunAreRejectedWithAReason) {
+  const Settings settings = parse_settings(kSettingsToml, "node.toml");
   const auto types = MachineTypes::parse(parse_json(
       R"({"flavours":[{"name":"g8","cores":96,"accelerators":0,"memory_gb":768,"halls":["a"]},
                       {"name":"c4","cores":4,"memory_gb":8,"halls":["a","b"]}]})"));
   ASSERT_TRUE(types.has_value());
-  const auto verdict = [&](const char* field, const Json& value) {
-    Json job = good_job();
+  const auto rejection_reason = [&](const char* field, const Json& value) {
+    Json job = valid_job();
     job[field] = value;
-    std::string why;
-    return unschedulable_reason(parse_job(job, why).value(), settings, *types);
+    std::string bad_field;
+    return unschedulable_reason(parse_job(job, bad_field).value(), settings, *types);
   };
-  EXPECT_EQ(verdict("cores", 8), "");
-  EXPECT_EQ(verdict("owner", "nobody"), "unknown team");
-  EXPECT_EQ(verdict("cores", 301), "beyond the team's limit");
-  EXPECT_EQ(verdict("accelerators", 3), "beyond the team's limit");
-  EXPECT_EQ(verdict("accelerators", 1), "fits no allowed machine type");
+  EXPECT_EQ(rejection_reason("cores", 8), "");
+  EXPECT_EQ(rejection_reason("owner", "nobody"), "unknown team");
+  EXPECT_EQ(rejection_reason("cores", 301), "beyond the team's limit");
+  EXPECT_EQ(rejection_reason("accelerators", 3), "beyond the team's limit");
+  EXPECT_EQ(rejection_reason("accelerators", 1), "fits no allowed machine type");
   // A limit of 0 is none. (Guests' jobs were all refused, and whole days failed for it.)
-  EXPECT_EQ(verdict("owner", "guests"), "");
-  EXPECT_EQ(verdict("cores", 97), "fits no allowed machine type");
-  EXPECT_EQ(verdict("flavours", {"c4"}), "fits no allowed machine type");
-  EXPECT_EQ(verdict("hall", "b"), "fits no allowed machine type");
-  EXPECT_EQ(verdict("pieces", 100000U), "");
+  EXPECT_EQ(rejection_reason("owner", "guests"), "");
+  EXPECT_EQ(rejection_reason("cores", 97), "fits no allowed machine type");
+  EXPECT_EQ(rejection_reason("flavours", {"c4"}), "fits no allowed machine type");
+  EXPECT_EQ(rejection_reason("hall", "b"), "fits no allowed machine type");
+  EXPECT_EQ(rejection_reason("pieces", 100000U), "");
 }
 
-TEST(Reports, AreReadOrRefusedWhole) {
-  const char* const good = R"({"host":"host-000231","address":"10.1.0.232:9000","flavour":"g8","hall":"a",
+TEST(Reports, AreParsedOrRejectedAsAWhole) {
+  const char* const valid = R"({"host":"host-000231","address":"10.1.0.232:9000","flavour":"g8","hall":"a",
     "loaner":true,"tenure":1,"tick":88,"baton":41,"warning_s":null,
     "pieces":[{"piece":"job-000412/3","try_no":2,"phase":"running"},
               {"piece":"job-000398/0","try_no":1,"phase":"exited","exit_cause":"done"}]})";
-  const auto report = parse_report(parse_json(good));
+  const auto report = parse_report(parse_json(valid));
   ASSERT_TRUE(report.has_value());
   EXPECT_EQ(report->tasks[0].index, 3);
   EXPECT_EQ(report->tasks[1].cause, ExitCause::kDone);
@@ -210,9 +210,9 @@
                                                  {"baton", nullptr},
                                                  {"loaner", 1},
                                                  {"pieces", {{{"piece", "job-1"}}}}}) {
-    Json bad = parse_json(good);
-    bad[field] = value;
-    EXPECT_FALSE(parse_report(bad).has_value()) << field;
+    Json invalid = parse_json(valid);
+    invalid[field] = value;
+    EXPECT_FALSE(parse_report(invalid).has_value()) << field;
   }
 }
 
@@ -222,22 +222,22 @@
     {"verb":"stop","piece":"job-1/0","try_no":7,"wind_down_s":10.0}]})"));
 }
 
-TEST(Settings, UnknownFieldsAreIgnoredAndWrongOnesNamed) {
-  const Settings settings = parse_settings(kSettings, "node.toml");
+TEST(Settings, UnknownFieldsAreIgnoredAndInvalidOnesNamed) {
+  const Settings settings = parse_settings(kSettingsToml, "node.toml");
   EXPECT_EQ(settings.members.front().address, "10.0.0.2:8081");
   EXPECT_DOUBLE_EQ(settings.skew_s, 0.1);
-  EXPECT_EQ(settings_error(kSettings, "node = \"roost-0\"", ""), "node.toml: node: missing");
-  EXPECT_EQ(settings_error(kSettings, "rps = 100.0", "rps = \"fast\""),
+  EXPECT_EQ(settings_error(kSettingsToml, "node = \"roost-0\"", ""), "node.toml: node: missing");
+  EXPECT_EQ(settings_error(kSettingsToml, "rps = 100.0", "rps = \"fast\""),
             "node.toml: settings.state.rps: must be a number");
-  EXPECT_EQ(settings_error(kSettings, "cpus_max = 300.0", ""),
+  EXPECT_EQ(settings_error(kSettingsToml, "cpus_max = 300.0", ""),
             "node.toml: settings.teams[0].cpus_max: missing");
-  EXPECT_EQ(settings_error(kSettings, "10.0.0.1:8080", "localhost:8080"),
+  EXPECT_EQ(settings_error(kSettingsToml, "10.0.0.1:8080", "localhost:8080"),
             "node.toml: front: must be a numeric IPv4 address with a port");
-  EXPECT_NE(settings_error(kSettings, "area = \"a\"", "area = "), "");
+  EXPECT_NE(settings_error(kSettingsToml, "area = \"a\"", "area = "), "");
   EXPECT_THROW(load_settings("no/such/file.toml", ""), SettingsError);
 }
 
-TEST(Settings, OperatorsTuneByIni) {
+TEST(Settings, TuningIsReadFromAnIniFile) {
   Tuning tuning;
   parse_tuning("[fleet]\nidle_return_s = 12\n[preference]\nslack=0.5\n", "mothslip.ini", tuning);
   EXPECT_DOUBLE_EQ(tuning.idle_return_s, 12);
@@ -245,7 +245,7 @@
   EXPECT_THROW(parse_tuning("[fleet]\nheadroom = lots\n", "mothslip.ini", tuning), SettingsError);
 }
 
-TEST(TokenBucket, KeepsToItsRateAndLetsALargeCostPassOnce) {
+TEST(TokenBucket, EnforcesItsRateAndAdmitsAnOversizedCostWhenFull) {
   TokenBucket bucket(10, 10, 0);
   for (int i = 0; i < 10; i++) {
     ASSERT_TRUE(bucket.can_take(1, 0, 0));
@@ -260,19 +260,19 @@
   EXPECT_TRUE(bucket.can_take(1, 0, 101.7));
 }
 
-TEST(Teams, WhatIsPlacedCountsToTheLimit) {
+TEST(Teams, PlacedTasksCountTowardsTheLimit) {
   TeamLedger ledger({{"t", 8, 16, 0, 0}});
-  const Resources four = {4, 1, 0};
-  EXPECT_FALSE(ledger.within_quota(0, four)) << "nothing before the allowance is known";
+  const Resources four_cores = {4, 1, 0};
+  EXPECT_FALSE(ledger.within_quota(0, four_cores)) << "nothing before the allowance is known";
   ledger.set_quota(0, 16, 0, 1);
-  EXPECT_EQ(ledger.tasks_within(0, four), 4);
+  EXPECT_EQ(ledger.tasks_within(0, four_cores), 4);
   for (int i = 0; i < 4; i++) {
-    EXPECT_TRUE(ledger.within_quota(0, four));
-    EXPECT_EQ(ledger.within_guarantee(0, four), i < 2);
-    ledger.add(0, four);
+    EXPECT_TRUE(ledger.within_quota(0, four_cores));
+    EXPECT_EQ(ledger.within_guarantee(0, four_cores), i < 2);
+    ledger.add(0, four_cores);
   }
-  EXPECT_FALSE(ledger.within_quota(0, four));
+  EXPECT_FALSE(ledger.within_quota(0, four_cores));
   EXPECT_FALSE(ledger.within_quota(0, {0, 0, 1})) << "a team without accelerators has none";
-  ledger.remove(0, four);
-  EXPECT_TRUE(ledger.within_quota(0, four));
+  ledger.remove(0, four_cores);
+  EXPECT_TRUE(ledger.within_quota(0, four_cores));
 }
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -22,25 +22,25 @@
 }
 
 // All of `wanted`, and perhaps more.
-bool covers(const Json& value, const Json& wanted) {
-  if (wanted.is_object()) {
+bool contains_all(const Json& value, const Json& expected) {
+  if (expected.is_object()) {
     if (!value.is_object()) return false;
-    for (const auto& [name, item] : wanted.items()) {
-      if (!value.contains(name) || !covers(value[name], item)) return false;
+    for (const auto& [name, item] : expected.items()) {
+      if (!value.contains(name) || !contains_all(value[name], item)) return false;
     }
     return true;
   }
-  return value == wanted;
+  return value == expected;
 }
 
 // Names of jobs, machines and the like stand for themselves in keys.
-std::string field_of(const std::string& name) {
+std::string normalized_field_name(const std::string& name) {
   if (name.rfind("host-", 0) == 0) return "HOST";
   const bool job = name.rfind("job-", 0) == 0 || name.rfind("w/b/", 0) == 0;
   return job ? "JOB" : name;
 }
 
-const char* kind_of(const Json& value) {
+const char* json_kind(const Json& value) {
   if (value.is_boolean()) return "flag";
   if (value.is_number()) return "number";
   if (value.is_string()) return "text";
@@ -49,15 +49,16 @@
 }
 
 // The fields of all values, with the kinds of what they hold.
-void add_shape(const Json& value, const std::string& at,
+void add_shape(const Json& value, const std::string& path,
                std::map<std::string, std::set<std::string>>& shape) {
   if (value.is_object()) {
-    for (const auto& [name, item] : value.items()) add_shape(item, at + "." + field_of(name), shape);
+    for (const auto& [name, item] : value.items())
+      add_shape(item, path + "." + normalized_field_name(name), shape);
   } else if (value.is_array()) {
-    shape[at].insert("list");
-    for (const Json& item : value) add_shape(item, at + "[]", shape);
+    shape[path].insert("list");
+    for (const Json& item : value) add_shape(item, path + "[]", shape);
   } else {
-    shape[at].insert(kind_of(value));
+    shape[path].insert(json_kind(value));
   }
 }
 
@@ -68,7 +69,7 @@
 }
 
 // A day of arrays that brings about every kind of record and of message.
-void add_day(World& world) {
+void submit_array_workload(World& world) {
   add_jobs(world, 2, 60);
   for (int i = 0; i < 4; i++) world.submit(plain_job(world, 40 + i, 5 + i, 40, 30, 1));
   for (int i = 0; i < 3; i++) {
@@ -82,7 +83,7 @@
 
 }  // namespace
 
-TEST(Versions, RecordsOfTheOneInProductionAreReadAndKept) {
+TEST(Versions, ProductionRecordsSurviveARoundTrip) {
   const Json records = samples()["records"];
   for (const Json& value : records["w/j"]) {
     const auto job_record = JobRecord::from_json(value);
@@ -109,43 +110,45 @@
     EXPECT_TRUE(RangeSet::from_text(value["done"].get<std::string>(), 100000).has_value()) << value;
 }
 
-TEST(Versions, MessagesOfTheOneInProductionAreReadAndKept) {
+TEST(Versions, ProductionMessagesSurviveARoundTrip) {
   const Json messages = samples()["messages"];
   for (const Json& message : messages["/peer/summary"]) {
     const auto summary = ShardSummary::from_json(message["request"]["body"]);
     ASSERT_TRUE(summary.has_value()) << message;
-    EXPECT_TRUE(covers(summary->to_json(), message["request"]["body"])) << summary->to_json();
+    EXPECT_TRUE(contains_all(summary->to_json(), message["request"]["body"])) << summary->to_json();
     if (message["status"] != 200) continue;
-    EXPECT_TRUE(covers(FleetOrders::from_json(message["answer"]).to_json(), message["answer"])) << message;
+    EXPECT_TRUE(contains_all(FleetOrders::from_json(message["answer"]).to_json(), message["answer"]))
+        << message;
   }
   for (const Json& message : messages["/peer/hello"])
     EXPECT_TRUE(parse_report(message["request"]).has_value()) << message;
 }
 
 // Every field that production writes for arrays is written here too, and holds the same kind of value.
-TEST(Versions, WhatIsWrittenForArraysHasTheSameFields) {
+TEST(Versions, ArrayRecordsAndMessagesKeepTheProductionFields) {
   set_up_log();
   Options options;
   options.seed = 7;
   World world(options);
   Collector collector(world);
-  add_day(world);
+  submit_array_workload(world);
 
   world.run_until(330);
 
   expect_kept(world);
-  const Json old = samples();
-  const auto expect_same = [](const std::string& what, const Json& before, const Json& now) {
-    const auto shape = shape_of(now);
-    for (const auto& [field, kinds] : shape_of(before)) {
-      ASSERT_TRUE(shape.count(field) > 0) << what << " lacks " << field;
+  const Json production = samples();
+  const auto expect_same = [](const std::string& subject, const Json& production_values,
+                              const Json& current_values) {
+    const auto shape = shape_of(current_values);
+    for (const auto& [field, kinds] : shape_of(production_values)) {
+      ASSERT_TRUE(shape.count(field) > 0) << subject << " lacks " << field;
       for (const std::string& kind : kinds)
-        EXPECT_TRUE(shape.at(field).count(kind) > 0) << what << field << " is no " << kind;
+        EXPECT_TRUE(shape.at(field).count(kind) > 0) << subject << field << " is no " << kind;
     }
   };
-  for (const auto& [kind, values] : old["records"].items())
+  for (const auto& [kind, values] : production["records"].items())
     expect_same(kind, values, collector.records[kind]);
-  for (const auto& [path, values] : old["messages"].items())
+  for (const auto& [path, values] : production["messages"].items())
     expect_same(path, values, collector.messages[path]);
 }
 
@@ -172,7 +175,7 @@
 
 // Shards, delegations, quota shares, relayed reports and cancellations go to and fro between the versions,
 // while processes of either end, come back as they were, or are cut off.
-TEST_P(Upgrade, TroublesInTheMiddleOfIt) {
+TEST_P(Upgrade, FaultsDuringARollingUpgrade) {
   World world(options());
   add_jobs(world, 2, 100);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, 40 + i, 5 + 12 * i, 40, 25, 1));
@@ -197,7 +200,7 @@
 }
 
 // Stopped half way: both versions serve for as long as it takes.
-TEST_P(Upgrade, StoppedHalfWay) {
+TEST_P(Upgrade, MixedVersionsKeepServing) {
   World world(options());
   add_jobs(world, 2, 140);
   world.at(40, [&world] { world.nodes.upgrade(1, 2); });
