--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,6 +1,6 @@
-// The simulated cluster at the size of a large fleet: five nodes, one to two thousand machines and a crowd of
-// jobs, when many things fall together. No rule may break, no message may be larger than its receiver takes,
-// and the work must get done.
+// The simulated cluster at the size of a large fleet: five nodes, one to two thousand machines and many jobs,
+// with many faults at the same time. No rule may break, no message may exceed the limit of its receiver, and
+// the jobs must complete.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -34,15 +34,15 @@
 
   expect_kept(world);
   EXPECT_GT(world.cloud.rented, 2000);
-  // What is sent does not grow with the fleet or the queue, but with time, nodes and starts.
+  // The number of messages grows with time, nodes and task starts, but not with the fleet or the queue.
   const double nodes = world.options.nodes;
   EXPECT_LT(world.network.counts["/peer/summary"], 1.1 * kDurationSeconds * nodes);
   EXPECT_LT(world.network.counts["/peer/beat"], 1.1 * kDurationSeconds / 2 * nodes * (nodes - 1));
   EXPECT_LT(world.network.counts["/peer/borrow"], 1.1 * kDurationSeconds / 0.4 * nodes);
-  EXPECT_LT(world.state.changes_made, world.starts) << "a change covers several starts";
+  EXPECT_LT(world.state.changes_made, world.starts) << "each state change should cover several task starts";
   EXPECT_LT(world.network.counts["state request"], kDurationSeconds * world.options.state_rps / 2);
   EXPECT_LT(world.network.counts["command"], world.starts / 4)
-      << "launches ride in answers, commands only stop";
+      << "launches should be sent in answers to reports, and commands only to stop tasks";
   if (std::getenv("SIM_SIZES") != nullptr) {
     for (const auto& [kind, bytes] : world.network.largest)
       std::cout << kind << ": " << world.network.counts[kind] << ", at most " << bytes << " bytes\n";
@@ -51,13 +51,13 @@
   }
 }
 
-// All five nodes end at once, are back within a fraction of a second while the state service is slow, and
-// again after seconds; a tenth of the machines hang meanwhile. A shard that must read many records one after
-// the other stays away for as long.
+// All five nodes crash at once while the state service is slow. They restart first within a fraction of a
+// second and later after 6 s, and a tenth of the machines hang in between. A shard whose owner reads many
+// records one after the other would be inactive for all that time.
 TEST_F(LargeFleet, AllNodesRestartWhileTheStateServiceIsSlow) {
   World world(large_fleet(2));
   add_crowd(world, 300, 120);
-  double longest_inactive_s = 0;  // of any shard, since the last restart
+  double longest_inactive_s = 0;  // the longest of any shard after a restart
   const auto measure_until_active = [&world, &longest_inactive_s](double restarted_at) {
     auto check = std::make_shared<std::function<void()>>();
     *check = [&world, &longest_inactive_s, restarted_at, check] {
@@ -97,12 +97,12 @@
 
   expect_kept(world);
   EXPECT_GT(longest_inactive_s, 0);
-  EXPECT_LT(longest_inactive_s, 8);  // the lease of a process before it, and some ten reads
+  EXPECT_LT(longest_inactive_s, 8);  // the lease of the previous process and about ten reads
 }
 
-// Most of a zone's machines are cut off, a tenth of the others hang and some die for good, and copies of old
-// messages keep coming. What was only cut off is not given back, and what was lost is rented anew once, not
-// again and again.
+// Most machines of a zone are partitioned, a tenth of the others hang, some die permanently, and duplicates
+// of old messages keep arriving. Partitioned machines must not be returned to the cloud, and lost machines
+// must be replaced only once.
 TEST_F(LargeFleet, MostOfAZoneIsPartitionedWhileMachinesHangAndDie) {
   Options with_copies = large_fleet(3);
   with_copies.copies = 0.02;
@@ -115,7 +115,8 @@
     rented_before = world.cloud.rented;
     int count = 0;
     for (auto& [name, worker] : world.workers) {
-      if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // some 15 % of all
+      if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0)
+        continue;  // about 15 % of all machines
       if (!worker->tasks.empty()) cut_workers.push_back(worker.get());
       world.network.cut_off(name);
     }
@@ -133,7 +134,7 @@
     for (const Worker* worker : cut_workers) alive += worker->dead ? 0 : 1;
     EXPECT_GT(cut_workers.size(), 20u);
     EXPECT_GT(alive * 10, static_cast<int>(cut_workers.size()) * 9)
-        << "machines that were only cut off were given back";
+        << "partitioned machines were returned to the cloud, although they were alive";
   });
   world.at(110, [&world] {
     int count = 0;
@@ -147,12 +148,13 @@
 
   expect_kept(world);
   EXPECT_EQ(world.rules.orders_to_copies, 0);
-  EXPECT_LT(world.cloud.rented, 2 * rented_before) << "rented beyond need";
+  EXPECT_LT(world.cloud.rented, 2 * rented_before)
+      << "more machines were rented than lost machines need as replacements";
 }
 
-// The controller that rents machines stands still for longer than any lease while its clocks run on, then
-// another one for a while. What waited in its sockets and timers must not be carried out as if it still owned
-// anything.
+// The controller that rents machines is frozen for longer than any lease while its clocks advance, and later
+// another controller is frozen for 9 s. When a controller resumes, it must not process the pending messages
+// and timers as if it still owned its shards.
 TEST_F(LargeFleet, AFrozenControllerStartsNothingWhenItResumes) {
   World world(large_fleet(4));
   add_crowd(world, 300, 150);
--- a/tests/job_status_test.cpp
+++ b/tests/job_status_test.cpp
@@ -1,5 +1,5 @@
-// What may be told about a job: reads of the state service begin after the question, are shared and bounded,
-// and terminal states are final.
+// Covers the status that users get for a job: reads of the state service begin after the request, they are
+// shared and bounded, and terminal states are final.
 #include "coordination/node/job_status.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
 
 class JobStatuses : public ::testing::Test {
  protected:
-  // Asks for a read; its finding comes into the list of this name.
+  // Requests the status of the job. The finding is appended to `findings` when the read completes.
   void request_status(std::vector<JobFinding>& findings) {
     statuses_.read(kJobRef, [&findings](const JobFinding& found) { findings.push_back(found); });
   }
@@ -46,7 +46,8 @@
 
 }  // namespace
 
-// The job ends while a read that began before the question is on its way back with "open".
+// The job ends while the answer "open" of an earlier read is in flight. That answer is out of date for a
+// request made after the read began, so this request needs a read of its own.
 TEST_F(JobStatuses, ARequestIsNotAnsweredByAnEarlierRead) {
   std::vector<JobFinding> first;
   std::vector<JobFinding> second;
@@ -101,7 +102,8 @@
   EXPECT_EQ(findings[0].kind, JobFinding::Kind::kUnknownJob);
 }
 
-// A terminal state that was read is told from then on, whatever the shard's owner still remembers.
+// After a terminal state was read, it is returned to users even if the shard's owner has an older status in
+// memory.
 TEST_F(JobStatuses, ATerminalStateIsFinal) {
   owned_ = JobFinding{JobFinding::Kind::kStatus, {JobPhase::kRunning, 1, 2}};
   EXPECT_TRUE(is_status(*statuses_.from_memory(kJobRef), JobPhase::kRunning));
@@ -118,5 +120,5 @@
     statuses_.note_terminal("job-" + std::to_string(100000 + i), {JobPhase::kDone, 1, 0});
   EXPECT_EQ(statuses_.terminal("job-100000"), nullptr);
   EXPECT_NE(statuses_.terminal("job-119999"), nullptr);
-  EXPECT_FALSE(statuses_.from_memory("job-100000")) << "the state service tells";
+  EXPECT_FALSE(statuses_.from_memory("job-100000")) << "an evicted job must be read from the state service";
 }
--- a/tests/loopback/real_cluster.cpp
+++ b/tests/loopback/real_cluster.cpp
@@ -21,7 +21,7 @@
 const std::string kStateAddress = "127.2.0.1:2379";
 const std::string kCloudAddress = "127.2.0.2:8443";
 
-// The addresses of the simulated cluster lie in 10.0.0.0/8, and their twins here in 127.0.0.0/8.
+// Maps an address of the simulated cluster in 10.0.0.0/8 to the corresponding address in 127.0.0.0/8.
 std::string to_loopback(const std::string& address) { return "127" + address.substr(2); }
 
 std::string addresses_to_loopback(std::string text) {
@@ -51,8 +51,8 @@
     loopback_call.body = addresses_to_loopback(call.body);
     env_.call(std::move(loopback_call), reply);
   };
-  // (Once, before any process reads it: written again for each, it was empty for a moment, and a process that
-  // was started before began without recovery.)
+  // The file is written once, before any process reads it. When it was rewritten for each process, it was
+  // empty for a moment, and a process started earlier read it then and ran without recovery.
   std::ofstream(directory_ + "/mothslip.ini") << "[recovery]\nenabled = yes\n";
   serve_state();
   serve_cloud();
@@ -143,11 +143,11 @@
   const std::string settings = write_settings(node);
   const std::string log = directory_ + "/" + sim::node_name(node) + ".log";
   const pid_t process = fork();
-  if (process < 0) throw std::runtime_error("fork");
+  if (process < 0) throw std::runtime_error("fork failed: the controller process cannot be started");
   if (process == 0) {
     const int file = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     dup2(file, STDERR_FILENO);
-    // (What the test listens on is not the controller's.)
+    // The child closes the listening sockets of the test, which the controller must not inherit.
     for (int other = STDERR_FILENO + 1; other < 1024; other++) close(other);
     execl(MOTHSLIP_PROGRAM, MOTHSLIP_PROGRAM, "--config", settings.c_str(), nullptr);
     _exit(127);
@@ -168,15 +168,15 @@
   start_process(node);
 }
 
-// The program runs beside this process, whose loop goes on meanwhile: the controllers need their state
-// service.
+// The event loop keeps running while the program runs, because the controllers need the state service that
+// this process serves.
 RealCluster::Output RealCluster::run_mothslipctl(const std::string& arguments) {
   std::string command = MOTHSLIPCTL_PROGRAM;
   for (int node = 0; node < world_.options.nodes; node++)
     command += " --at " + to_loopback(sim::peer_address_of(node));
   command += " " + arguments + " 2>&1";
   FILE* pipe = popen(command.c_str(), "r");
-  if (pipe == nullptr) throw std::runtime_error("popen");
+  if (pipe == nullptr) throw std::runtime_error("popen failed: mothslipctl cannot be started");
   fcntl(fileno(pipe), F_SETFL, O_NONBLOCK);
   Output out;
   run_until(
--- a/tests/loopback/real_cluster.hpp
+++ b/tests/loopback/real_cluster.hpp
@@ -1,5 +1,5 @@
-// Real mothslip processes on loopback, whose state service, cloud, workers and users are those of the
-// simulated cluster, served over HTTP in real time. Its rules are checked as in simulated days.
+// Runs real mothslip processes on loopback addresses. Their state service, cloud, workers and users are those
+// of the simulated cluster, served over HTTP in real time. The rules are checked as in simulated runs.
 #pragma once
 
 #include <sys/types.h>
@@ -18,16 +18,16 @@
 
 class RealCluster {
  public:
-  // `directory`: for settings files and the processes' logs.
+  // `directory` receives the settings files and the logs of the processes.
   RealCluster(const sim::Options& options, std::string directory);
   ~RealCluster();
   RealCluster(const RealCluster&) = delete;
   RealCluster& operator=(const RealCluster&) = delete;
 
   [[nodiscard]] sim::World& world() { return world_; }
-  // Lets time pass until this holds; false: it has not for so long.
+  // Runs the event loop until the condition holds. Returns false if it does not hold within the timeout.
   bool run_until(const std::function<bool()>& condition, double timeout_s);
-  // Ends the process at once, or all of them, and starts it again.
+  // Kills the process of the node and starts it again.
   void restart_node(int node);
   struct Output {
     int exit_code = -1;
@@ -46,7 +46,8 @@
   void step();
 
   EventEnv env_;
-  // (What waits in the world holds requests of these: it goes first.)
+  // The servers are declared before the world, because pending work of the world holds requests of theirs and
+  // must be destroyed first.
   std::vector<std::unique_ptr<HttpServer>> servers_;
   std::map<std::string, std::unique_ptr<HttpServer>> workers_;  // by address in the simulated cluster
   sim::World world_;
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -1,5 +1,5 @@
-// Real processes on loopback, the state service's records wiped while jobs run, and mothslipctl as operators
-// use it.
+// Runs real processes on loopback addresses, deletes all records of the state service while jobs run, and
+// calls mothslipctl as operators do.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,8 +13,7 @@
 
 namespace {
 
-// Nothing here is a bound on how fast the service is: a test that waits so long will be ended by the test
-// runner.
+// These tests set no bound on the speed of the service. The test runner stops a test that waits too long.
 constexpr double kNoTimeoutSeconds = 1e9;
 
 class Loopback : public ::testing::Test {
@@ -67,7 +66,7 @@
   sim::World& world = cluster.world();
   for (int number = 0; number < 3; number++) world.submit(sim::plain_job(world, number, 2, 2, 40));
   ASSERT_TRUE(cluster.run_until([&world] { return world.starts >= 4; }, kNoTimeoutSeconds));
-  // All that remember end, and workers alone know what runs.
+  // All controllers lose their memory, so that only the workers have information on running tasks.
   world.state.empty();
   for (int node = 0; node < world.options.nodes; node++) cluster.restart_node(node);
   const auto rebuilt = [&cluster] {
@@ -81,10 +80,10 @@
   ASSERT_FALSE(list["unaccounted"].empty());
   const std::string ref = list["unaccounted"][0]["job"];
   EXPECT_NE(table.text.find(ref), std::string::npos) << table.text;
-  EXPECT_EQ(world.state.values().count("w/j/0/" + ref), 0u) << "its description is lost";
+  EXPECT_EQ(world.state.values().count("w/j/0/" + ref), 0u) << "the job's description should be lost";
 
   EXPECT_EQ(cluster.run_mothslipctl("recovery resolve job-999999 --as done").exit_code, 1)
-      << "it is not unaccounted";
+      << "a job that is not unaccounted cannot be resolved";
   EXPECT_EQ(cluster.run_mothslipctl("recovery resolve " + ref + " --as lost").exit_code, 2);
   const RealCluster::Output decision = cluster.run_mothslipctl("recovery resolve " + ref + " --as done");
   EXPECT_EQ(decision.exit_code, 0) << decision.text;
@@ -98,7 +97,8 @@
   RealCluster cluster(options(), directory_);
   const RealCluster::Output with_other_controllers =
       cluster.run_mothslipctl("--at 127.9.9.9:1 --timeout 1 recovery status");
-  EXPECT_EQ(with_other_controllers.exit_code, 0) << "the others answer: " << with_other_controllers.text;
+  EXPECT_EQ(with_other_controllers.exit_code, 0)
+      << "mothslipctl should fall back to the other controllers: " << with_other_controllers.text;
   FILE* pipe = popen(MOTHSLIPCTL_PROGRAM " --at 127.9.9.9:1 --timeout 1 recovery status 2>&1", "r");
   ASSERT_NE(pipe, nullptr);
   char text[200] = {};
--- a/tests/measure_recovery.cpp
+++ b/tests/measure_recovery.cpp
@@ -1,6 +1,7 @@
-// Measures a rebuilding in the simulated cluster: how long it takes, and how much it asks of the state
-// service. Not a test; docs/performance.md has figures.
-//     measure_recovery MARKET LOSS     LOSS: emptied, or a number of seconds that the service is set back
+// Measures a rebuild in the simulated cluster: its duration and its load on the state service. This is not a
+// test. docs/performance.md has figures.
+//     measure_recovery MARKET LOSS
+// LOSS is `emptied`, or the number of seconds by which the state service is set back.
 #include <cstdlib>
 #include <iostream>
 #include <string>
@@ -17,7 +18,8 @@
 constexpr double kNotObserved = -1;
 
 struct Measurement {
-  double published_after_s = kNotObserved;  // seconds after the loss
+  // Times are measured from the loss.
+  double published_after_s = kNotObserved;
   double first_start_after_s = kNotObserved;
   double nine_tenths_answered_after_s = kNotObserved;
   std::size_t machines = 0;
@@ -33,7 +35,7 @@
   return true;
 }
 
-// Of the jobs that are open to their users, those that have been answered since.
+// Returns the share of open jobs, submitted before the loss, whose users have no unanswered poll.
 double answered_share(const World& world) {
   int open = 0;
   int answered = 0;
@@ -54,7 +56,7 @@
   }
   if (serving && out.first_start_after_s < 0 && world.starts > starts_at_loss)
     out.first_start_after_s = since_loss_s;
-  // (Users ask every 5 s: before that nobody has asked again.)
+  // Users poll every 5 s, so that the share means nothing before they have all polled again.
   constexpr double kPollMarginSeconds = 6;
   if (serving && out.nine_tenths_answered_after_s < 0 &&
       since_loss_s > out.published_after_s + kPollMarginSeconds && answered_share(world) >= 0.9)
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -1,4 +1,4 @@
-// Best-effort work, a guest team's above all, gives way to other work and is done all the same.
+// Best-effort work, in particular that of guest teams, is preempted by other work and still completes.
 #include "scheduling/preemption.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
     out.team_max = 200;
     return out;
   }
-  // A long job of blue's that can save what it has done.
+  // Returns a long job of team blue whose tasks save snapshots of their progress.
   static UserJob best_effort_job(World& world, int number, int task_count) {
     UserJob job = plain_job(world, number, 2, task_count, 150, 4);
     job.body["owner"] = "blue";
@@ -50,21 +50,23 @@
       {0, {4, 4, 0}, 50}, {1, {1, 1, 0}, 2}, {2, {4, 4, 0}, 20}};
   const Preemption chosen = choose_preemption(kNoRoom, {4, 4, 0}, candidates, 100);
   EXPECT_EQ(chosen.ids, std::vector<std::size_t>{2})
-      << "the small one alone is not enough, and then not needed";
+      << "the small task does not free enough room by itself and is not needed with the large one";
   EXPECT_DOUBLE_EQ(chosen.lost_core_s, 20);
   EXPECT_EQ(choose_preemption({3, 3, 0}, {4, 4, 0}, candidates, 100).ids, std::vector<std::size_t>{1});
 }
 
 TEST(Preemption, NothingIsStoppedWithoutNeedOrAboveTheCostLimit) {
   const std::vector<PreemptionCandidate> candidates = {{0, {2, 2, 0}, 5}, {1, {2, 2, 0}, 5}};
-  EXPECT_TRUE(choose_preemption(kNoRoom, {5, 5, 0}, candidates, 100).ids.empty()) << "there is too little";
-  EXPECT_TRUE(choose_preemption(kNoRoom, {4, 4, 0}, candidates, 9).ids.empty()) << "it would cost too much";
+  EXPECT_TRUE(choose_preemption(kNoRoom, {5, 5, 0}, candidates, 100).ids.empty())
+      << "stopping all candidates frees too little room";
+  EXPECT_TRUE(choose_preemption(kNoRoom, {4, 4, 0}, candidates, 9).ids.empty())
+      << "the lost work exceeds the limit";
   EXPECT_EQ(choose_preemption(kNoRoom, {4, 4, 0}, candidates, 10).ids.size(), 2u);
   EXPECT_TRUE(choose_preemption({4, 4, 0}, {4, 4, 0}, candidates, 100).ids.empty())
-      << "there is room already";
+      << "the machine has enough room without preemption";
 }
 
-// Idle-time work fills all machines, and no more are to be had, when urgent work comes.
+// Best-effort work fills all machines, and the cloud rents out no more, when urgent work is submitted.
 TEST_P(BestEffort, IsPreemptedByUrgentWork) {
   World world(options());
   for (int i = 0; i < 3; i++) world.submit(best_effort_job(world, i, 10));
@@ -82,7 +84,7 @@
   world.run_until(1500);
 
   expect_kept(world);
-  EXPECT_GE(cores_in_use, 32) << "cores in use, of 40 on spot machines";
+  EXPECT_GE(cores_in_use, 32) << "too few of the 40 cores on spot machines are in use";
   for (const auto& [ref, job] : world.jobs) {
     if (job.body["urgency"] == "urgent") {
       EXPECT_LE(job.first_start - job.submit_at, 15) << ref;
@@ -92,12 +94,12 @@
   }
 }
 
-// A swarm of small long tasks leaves room for large ones: it is packed onto a few machines.
+// Many small long tasks are packed onto a few machines, so that room is left for large tasks.
 TEST_P(BestEffort, SmallTasksArePackedAndLeaveRoomForLargeOnes) {
   Options small_market = options();
   small_market.market = 2;
   World world(small_market);
-  // Machines are up, and idle, when the swarm comes.
+  // These jobs leave machines up and idle when the small tasks are submitted.
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2, 4, 20, 4));
   for (int i = 10; i < 30; i++) {
     UserJob small_job = plain_job(world, i, 62, 1, 90, 1);
@@ -124,7 +126,7 @@
   EXPECT_GT(machines_up, 5);
   EXPECT_GT(busy_machines, 0);
   EXPECT_LT(2 * busy_machines, machines_up + options().nodes)
-      << "machines with small tasks, of " << machines_up;
+      << "too many machines hold small tasks, of machines up: " << machines_up;
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, BestEffort, ::testing::Range(0, seeds()));
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -1,4 +1,5 @@
-// Workers that cannot reach the owner of their shard, while other nodes reach both of them.
+// Covers workers that cannot reach the owner of their shard while other nodes can reach both the workers and
+// the owner.
 #include <gtest/gtest.h>
 
 #include "coordination/node/report_relay.hpp"
@@ -30,7 +31,7 @@
     out.loss = 0;
     return out;
   }
-  // Tasks that last about as long as the trouble does.
+  // Submits tasks that run for about as long as the network fault lasts.
   static void add_long_jobs(World& world) {
     for (int i = 0; i < 12; i++) world.submit(plain_job(world, i, world.uniform(2, 30), 4, 30, 2));
     for (int i = 12; i < 24; i++) world.submit(plain_job(world, i, world.uniform(60, 90), 4, 8, 2));
@@ -43,7 +44,8 @@
   ReportRelay relay;
   relay.heard_from("roost-1", {kOwnerToken}, 100);
   EXPECT_EQ(relay.route(make_visit(0), 100), Route::kRedirect);
-  EXPECT_EQ(relay.route(make_visit(0), 100.3), Route::kRedirect) << "too soon to have failed at the owner";
+  EXPECT_EQ(relay.route(make_visit(0), 100.3), Route::kRedirect)
+      << "the worker cannot have tried the owner yet";
   relay.heard_from("roost-1", {kOwnerToken}, 106);
   EXPECT_EQ(relay.route(make_visit(0), 106), Route::kRelay);
 }
@@ -51,7 +53,8 @@
 TEST(ReportRelay, AWorkerThatTheOwnerHasServedIsRelayedAtOnce) {
   ReportRelay relay;
   relay.heard_from("roost-1", {kOwnerToken}, 100);
-  // A new owner shows its token to machines that it has not served yet.
+  // A new owner also sends its token to machines that it has not served yet. The token therefore proves only
+  // after some time that the owner has served the worker.
   EXPECT_EQ(relay.route(make_visit(kOwnerToken), 101), Route::kRedirect);
   relay.heard_from("roost-1", {kOwnerToken}, 130);
   EXPECT_EQ(relay.route(make_visit(kOwnerToken), 130), Route::kRelay);
@@ -71,7 +74,8 @@
   EXPECT_GE(relays, 80);
 }
 
-// Through one node for a while, then through another: back here it is not redirected once more first.
+// A worker is relayed by this node, then by another one, and then returns. It must not be redirected again
+// before it is relayed.
 TEST(ReportRelay, APreviouslyRelayedWorkerIsRelayedAtOnce) {
   ReportRelay relay;
   relay.heard_from("roost-1", {kOwnerToken}, 0);
@@ -103,8 +107,8 @@
   EXPECT_EQ(relay.size(), 1u);
 }
 
-// Incident ae2d: a controller that no machine reached, with everything else in order, kept its shards for 40
-// s while the leases of all its machines ran out, 264 tasks with them.
+// Incident ae2d: no machine could reach one controller, while all its other connections worked. It kept its
+// shards for 40 s, the leases of all its machines expired, and 264 tasks were lost.
 TEST_P(Reachability, AnOwnerIsPartitionedFromItsWorkers) {
   World world(options());
   add_long_jobs(world);
@@ -126,10 +130,11 @@
   expect_kept(world);
   EXPECT_GT(tasks_on_cut_machines, 0);
   EXPECT_EQ(world.lost_to_leases, lost_before_cut)
-      << "of " << tasks_on_cut_machines << " tasks on its machines";
+      << "tasks were lost to expired leases, of " << tasks_on_cut_machines << " on the owner's machines";
 }
 
-// The machines of one zone cannot reach a node and some of the others; they are served all the same.
+// The machines of one zone cannot reach the owner of some shards, and the owner cannot reach one of the other
+// nodes either. The machines must still be served through the remaining nodes.
 TEST_P(Reachability, AZoneCannotReachTheOwner) {
   Options large = options();
   large.nodes = 5;
@@ -144,7 +149,7 @@
       world.network.cuts.insert({name, node_name(1)});
       busy_machines_cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
     }
-    world.network.cuts.insert({node_name(1), node_name(2)});  // the next node that they try
+    world.network.cuts.insert({node_name(1), node_name(2)});  // the next node that the machines try
   });
   world.at(95, [&world] { world.network.mend_nodes(); });
   world.troubles_end = 100;
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,4 +1,4 @@
-// The paper's preference, with worked examples, and fleet sizing.
+// Covers the preference function of the paper, with worked examples, and fleet sizing.
 #include <gtest/gtest.h>
 
 #include "scheduling/preference.hpp"
@@ -32,7 +32,8 @@
 }
 }  // namespace
 
-// Section 3.4.1: <10 GB, 6 cores> takes three tasks of type II and one of type I, and is then full.
+// Section 3.4.1 of the paper: a machine of <10 GB, 6 cores> takes three tasks of type II and one of type I,
+// and is then full.
 TEST(Fitness, ThePapersTable) {
   const Resources type_one = {3, 1, 0};  // type I: cores, GB
   const Resources type_two = {1, 3, 0};  // type II
@@ -43,7 +44,7 @@
   preference_weights.urgency = preference_weights.alignment = 0;
   preference_weights.resource = resource_weights;
   int placed_counts[2] = {0, 0};
-  const int order[] = {1, 1, 0, 1};  // at <4,4> both score 16: the paper leaves the tie open
+  const int order[] = {1, 1, 0, 1};  // at <4,4> both score 16, and the paper does not break the tie
   for (int step = 0; step < 4; step++) {
     EXPECT_DOUBLE_EQ(fitness(type_one, room, resource_weights), expected[step][0]);
     EXPECT_DOUBLE_EQ(fitness(type_two, room, resource_weights), expected[step][1]);
@@ -71,7 +72,7 @@
   c.stages_finished = 1;
   const PreferenceWeights preference_weights;  // 0.2, 0.2, 0.6
   const auto scores = preferences({8, 8, 0}, {a, b, c}, preference_weights);
-  // F: 64, 16, 32; U: 0, 8, 4; A: 1/5, 1/5, 4/5.
+  // Raw terms of a, b and c: fitness F is 64, 16, 32; urgency U is 0, 8, 4; alignment A is 1/5, 1/5, 4/5.
   EXPECT_NEAR(scores[0], 0.2, 1e-12);
   EXPECT_NEAR(scores[1], 0.2, 1e-12);
   EXPECT_NEAR(scores[2], 0.2 / 3 + 0.1 + 0.6, 1e-12);
@@ -99,9 +100,11 @@
   fresh.nothing_placed = true;
   EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 1);
   fresh.nothing_placed = false;
-  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 0) << "then the larger fit, as in the paper";
+  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 0)
+      << "otherwise the request with the larger fitness goes first, as in the paper";
   fresh.bonus = 0.5;
-  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 1) << "and a more urgent class outweighs it";
+  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 1)
+      << "the bonus of a more urgent class outweighs fitness";
 }
 
 TEST(Preference, DeadlinePressureGrowsAsTimeRunsOut) {
@@ -123,7 +126,7 @@
   auto plan = plan_fleet(types, markets, {}, {demand(16, 4)}, {});
   int machines = 0;
   for (const auto& rent : plan.new_machines) {
-    EXPECT_EQ(rent.type, 1) << "only the large type holds 16 cores";
+    EXPECT_EQ(rent.type, 1) << "only the large type has 16 cores";
     EXPECT_TRUE(rent.spot);
     machines += rent.count;
   }
@@ -132,7 +135,7 @@
   for (auto& market : markets) market.refused = market.spot;
   plan = plan_fleet(types, markets, {}, {demand(16, 2)}, {});
   ASSERT_EQ(plan.new_machines.size(), 1u);
-  EXPECT_FALSE(plan.new_machines[0].spot) << "ordinary ones when spot is refused";
+  EXPECT_FALSE(plan.new_machines[0].spot) << "ordinary machines should be rented when spot is refused";
 
   for (auto& market : markets) market.refused = true;
   plan = plan_fleet(types, markets, {}, {demand(16, 2)}, {});
@@ -149,7 +152,8 @@
   EXPECT_EQ(plan.planned_tasks[0], 2);
   machine.rooms = {{10, {8, 64, 0}}};
   plan = plan_fleet(types, markets, {machine}, {demand(4, 2)}, {});
-  EXPECT_TRUE(plan.new_machines.empty()) << "a machine that boots soon is earlier than a new one";
+  EXPECT_TRUE(plan.new_machines.empty())
+      << "a booting machine should be used, because it is ready before a new one";
   machine.usable = false;
   plan = plan_fleet(types, markets, {machine}, {demand(4, 2)}, {});
   ASSERT_EQ(plan.new_machines.size(), 1u);
@@ -160,13 +164,13 @@
   const std::vector<FleetType> types = {type(8, 64, 0.62, 0.19)};  // boots in 30 s
   const std::vector<FleetMarket> markets = {{0, 0, false, false, 0}};
   FleetMachine busy;
-  busy.rooms = {{0, {0, 60, 0}}, {20, {8, 0, 0}}};  // its cores come free in 20 s
-  FleetDemand job = demand(8, 3);                   // one after the other: they start at 20, 50 and 80 s
+  busy.rooms = {{0, {0, 60, 0}}, {20, {8, 0, 0}}};  // its cores become free in 20 s
+  FleetDemand job = demand(8, 3);  // the tasks run one after the other and start at 20, 50 and 80 s
   job.start_within_s = 1e9;
   job.estimated_s = 20;
-  // Half the slack is for what comes after and goes first: a queue that only just met its deadlines never
-  // did.
-  job.time_left_s = 191;  // the last is to start by (191 - 30) / 2
+  // Half the slack is reserved for work that arrives later and is placed earlier. Queues that were planned to
+  // meet their deadlines only just always missed them.
+  job.time_left_s = 191;  // the last task must start by (191 - 30) / 2 s
   EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).new_machines.empty());
   job.time_left_s = 189;
   const auto plan = plan_fleet(types, markets, {busy}, {job}, {});
@@ -175,5 +179,5 @@
   job.count = 1;
   job.time_left_s = 40;
   EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).new_machines.empty())
-      << "a new machine would be late too";
+      << "a new machine would miss the deadline too";
 }
--- a/tests/trace_test.cpp
+++ b/tests/trace_test.cpp
@@ -1,5 +1,5 @@
-// Plays the kept traces: messages to one controller, and the decisions expected of it. tests/traces/README.md
-// describes the form.
+// Replays recorded traces: messages to one controller and the decisions expected from it.
+// tests/traces/README.md describes the format.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -32,10 +32,10 @@
                         format_orders(body));
     };
     world_.run_until(5);
-    world_.cloud.outage = true;  // the trace brings its own machines
+    world_.cloud.outage = true;  // the trace supplies its own machines
   }
 
-  // What the controller says to one line of the trace.
+  // Plays one line of the trace and returns the answers and commands of the controller.
   std::vector<std::string> play(const std::string& line) {
     output_.clear();
     std::istringstream in(line);
@@ -68,7 +68,7 @@
       world_.nodes.crash(0, 0.2);
       world_.run_until(world_.now + 1.5);
     } else {
-      ADD_FAILURE() << "no such verb: " << line;
+      ADD_FAILURE() << "the trace has an unknown verb: " << line;
     }
     return output_;
   }
@@ -163,7 +163,7 @@
     return out;
   }
 
-  // Tokens and attempts are named in the order in which they are first seen.
+  // Returns the alias of a token or an attempt. Aliases are numbered in the order of first appearance.
   static std::string alias(std::map<std::string, std::uint64_t>& names, const char* letter,
                            std::uint64_t value) {
     for (const auto& [name, existing] : names) {
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -1,4 +1,4 @@
-// The real listener and client over loopback: bounds on bodies and connections, and what is kept open.
+// Covers the real HTTP server and client over loopback: limits on bodies and connections, and keep-alive.
 #include <event2/event.h>
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
 
 class HttpTransport : public ::testing::Test {
  protected:
-  void SetUp() override { std::signal(SIGPIPE, SIG_IGN); }  // as the program does
+  void SetUp() override { std::signal(SIGPIPE, SIG_IGN); }  // as in the main program
   void listen(std::size_t max_body_bytes, std::size_t max_connections, const HttpHandler& handler) {
     for (int port = 20000; port < 20500 && !server; port++) {
       address = "127.0.0.1:" + std::to_string(port);
@@ -29,7 +29,7 @@
     }
     ASSERT_TRUE(server);
   }
-  // Runs the loop until `count` of the calls made so far are answered.
+  // Runs the event loop until `count` calls in total are answered.
   void wait_for(std::size_t count) {
     wanted_replies = count;
     if (replies.size() < wanted_replies) env.run();
@@ -54,8 +54,8 @@
 
 }  // namespace
 
-// The summary of a shard with some four hundred machines is larger than what users may send. Turned down at
-// the door, it would leave the fleet without any word of that shard.
+// The summary of a shard with about four hundred machines exceeds the body limit for users. If the server
+// rejected it, fleet management would have no information on that shard.
 TEST_F(HttpTransport, PeerMessagesMayBeLargerThanClientRequests) {
   std::size_t received_bytes = 0;
   listen(Node::kMaxPeerBody, 0, [&received_bytes](const HttpRequest& request, const Responder& responder) {
@@ -80,8 +80,8 @@
   EXPECT_FALSE(was_handled);
 }
 
-// Beyond the bound a request is turned away at once and its connection closed; health checks pass; when
-// others have gone there is room again.
+// A request beyond the connection limit is rejected at once and its connection is closed. Health checks are
+// still answered. New requests are accepted again after other connections have closed.
 TEST_F(HttpTransport, ConnectionsOverTheLimitAreRejectedAtOnce) {
   std::vector<Responder> pending;
   listen(Node::kMaxClientBody, 2, [&pending](const HttpRequest& request, const Responder& responder) {
@@ -108,7 +108,8 @@
   EXPECT_EQ(replies[4].status, 200);
 }
 
-// Nothing is kept of a machine that was sent one command: thousands come and go.
+// A connection to a machine that gets a single command is closed after the answer. Thousands of machines come
+// and go, and their connections would accumulate.
 TEST_F(HttpTransport, AConnectionWithoutKeepAliveIsClosed) {
   listen(Node::kMaxClientBody, 0,
          [](const HttpRequest&, const Responder& responder) { responder.send(200, "{}"); });
--- a/tests/unit_test.cpp
+++ b/tests/unit_test.cpp
@@ -1,4 +1,4 @@
-// Ranges, records, validation, settings and token buckets.
+// Covers ranges, records, validation, reports, settings, token buckets and team quotas.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -187,7 +187,8 @@
   EXPECT_EQ(rejection_reason("cores", 301), "beyond the team's limit");
   EXPECT_EQ(rejection_reason("accelerators", 3), "beyond the team's limit");
   EXPECT_EQ(rejection_reason("accelerators", 1), "fits no allowed machine type");
-  // A limit of 0 is none. (Guests' jobs were all refused, and whole days failed for it.)
+  // A limit of 0 means no limit. When it was enforced as 0, all jobs of guest teams were refused, and whole
+  // runs failed.
   EXPECT_EQ(rejection_reason("owner", "guests"), "");
   EXPECT_EQ(rejection_reason("cores", 97), "fits no allowed machine type");
   EXPECT_EQ(rejection_reason("flavours", {"c4"}), "fits no allowed machine type");
@@ -254,16 +255,17 @@
   EXPECT_FALSE(bucket.can_take(1, 0, 0));
   EXPECT_NEAR(bucket.wait_s(1, 0, 0), 0.1, 1e-9);
   EXPECT_TRUE(bucket.can_take(1, 0, 0.11));
-  EXPECT_TRUE(bucket.can_take(25, 0, 100)) << "a cost above the burst passes when the bucket is full";
+  EXPECT_TRUE(bucket.can_take(25, 0, 100))
+      << "a cost above the burst size is admitted when the bucket is full";
   bucket.take(25, 100);
-  EXPECT_FALSE(bucket.can_take(1, 0, 101)) << "and is paid back";
+  EXPECT_FALSE(bucket.can_take(1, 0, 101)) << "the excess cost must be paid back first";
   EXPECT_TRUE(bucket.can_take(1, 0, 101.7));
 }
 
 TEST(Teams, PlacedTasksCountTowardsTheLimit) {
   TeamLedger ledger({{"t", 8, 16, 0, 0}});
   const Resources four_cores = {4, 1, 0};
-  EXPECT_FALSE(ledger.within_quota(0, four_cores)) << "nothing before the allowance is known";
+  EXPECT_FALSE(ledger.within_quota(0, four_cores)) << "no task is within the quota before the quota is set";
   ledger.set_quota(0, 16, 0, 1);
   EXPECT_EQ(ledger.tasks_within(0, four_cores), 4);
   for (int i = 0; i < 4; i++) {
@@ -272,7 +274,8 @@
     ledger.add(0, four_cores);
   }
   EXPECT_FALSE(ledger.within_quota(0, four_cores));
-  EXPECT_FALSE(ledger.within_quota(0, {0, 0, 1})) << "a team without accelerators has none";
+  EXPECT_FALSE(ledger.within_quota(0, {0, 0, 1}))
+      << "a team without accelerator quota may not use accelerators";
   ledger.remove(0, four_cores);
   EXPECT_TRUE(ledger.within_quota(0, four_cores));
 }
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -1,5 +1,6 @@
-// The version in production and this one run side by side: what it wrote is read here, and what this one
-// writes for arrays has all of its fields, of the same kind (tests/samples/README.md).
+// The version in production and this version run side by side. This version reads the records and messages of
+// production, and what it writes for arrays has all fields of production with values of the same kind.
+// tests/samples/README.md describes the samples.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -21,7 +22,7 @@
   return Json::parse(in);
 }
 
-// All of `wanted`, and perhaps more.
+// Returns whether `value` contains all fields and values of `expected`. It may contain more fields.
 bool contains_all(const Json& value, const Json& expected) {
   if (expected.is_object()) {
     if (!value.is_object()) return false;
@@ -33,7 +34,7 @@
   return value == expected;
 }
 
-// Names of jobs, machines and the like stand for themselves in keys.
+// Replaces ids of jobs and machines that are used as keys by a placeholder, so that shapes can be compared.
 std::string normalized_field_name(const std::string& name) {
   if (name.rfind("host-", 0) == 0) return "HOST";
   const bool job = name.rfind("job-", 0) == 0 || name.rfind("w/b/", 0) == 0;
@@ -48,7 +49,7 @@
   return "list";
 }
 
-// The fields of all values, with the kinds of what they hold.
+// Adds each field of the value to the shape, with the kind of value that it holds.
 void add_shape(const Json& value, const std::string& path,
                std::map<std::string, std::set<std::string>>& shape) {
   if (value.is_object()) {
@@ -68,7 +69,7 @@
   return out;
 }
 
-// A day of arrays that brings about every kind of record and of message.
+// Submits arrays and injects faults so that every kind of record and message occurs.
 void submit_array_workload(World& world) {
   add_jobs(world, 2, 60);
   for (int i = 0; i < 4; i++) world.submit(plain_job(world, 40 + i, 5 + i, 40, 30, 1));
@@ -124,7 +125,7 @@
     EXPECT_TRUE(parse_report(message["request"]).has_value()) << message;
 }
 
-// Every field that production writes for arrays is written here too, and holds the same kind of value.
+// This version writes every field that production writes for arrays, with the same kind of value.
 TEST(Versions, ArrayRecordsAndMessagesKeepTheProductionFields) {
   set_up_log();
   Options options;
@@ -141,9 +142,10 @@
                               const Json& current_values) {
     const auto shape = shape_of(current_values);
     for (const auto& [field, kinds] : shape_of(production_values)) {
-      ASSERT_TRUE(shape.count(field) > 0) << subject << " lacks " << field;
+      ASSERT_TRUE(shape.count(field) > 0) << subject << " lacks the field " << field;
       for (const std::string& kind : kinds)
-        EXPECT_TRUE(shape.at(field).count(kind) > 0) << subject << field << " is no " << kind;
+        EXPECT_TRUE(shape.at(field).count(kind) > 0)
+            << subject << field << " never holds a value of kind " << kind;
     }
   };
   for (const auto& [kind, values] : production["records"].items())
@@ -173,20 +175,20 @@
 
 }  // namespace
 
-// Shards, delegations, quota shares, relayed reports and cancellations go to and fro between the versions,
-// while processes of either end, come back as they were, or are cut off.
+// Shards, delegations, quota shares, relayed reports and cancellations pass between the two versions in both
+// directions, while processes of both versions crash, restart with the same version, or are partitioned.
 TEST_P(Upgrade, FaultsDuringARollingUpgrade) {
   World world(options());
   add_jobs(world, 2, 100);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, 40 + i, 5 + 12 * i, 40, 25, 1));
   world.at(40, [&world] { world.nodes.upgrade(0, 2); });
-  world.at(46, [&world] { world.nodes.crash(1, 0.3); });  // comes back old
+  world.at(46, [&world] { world.nodes.crash(1, 0.3); });  // restarts with the old version
   world.at(50, [&world] { world.network.cut_node(0, true); });
   world.at(62, [&world] { world.network.mend_nodes(); });
   world.at(66, [&world] { world.network.cut_from_workers(2); });
   world.at(75, [&world] { world.nodes.upgrade(1, 0.3); });
   world.at(80, [&world] {
-    for (int i = 0; i < 3; i++) world.nodes.crash(i, 0.3 + i);  // two new ones, one old
+    for (int i = 0; i < 3; i++) world.nodes.crash(i, 0.3 + i);  // two of the new version and one of the old
   });
   world.at(90, [&world] { world.network.mend_nodes(); });
   world.at(95, [&world] { world.nodes.upgrade(2, 8); });
@@ -199,7 +201,7 @@
   EXPECT_EQ(world.state.too_large, 0);
 }
 
-// Stopped half way: both versions serve for as long as it takes.
+// An upgrade stops half way, and both versions keep serving jobs side by side.
 TEST_P(Upgrade, MixedVersionsKeepServing) {
   World world(options());
   add_jobs(world, 2, 140);
