--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -115,8 +115,7 @@
     rented_before = world.cloud.rented;
     int count = 0;
     for (auto& [name, worker] : world.workers) {
-      if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0)
-        continue;  // about 15 % of all machines
+      if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // about 15 % of all
       if (!worker->tasks.empty()) cut_workers.push_back(worker.get());
       world.network.cut_off(name);
     }
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -66,7 +66,8 @@
   sim::World& world = cluster.world();
   for (int number = 0; number < 3; number++) world.submit(sim::plain_job(world, number, 2, 2, 40));
   ASSERT_TRUE(cluster.run_until([&world] { return world.starts >= 4; }, kNoTimeoutSeconds));
-  // All controllers lose their memory, so that only the workers have information on running tasks.
+  // All controllers restart and lose their memory, so that only the workers have information on running
+  // tasks.
   world.state.empty();
   for (int node = 0; node < world.options.nodes; node++) cluster.restart_node(node);
   const auto rebuilt = [&cluster] {
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -168,8 +168,8 @@
   FleetDemand job = demand(8, 3);  // the tasks run one after the other and start at 20, 50 and 80 s
   job.start_within_s = 1e9;
   job.estimated_s = 20;
-  // Half the slack is reserved for work that arrives later and is placed earlier. Queues that were planned to
-  // meet their deadlines only just always missed them.
+  // Half the slack is reserved for work that arrives later and is placed earlier. Queues that were planned
+  // to meet their deadlines without slack always missed them.
   job.time_left_s = 191;  // the last task must start by (191 - 30) / 2 s
   EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).new_machines.empty());
   job.time_left_s = 189;
