--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,6 +1,6 @@
-// The simulated cluster at the size of a large fleet: five nodes, one to two thousand machines and a crowd of
-// jobs, when many things fall together. No rule may break, no message may be larger than its receiver takes,
-// and the work must get done.
+// The simulated cluster at the size of a large fleet: five nodes, one to two thousand machines and many jobs,
+// with many faults at the same time. No rule may break, no message may exceed the limit of its receiver, and
+// the jobs must complete.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -22,27 +22,28 @@
 
 }  // namespace
 
-TEST_F(LargeFleet, QuietDay) {
-  constexpr double kDay = 260;
-  Options most = large_fleet(1);
-  most.market_machines = 2 * kLargeMarketMachines;
-  most.team_max_cpus = 14000;
-  World world(most);
+TEST_F(LargeFleet, TrafficWithoutFaultsIsBounded) {
+  constexpr double kDurationSeconds = 260;
+  Options doubled_market = large_fleet(1);
+  doubled_market.market_machines = 2 * kLargeMarketMachines;
+  doubled_market.team_max_cpus = 14000;
+  World world(doubled_market);
   add_mixed_load(world, 800, 100);
 
-  world.run_until(kDay);
+  world.run_until(kDurationSeconds);
 
   expect_invariants_hold(world);
   EXPECT_GT(world.cloud.machines_rented, 2000);
-  // What is sent does not grow with the fleet or the queue, but with time, nodes and starts.
+  // The number of messages grows with time, nodes and task starts, but not with the fleet or the queue.
   const double nodes = world.options.nodes;
-  EXPECT_LT(world.network.message_counts["/peer/summary"], 1.1 * kDay * nodes);
-  EXPECT_LT(world.network.message_counts["/peer/beat"], 1.1 * kDay / 2 * nodes * (nodes - 1));
-  EXPECT_LT(world.network.message_counts["/peer/borrow"], 1.1 * kDay / 0.4 * nodes);
-  EXPECT_LT(world.state.requested_changes, world.starts) << "a change covers several starts";
-  EXPECT_LT(world.network.message_counts["state request"], kDay * world.options.state_rps / 2);
+  EXPECT_LT(world.network.message_counts["/peer/summary"], 1.1 * kDurationSeconds * nodes);
+  EXPECT_LT(world.network.message_counts["/peer/beat"], 1.1 * kDurationSeconds / 2 * nodes * (nodes - 1));
+  EXPECT_LT(world.network.message_counts["/peer/borrow"], 1.1 * kDurationSeconds / 0.4 * nodes);
+  EXPECT_LT(world.state.requested_changes, world.starts)
+      << "each state change should cover several task starts";
+  EXPECT_LT(world.network.message_counts["state request"], kDurationSeconds * world.options.state_rps / 2);
   EXPECT_LT(world.network.message_counts["command"], world.starts / 4)
-      << "launches ride in answers, commands only stop";
+      << "launches should be sent in answers to reports, and commands only to stop tasks";
   if (std::getenv("SIM_SIZES") != nullptr) {
     for (const auto& [kind, bytes] : world.network.largest_bytes)
       std::cout << kind << ": " << world.network.message_counts[kind] << ", at most " << bytes << " bytes\n";
@@ -52,16 +53,16 @@
   }
 }
 
-// All five nodes end at once, are back within a fraction of a second while the state service is slow, and
-// again after seconds; a tenth of the machines hang meanwhile. A shard that must read many records one after
-// the other stays away for as long.
+// All five nodes crash at once while the state service is slow. They restart first within a fraction of a
+// second and later after 6 s, and a tenth of the machines hang in between. A shard whose owner reads many
+// records one after the other would be inactive for all that time.
 TEST_F(LargeFleet, AllNodesRestartWhileTheStateServiceIsSlow) {
   World world(large_fleet(2));
   add_mixed_load(world, 300, 120);
-  double down = 0;  // of any shard, since the last restart
-  const auto until_active = [&world, &down](double since) {
+  double longest_inactive_s = 0;  // the longest of any shard after a restart
+  const auto measure_until_active = [&world, &longest_inactive_s](double restarted_at) {
     auto check = std::make_shared<std::function<void()>>();
-    *check = [&world, &down, since, check] {
+    *check = [&world, &longest_inactive_s, restarted_at, check] {
       for (int p = 0; p < world.options.nodes; p++) {
         bool active = false;
         for (const Nodes::Process& process : world.nodes) {
@@ -73,13 +74,13 @@
           return;
         }
       }
-      down = std::max(down, world.now - since);
+      longest_inactive_s = std::max(longest_inactive_s, world.now - restarted_at);
     };
     world.in(0.5, [check] { (*check)(); });
   };
-  const auto restart_all = [&world, &until_active](double after) {
-    for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, after + world.uniform(0, 0.3));
-    until_active(world.now + after);
+  const auto restart_all = [&world, &measure_until_active](double delay_s) {
+    for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, delay_s + world.uniform(0, 0.3));
+    measure_until_active(world.now + delay_s);
   };
   world.at(60, [&world] { world.state.answer_delay_s = 0.15; });
   world.at(70, [&restart_all] { restart_all(0.2); });
@@ -97,27 +98,27 @@
   world.run_until(330);
 
   expect_invariants_hold(world);
-  EXPECT_GT(down, 0);
-  EXPECT_LT(down, 8);  // the lease of a process before it, and some ten reads
+  EXPECT_GT(longest_inactive_s, 0);
+  EXPECT_LT(longest_inactive_s, 8);  // the lease of the previous process and about ten reads
 }
 
-// Most of a zone's machines are cut off, a tenth of the others hang and some die for good, and copies of old
-// messages keep coming. What was only cut off is not given back, and what was lost is rented anew once, not
-// again and again.
-TEST_F(LargeFleet, MuchOfAZoneIsCutOffWhileMachinesHangAndDie) {
-  Options mixed = large_fleet(3);
-  mixed.message_copy_share = 0.02;
-  mixed.commit_copy_share = 0.02;
-  World world(mixed);
+// Most machines of a zone are partitioned, a tenth of the others hang, some die permanently, and duplicates
+// of old messages keep arriving. Partitioned machines must not be returned to the cloud, and lost machines
+// must be replaced only once.
+TEST_F(LargeFleet, MostOfAZoneIsPartitionedWhileMachinesHangAndDie) {
+  Options with_copies = large_fleet(3);
+  with_copies.message_copy_share = 0.02;
+  with_copies.commit_copy_share = 0.02;
+  World world(with_copies);
   add_mixed_load(world, 300, 150);
-  std::vector<Worker*> cut;
+  std::vector<Worker*> cut_workers;
   int rented_before = 0;
-  world.at(60, [&world, &cut, &rented_before] {
+  world.at(60, [&world, &cut_workers, &rented_before] {
     rented_before = world.cloud.machines_rented;
     int count = 0;
     for (auto& [name, worker] : world.workers) {
-      if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // some 15 % of all
-      if (!worker->tasks.empty()) cut.push_back(worker.get());
+      if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // about 15 % of all
+      if (!worker->tasks.empty()) cut_workers.push_back(worker.get());
       world.network.partition_machine(name);
     }
   });
@@ -128,13 +129,13 @@
       worker->hang(world.uniform(10, 30));
     }
   });
-  world.at(95, [&world, &cut] {
+  world.at(95, [&world, &cut_workers] {
     world.network.partitions.clear();
-    int kept = 0;
-    for (const Worker* worker : cut) kept += worker->dead ? 0 : 1;
-    EXPECT_GT(cut.size(), 20u);
-    EXPECT_GT(kept * 10, static_cast<int>(cut.size()) * 9)
-        << "machines that were only cut off were given back";
+    int alive = 0;
+    for (const Worker* worker : cut_workers) alive += worker->dead ? 0 : 1;
+    EXPECT_GT(cut_workers.size(), 20u);
+    EXPECT_GT(alive * 10, static_cast<int>(cut_workers.size()) * 9)
+        << "partitioned machines were returned to the cloud, although they were alive";
   });
   world.at(110, [&world] {
     int count = 0;
@@ -148,20 +149,21 @@
 
   expect_invariants_hold(world);
   EXPECT_EQ(world.rules.launches_to_copies, 0);
-  EXPECT_LT(world.cloud.machines_rented, 2 * rented_before) << "rented beyond need";
+  EXPECT_LT(world.cloud.machines_rented, 2 * rented_before)
+      << "more machines were rented than lost machines need as replacements";
 }
 
-// The controller that rents machines stands still for longer than any lease while its clocks run on, then
-// another one for a while. What waited in its sockets and timers must not be carried out as if it still owned
-// anything.
-TEST_F(LargeFleet, AFrozenControllerStartsNothingWhenItWakes) {
+// The controller that rents machines is frozen for longer than any lease while its clocks advance, and later
+// another controller is frozen for 9 s. When a controller resumes, it must not process the pending messages
+// and timers as if it still owned its shards.
+TEST_F(LargeFleet, AFrozenControllerStartsNothingWhenItResumes) {
   World world(large_fleet(4));
   add_mixed_load(world, 300, 150);
-  const auto freeze = [&world](int node, double for_s) {
+  const auto freeze = [&world](int node, double duration_s) {
     const std::string name = node_name(node);
-    world.nodes.freeze(node, for_s);
+    world.nodes.freeze(node, duration_s);
     world.network.isolated_since[name] = world.now;
-    world.in(for_s + 0.01, [&world, name] { world.network.isolated_since.erase(name); });
+    world.in(duration_s + 0.01, [&world, name] { world.network.isolated_since.erase(name); });
   };
   world.at(60, [&freeze] { freeze(0, 30); });
   world.at(110, [&freeze] { freeze(2, 9); });
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -1,4 +1,5 @@
-// Workers that cannot reach the owner of their shard, while other nodes reach both of them.
+// Covers workers that cannot reach the owner of their shard while other nodes can reach both the workers and
+// the owner.
 #include <gtest/gtest.h>
 
 #include "coordination/node/report_relay.hpp"
@@ -13,9 +14,9 @@
 
 using Route = ReportRelay::Route;
 
-constexpr std::uint64_t kToken = 41;
+constexpr std::uint64_t kOwnerToken = 41;
 
-ReportRelay::ReportInfo report(std::uint64_t token, std::uint64_t owner_token = kToken) {
+ReportRelay::ReportInfo make_visit(std::uint64_t token, std::uint64_t owner_token = kOwnerToken) {
   return {"host-000001", token, "roost-1", owner_token};
 }
 
@@ -30,7 +31,7 @@
     out.message_loss_share = 0;
     return out;
   }
-  // Tasks that last about as long as the trouble does.
+  // Submits tasks that run for about as long as the network fault lasts.
   static void add_long_jobs(World& world) {
     for (int i = 0; i < 12; i++) world.submit(plain_job(world, i, world.uniform(2, 30), 4, 30, 2));
     for (int i = 12; i < 24; i++) world.submit(plain_job(world, i, world.uniform(60, 90), 4, 8, 2));
@@ -39,31 +40,33 @@
 
 }  // namespace
 
-TEST(ReportRelay, ANewWorkerIsRedirectedAndOneThatComesBackIsRelayed) {
+TEST(ReportRelay, ANewWorkerIsRedirectedAndAReturningOneIsRelayed) {
   ReportRelay relay;
-  relay.on_owner_heartbeat("roost-1", {kToken}, 100);
-  EXPECT_EQ(relay.route(report(0), 100), Route::kRedirect);
-  EXPECT_EQ(relay.route(report(0), 100.3), Route::kRedirect) << "too soon to have failed at the owner";
-  relay.on_owner_heartbeat("roost-1", {kToken}, 106);
-  EXPECT_EQ(relay.route(report(0), 106), Route::kRelay);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 100);
+  EXPECT_EQ(relay.route(make_visit(0), 100), Route::kRedirect);
+  EXPECT_EQ(relay.route(make_visit(0), 100.3), Route::kRedirect)
+      << "the worker cannot have tried the owner yet";
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 106);
+  EXPECT_EQ(relay.route(make_visit(0), 106), Route::kRelay);
 }
 
 TEST(ReportRelay, AWorkerThatTheOwnerHasServedIsRelayedAtOnce) {
   ReportRelay relay;
-  relay.on_owner_heartbeat("roost-1", {kToken}, 100);
-  // A new owner shows its token to machines that it has not served yet.
-  EXPECT_EQ(relay.route(report(kToken), 101), Route::kRedirect);
-  relay.on_owner_heartbeat("roost-1", {kToken}, 130);
-  EXPECT_EQ(relay.route(report(kToken), 130), Route::kRelay);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 100);
+  // A new owner also sends its token to machines that it has not served yet. The token therefore proves only
+  // after some time that the owner has served the worker.
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 101), Route::kRedirect);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 130);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 130), Route::kRelay);
 }
 
-TEST(ReportRelay, TheWayToTheOwnerIsTriedAgainInTime) {
+TEST(ReportRelay, WorkersAreRedirectedToTheOwnerPeriodically) {
   ReportRelay relay;
   int redirects = 0;
   int relays = 0;
   for (double now = 20; now < 220; now += 2) {
-    relay.on_owner_heartbeat("roost-1", {kToken}, now);
-    const Route route = relay.route(report(kToken), now);
+    relay.on_owner_heartbeat("roost-1", {kOwnerToken}, now);
+    const Route route = relay.route(make_visit(kOwnerToken), now);
     redirects += route == Route::kRedirect ? 1 : 0;
     relays += route == Route::kRelay ? 1 : 0;
   }
@@ -71,50 +74,51 @@
   EXPECT_GE(relays, 80);
 }
 
-// Through one node for a while, then through another: back here it is not redirected once more first.
-TEST(ReportRelay, OneThatWasRelayedHereLongAgoIsRelayedAtOnce) {
+// A worker is relayed by this node, then by another one, and then returns. It must not be redirected again
+// before it is relayed.
+TEST(ReportRelay, APreviouslyRelayedWorkerIsRelayedAtOnce) {
   ReportRelay relay;
-  relay.on_owner_heartbeat("roost-1", {kToken}, 0);
-  relay.on_owner_heartbeat("roost-1", {kToken}, 20);
-  EXPECT_EQ(relay.route(report(kToken), 20), Route::kRelay);
-  relay.on_owner_heartbeat("roost-1", {kToken}, 60);
-  EXPECT_EQ(relay.route(report(kToken), 60), Route::kRelay);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 0);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 20);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kRelay);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 60);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 60), Route::kRelay);
 }
 
-TEST(ReportRelay, AnOwnerThatCannotBeReachedFromHereIsLeftToOtherNodes) {
+TEST(ReportRelay, AWorkerIsSentToTheNextNodeWhenTheOwnerIsUnreachable) {
   ReportRelay relay;
-  relay.on_owner_heartbeat("roost-1", {kToken}, 0);
-  EXPECT_EQ(relay.route(report(kToken), 20), Route::kNextNode);
-  relay.on_owner_heartbeat("roost-1", {kToken}, 22);
-  EXPECT_EQ(relay.route(report(kToken), 22), Route::kRelay);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 0);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kNextNode);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 22);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 22), Route::kRelay);
   relay.on_relay_failed("roost-1");
-  EXPECT_EQ(relay.route(report(kToken), 23), Route::kNextNode);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 23), Route::kNextNode);
 }
 
-TEST(ReportRelay, ANewOwnerIsRedirectedToAndMachinesAreForgotten) {
+TEST(ReportRelay, ANewOwnerCausesARedirectAndOldMachinesExpire) {
   ReportRelay relay;
-  relay.on_owner_heartbeat("roost-1", {kToken}, 0);
-  relay.on_owner_heartbeat("roost-1", {kToken}, 20);
-  EXPECT_EQ(relay.route(report(kToken), 20), Route::kRelay);
-  EXPECT_EQ(relay.route(report(kToken, kToken + 1), 21), Route::kRedirect);
-  EXPECT_EQ(relay.route({"host-000002", 0, "roost-1", kToken}, 22), Route::kRedirect);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 0);
+  relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 20);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kRelay);
+  EXPECT_EQ(relay.route(make_visit(kOwnerToken, kOwnerToken + 1), 21), Route::kRedirect);
+  EXPECT_EQ(relay.route({"host-000002", 0, "roost-1", kOwnerToken}, 22), Route::kRedirect);
   EXPECT_EQ(relay.size(), 2u);
-  relay.route({"host-000003", 0, "roost-1", kToken}, 300);
+  relay.route({"host-000003", 0, "roost-1", kOwnerToken}, 300);
   EXPECT_EQ(relay.size(), 1u);
 }
 
-// Incident ae2d: a controller that no machine reached, with everything else in order, kept its shards for 40
-// s while the leases of all its machines ran out, 264 tasks with them.
-TEST_P(Reachability, AnOwnerIsCutFromItsWorkers) {
+// Incident ae2d: no machine could reach one controller, while all its other connections worked. It kept its
+// shards for 40 s, the leases of all its machines expired, and 264 tasks were lost.
+TEST_P(Reachability, AnOwnerIsPartitionedFromItsWorkers) {
   World world(options());
   add_long_jobs(world);
-  int on_its_machines = 0;
-  int lost_before = 0;
+  int tasks_on_cut_machines = 0;
+  int lost_before_cut = 0;
   world.at(45, [&] {
-    lost_before = world.tasks_lost_with_lease;
+    lost_before_cut = world.tasks_lost_with_lease;
     for (auto& [name, worker] : world.workers) {
       if (world.nodes.owner_of(shard_of(name, world.options.nodes)) == 0)
-        on_its_machines += static_cast<int>(worker->tasks.size());
+        tasks_on_cut_machines += static_cast<int>(worker->tasks.size());
     }
     world.network.partition_node_from_workers(0);
   });
@@ -124,26 +128,28 @@
   world.run_until(400);
 
   expect_invariants_hold(world);
-  EXPECT_GT(on_its_machines, 0);
-  EXPECT_EQ(world.tasks_lost_with_lease, lost_before) << "of " << on_its_machines << " tasks on its machines";
+  EXPECT_GT(tasks_on_cut_machines, 0);
+  EXPECT_EQ(world.tasks_lost_with_lease, lost_before_cut)
+      << "tasks were lost to expired leases, of " << tasks_on_cut_machines << " on the owner's machines";
 }
 
-// The machines of one zone cannot reach a node and some of the others; they are served all the same.
+// The machines of one zone cannot reach the owner of some shards, and the owner cannot reach one of the other
+// nodes either. The machines must still be served through the remaining nodes.
 TEST_P(Reachability, AZoneCannotReachTheOwner) {
   Options large = options();
   large.nodes = 5;
   World world(large);
   add_long_jobs(world);
-  int cut = 0;
-  int lost_before = 0;
+  int busy_machines_cut = 0;
+  int lost_before_cut = 0;
   world.at(45, [&] {
-    lost_before = world.tasks_lost_with_lease;
+    lost_before_cut = world.tasks_lost_with_lease;
     for (auto& [name, worker] : world.workers) {
       if (!worker->is_up() || worker->zone != "a") continue;
       world.network.partitions.insert({name, node_name(1)});
-      cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
+      busy_machines_cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
     }
-    world.network.partitions.insert({node_name(1), node_name(2)});  // the next node that they try
+    world.network.partitions.insert({node_name(1), node_name(2)});  // the next node that the machines try
   });
   world.at(95, [&world] { world.network.heal_partitions(); });
   world.faults_end_at = 100;
@@ -151,8 +157,8 @@
   world.run_until(400);
 
   expect_invariants_hold(world);
-  EXPECT_GT(cut, 0);
-  EXPECT_EQ(world.tasks_lost_with_lease, lost_before);
+  EXPECT_GT(busy_machines_cut, 0);
+  EXPECT_EQ(world.tasks_lost_with_lease, lost_before_cut);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Reachability, ::testing::Range(0, seed_count()));
--- a/tests/scheduling_test.cpp
+++ b/tests/scheduling_test.cpp
@@ -1,4 +1,4 @@
-// The paper's preference, with worked examples, and fleet sizing.
+// Covers the preference function of the paper, with worked examples, and fleet sizing.
 #include <gtest/gtest.h>
 
 #include "scheduling/preference.hpp"
@@ -32,31 +32,32 @@
 }
 }  // namespace
 
-// Section 3.4.1: <10 GB, 6 cores> takes three tasks of type II and one of type I, and is then full.
+// Section 3.4.1 of the paper: a machine of <10 GB, 6 cores> takes three tasks of type II and one of type I,
+// and is then full.
 TEST(Fitness, ThePapersTable) {
-  const Resources one = {3, 1, 0};  // type I: cores, GB
-  const Resources two = {1, 3, 0};  // type II
-  const Resources weights = {1, 1, 0};
+  const Resources type_one = {3, 1, 0};  // type I: cores, GB
+  const Resources type_two = {1, 3, 0};  // type II
+  const Resources resource_weights = {1, 1, 0};
   Resources room = {6, 10, 0};
   const double expected[][2] = {{28, 36}, {22, 26}, {16, 16}, {6, 10}};
-  PreferenceWeights w;
-  w.urgency = w.alignment = 0;
-  w.resource = weights;
-  int taken[2] = {0, 0};
-  const int order[] = {1, 1, 0, 1};  // at <4,4> both score 16: the paper leaves the tie open
+  PreferenceWeights preference_weights;
+  preference_weights.urgency = preference_weights.alignment = 0;
+  preference_weights.resource = resource_weights;
+  int placed_counts[2] = {0, 0};
+  const int order[] = {1, 1, 0, 1};  // at <4,4> both score 16, and the paper does not break the tie
   for (int step = 0; step < 4; step++) {
-    EXPECT_DOUBLE_EQ(fitness(one, room, weights), expected[step][0]);
-    EXPECT_DOUBLE_EQ(fitness(two, room, weights), expected[step][1]);
-    const int best = choose_request(room, {request(one), request(two)}, w);
+    EXPECT_DOUBLE_EQ(fitness(type_one, room, resource_weights), expected[step][0]);
+    EXPECT_DOUBLE_EQ(fitness(type_two, room, resource_weights), expected[step][1]);
+    const int best = choose_request(room, {request(type_one), request(type_two)}, preference_weights);
     ASSERT_EQ(best, order[step]);
-    const Resources& chosen = best == 0 ? one : two;
+    const Resources& chosen = best == 0 ? type_one : type_two;
     for (std::size_t r = 0; r < 3; r++) room[r] -= chosen[r];
-    taken[best]++;
+    placed_counts[best]++;
   }
-  EXPECT_EQ(taken[0], 1);
-  EXPECT_EQ(taken[1], 3);
+  EXPECT_EQ(placed_counts[0], 1);
+  EXPECT_EQ(placed_counts[1], 3);
   EXPECT_EQ(room, (Resources{0, 0, 0}));
-  EXPECT_EQ(choose_request(room, {request(one), request(two)}, w), -1);
+  EXPECT_EQ(choose_request(room, {request(type_one), request(type_two)}, preference_weights), -1);
 }
 
 TEST(Preference, TermsAreMinMaxNormalisedAndWeighted) {
@@ -69,24 +70,24 @@
   c.held = {8, 8, 0};
   c.stages = 3;
   c.stages_finished = 1;
-  const PreferenceWeights w;  // 0.2, 0.2, 0.6
-  const auto p = preferences({8, 8, 0}, {a, b, c}, w);
-  // F: 64, 16, 32; U: 0, 8, 4; A: 1/5, 1/5, 4/5.
-  EXPECT_NEAR(p[0], 0.2, 1e-12);
-  EXPECT_NEAR(p[1], 0.2, 1e-12);
-  EXPECT_NEAR(p[2], 0.2 / 3 + 0.1 + 0.6, 1e-12);
+  const PreferenceWeights preference_weights;  // 0.2, 0.2, 0.6
+  const auto scores = preferences({8, 8, 0}, {a, b, c}, preference_weights);
+  // Raw terms of a, b and c: fitness F is 64, 16, 32; urgency U is 0, 8, 4; alignment A is 1/5, 1/5, 4/5.
+  EXPECT_NEAR(scores[0], 0.2, 1e-12);
+  EXPECT_NEAR(scores[1], 0.2, 1e-12);
+  EXPECT_NEAR(scores[2], 0.2 / 3 + 0.1 + 0.6, 1e-12);
 }
 
-TEST(Preference, AFlatTermAddsNothing) {
+TEST(Preference, ATermThatIsEqualForAllAddsNothing) {
   ResourceRequest a = request({2, 2, 0});
   ResourceRequest b = request({1, 1, 0});
-  const auto p = preferences({8, 8, 0}, {a, b}, {});
-  EXPECT_DOUBLE_EQ(p[0], 0.2) << "urgency and alignment are the same for both";
-  EXPECT_DOUBLE_EQ(p[1], 0);
+  const auto scores = preferences({8, 8, 0}, {a, b}, {});
+  EXPECT_DOUBLE_EQ(scores[0], 0.2) << "urgency and alignment are the same for both";
+  EXPECT_DOUBLE_EQ(scores[1], 0);
   EXPECT_DOUBLE_EQ(preferences({8, 8, 0}, {a}, {})[0], 0);
 }
 
-TEST(Preference, WhatDoesNotFitIsNotListed) {
+TEST(Preference, RequestsThatDoNotFitAreExcluded) {
   ResourceRequest big = request({9, 1, 0});
   ResourceRequest small = request({1, 1, 0});
   EXPECT_EQ(choose_request({8, 8, 0}, {big, small}, {}), 1);
@@ -99,9 +100,11 @@
   fresh.nothing_placed = true;
   EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 1);
   fresh.nothing_placed = false;
-  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 0) << "then the larger fit, as in the paper";
+  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 0)
+      << "otherwise the request with the larger fitness goes first, as in the paper";
   fresh.bonus = 0.5;
-  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 1) << "and a more urgent class outweighs it";
+  EXPECT_EQ(choose_request({8, 8, 0}, {large, fresh}, {}), 1)
+      << "the bonus of a more urgent class outweighs fitness";
 }
 
 TEST(Preference, DeadlinePressureGrowsAsTimeRunsOut) {
@@ -111,7 +114,7 @@
   EXPECT_DOUBLE_EQ(deadline_pressure(25, 10), 0.5);
 }
 
-TEST(Sizing, RentsTheCheapestThatFitsAndSpreads) {
+TEST(Sizing, RentsTheCheapestFittingTypeAndAvoidsRefusedMarkets) {
   const std::vector<FleetType> types = {type(8, 64, 0.62, 0.19), type(32, 64, 1.71, 0.50)};
   std::vector<FleetMarket> markets;
   for (int t : {0, 1}) {
@@ -123,7 +126,7 @@
   auto plan = plan_fleet(types, markets, {}, {demand(16, 4)}, {});
   int machines = 0;
   for (const auto& rent : plan.new_machines) {
-    EXPECT_EQ(rent.type, 1) << "only the large type holds 16 cores";
+    EXPECT_EQ(rent.type, 1) << "only the large type has 16 cores";
     EXPECT_TRUE(rent.spot);
     machines += rent.count;
   }
@@ -132,14 +135,14 @@
   for (auto& market : markets) market.refused = market.spot;
   plan = plan_fleet(types, markets, {}, {demand(16, 2)}, {});
   ASSERT_EQ(plan.new_machines.size(), 1u);
-  EXPECT_FALSE(plan.new_machines[0].spot) << "ordinary ones when spot is refused";
+  EXPECT_FALSE(plan.new_machines[0].spot) << "ordinary machines should be rented when spot is refused";
 
   for (auto& market : markets) market.refused = true;
   plan = plan_fleet(types, markets, {}, {demand(16, 2)}, {});
   EXPECT_TRUE(plan.new_machines.empty());
 }
 
-TEST(Sizing, WhatIsFreeOrBootingIsUsedFirst) {
+TEST(Sizing, FreeAndBootingMachinesAreUsedFirst) {
   const std::vector<FleetType> types = {type(8, 64, 0.62, 0.19)};
   const std::vector<FleetMarket> markets = {{0, 0, true, false, 0}};
   FleetMachine machine;
@@ -149,24 +152,25 @@
   EXPECT_EQ(plan.planned_tasks[0], 2);
   machine.rooms = {{10, {8, 64, 0}}};
   plan = plan_fleet(types, markets, {machine}, {demand(4, 2)}, {});
-  EXPECT_TRUE(plan.new_machines.empty()) << "a machine that boots soon is earlier than a new one";
+  EXPECT_TRUE(plan.new_machines.empty())
+      << "a booting machine should be used, because it is ready before a new one";
   machine.usable = false;
   plan = plan_fleet(types, markets, {machine}, {demand(4, 2)}, {});
   ASSERT_EQ(plan.new_machines.size(), 1u);
   EXPECT_EQ(plan.new_machines[0].count, 1);
 }
 
-TEST(Sizing, NothingIsRentedForADeadlineThatIsMetAnyway) {
+TEST(Sizing, NothingIsRentedForADeadlineThatTheFleetMeets) {
   const std::vector<FleetType> types = {type(8, 64, 0.62, 0.19)};  // boots in 30 s
   const std::vector<FleetMarket> markets = {{0, 0, false, false, 0}};
   FleetMachine busy;
-  busy.rooms = {{0, {0, 60, 0}}, {20, {8, 0, 0}}};  // its cores come free in 20 s
-  FleetDemand job = demand(8, 3);                   // one after the other: they start at 20, 50 and 80 s
+  busy.rooms = {{0, {0, 60, 0}}, {20, {8, 0, 0}}};  // its cores become free in 20 s
+  FleetDemand job = demand(8, 3);  // the tasks run one after the other and start at 20, 50 and 80 s
   job.start_within_s = 1e9;
   job.estimated_s = 20;
-  // Half the slack is for what comes after and goes first: a queue that only just met its deadlines never
-  // did.
-  job.time_left_s = 191;  // the last is to start by (191 - 30) / 2
+  // Half the slack is reserved for work that arrives later and is placed earlier. Queues that were planned
+  // to meet their deadlines without slack always missed them.
+  job.time_left_s = 191;  // the last task must start by (191 - 30) / 2 s
   EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).new_machines.empty());
   job.time_left_s = 189;
   const auto plan = plan_fleet(types, markets, {busy}, {job}, {});
@@ -175,5 +179,5 @@
   job.count = 1;
   job.time_left_s = 40;
   EXPECT_TRUE(plan_fleet(types, markets, {busy}, {job}, {}).new_machines.empty())
-      << "a new machine would be late too";
+      << "a new machine would miss the deadline too";
 }
