--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -308,9 +308,9 @@
 // Verifies the check itself: it reports a machine that keeps its tasks although it is ordered to stop them.
 TEST(CancelledCheck, FindsATaskThatIgnoresCancellation) {
   set_up_log();
-  Options lossless;
-  lossless.message_loss_share = 0;
-  World world(lossless);
+  Options sim_options;
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   UserJob job = plain_job(world, 1, 2, 6, 300, 1);
   job.cancel_at = 40;
   world.submit(job);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -24,10 +24,10 @@
 
 TEST_F(LargeFleet, TrafficWithoutFaultsIsBounded) {
   constexpr double kDurationSeconds = 260;
-  Options doubled_market = large_fleet(1);
-  doubled_market.market_machines = 2 * kLargeMarketMachines;
-  doubled_market.team_max_cpus = 14000;
-  World world(doubled_market);
+  Options sim_options = large_fleet(1);
+  sim_options.market_machines = 2 * kLargeMarketMachines;
+  sim_options.team_max_cpus = 14000;
+  World world(sim_options);
   add_mixed_load(world, 800, 100);
 
   world.run_until(kDurationSeconds);
@@ -106,10 +106,10 @@
 // of old messages keep arriving. Partitioned machines must not be returned to the cloud, and lost machines
 // must be replaced only once.
 TEST_F(LargeFleet, MostOfAZoneIsPartitionedWhileMachinesHangAndDie) {
-  Options with_copies = large_fleet(3);
-  with_copies.message_copy_share = 0.02;
-  with_copies.commit_copy_share = 0.02;
-  World world(with_copies);
+  Options sim_options = large_fleet(3);
+  sim_options.message_copy_share = 0.02;
+  sim_options.commit_copy_share = 0.02;
+  World world(sim_options);
   add_mixed_load(world, 300, 150);
   std::vector<Worker*> cut_workers;
   int rented_before = 0;
--- a/tests/measure_recovery.cpp
+++ b/tests/measure_recovery.cpp
@@ -71,10 +71,10 @@
   set_up_log();
   const int market = argc > 1 ? std::atoi(argv[1]) : 6;
   const std::string loss = argc > 2 ? argv[2] : "emptied";
-  Options options = large_fleet(1, market);
-  options.recovery = true;
-  options.team_cpus = options.team_max_cpus * market / kLargeMarketMachines;
-  World world(options);
+  Options sim_options = large_fleet(1, market);
+  sim_options.recovery = true;
+  sim_options.team_cpus = sim_options.team_max_cpus * market / kLargeMarketMachines;
+  World world(sim_options);
   add_mixed_load(world, std::max(20, 4 * market), 250);
   Measurement measurement;
   StateService::Snapshot copy;
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -148,9 +148,9 @@
 // Reports delayed by a network cut arrive at the owner that has taken the shard over and acted in the
 // meantime. Copies of earlier reports arrive with them, some of them from earlier incarnations.
 TEST_P(OverlappingFailures, DelayedReportsReachANewOwner) {
-  Options late = options();
-  late.message_copy_share = 0.3;
-  World world(late);
+  Options sim_options = options();
+  sim_options.message_copy_share = 0.3;
+  World world(sim_options);
   world.network.delayed_share = 1;
   add_jobs(world, 2, 100);
   int handovers = 0;
@@ -180,9 +180,9 @@
 // A quarter of all transactions gets no answer and is applied seconds later, after newer transactions of the
 // same node. Meanwhile nodes crash, and users cancel jobs, poll them and submit them again.
 TEST_P(OverlappingFailures, TransactionsAreAppliedLate) {
-  Options late = options();
-  late.late_commit_share = 0.25;
-  World world(late);
+  Options sim_options = options();
+  sim_options.late_commit_share = 0.25;
+  World world(sim_options);
   add_jobs(world, 2, 100);
   for (double t = 25; t < 110; t += world.uniform(12, 25)) {
     world.at(t, [&world] { world.nodes.crash(random_node(world), world.uniform(0.1, 9)); });
@@ -300,11 +300,11 @@
 // More urgent and best-effort work than the machines can run, while the state service answers slowly and
 // messages are lost. The limits of the teams and the priority order hold, and all jobs run in the end.
 TEST_P(OverlappingFailures, MoreWorkThanCapacityWithASlowStateService) {
-  Options slow = options();
-  slow.message_loss_share = 0.02;
-  slow.nodes = 3;
-  slow.market_machines = 1;
-  World world(slow);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.02;
+  sim_options.nodes = 3;
+  sim_options.market_machines = 1;
+  World world(sim_options);
   for (int i = 0; i < 30; i++) {
     UserJob job = plain_job(world, i, world.uniform(2, 60), 8, 8, i % 3 == 0 ? 4 : 2);
     job.body["urgency"] = i % 2 == 0 ? "urgent" : "best_effort";
@@ -329,9 +329,9 @@
 // The tasks of a job end far apart, with a change of owner in between. Completed tasks stay completed, no
 // task runs twice, and the job is done once its last task is done.
 TEST_P(OverlappingFailures, TasksThatEndFarApartAcrossAChangeOfOwner) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   for (int i = 0; i < 10; i++) {
     UserJob job = plain_job(world, i, 5, 2 + i % 2, 40, 1);
     job.run_increment_s = 50;  // task k takes 50 s longer than task k - 1
@@ -358,9 +358,9 @@
 // Users cancel and resubmit a job at the moment at which its last task ends, without any other failure. The
 // job ends as done or as cancelled, and keeps the state that users received first.
 TEST_P(OverlappingFailures, ACancellationAtTheEndOfTheLastTask) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, world.uniform(2, 60), 1 + i % 3, 6, 1));
   int last_task_ends = 0;
   world.on_job_completed = [&](const std::string& ref) {
@@ -390,11 +390,11 @@
 // cancelled at the same time. Tasks on those machines count towards the limit, cancelled or not. A new owner
 // once did not count them and started other tasks of the team beyond the limit.
 TEST_P(OverlappingFailures, TeamLimitHoldsWhileMachinesAreUnreachableAndJobsAreCancelled) {
-  Options limited = options();
-  limited.message_loss_share = 0;
-  limited.nodes = 3;
-  limited.team_max_cpus = 40;
-  World world(limited);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  sim_options.nodes = 3;
+  sim_options.team_max_cpus = 40;
+  World world(sim_options);
   world.network.delayed_share = 0;
   submit_jobs_of_two_teams(world);
   TeamUsage red_team;
@@ -483,12 +483,12 @@
 // on which those jobs fail are not classified as faulty, the faulty machine is detected and returned, other
 // jobs continue, and the failing jobs are retried rarely.
 TEST_P(OverlappingFailures, AlwaysFailingJobsAndAFaultyMachine) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  lossless.nodes = 3;
-  lossless.market_machines = 6;
-  lossless.team_max_cpus = 160;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  sim_options.nodes = 3;
+  sim_options.market_machines = 6;
+  sim_options.team_max_cpus = 160;
+  World world(sim_options);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, 2 + i * 1.8, 16, 10, 4));
   const std::vector<std::string> always_failing = submit_always_failing(world);
   std::string faulty;
@@ -522,10 +522,10 @@
 // A node freezes, and its shards get a new owner, which learns of machines without tasks only from their
 // reports. These machines are up and must not be returned as rentals that never arrived.
 TEST_P(OverlappingFailures, IdleMachinesSurviveATakeover) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  lossless.nodes = 3;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  sim_options.nodes = 3;
+  World world(sim_options);
   for (int i = 0; i < 8; i++) world.submit(plain_job(world, i, 2, 8, 25, 2));
   std::map<int, std::set<std::string>> idle_by_shard;
   world.at(72, [&] {
@@ -550,11 +550,11 @@
 
 // All failures of the tests above, drawn at random and overlapping.
 TEST_P(OverlappingFailures, RandomFailuresOverlap) {
-  Options mix = options();
-  mix.message_loss_share = 0.005;
-  mix.message_copy_share = 0.1;
-  mix.late_commit_share = 0.05;
-  World world(mix);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.005;
+  sim_options.message_copy_share = 0.1;
+  sim_options.late_commit_share = 0.05;
+  World world(sim_options);
   world.network.delayed_share = 0.6;
   add_jobs(world, 2, 140);
   for (double t = 20; t < 150; t += world.uniform(2, 9)) {
--- a/tests/preemption_test.cpp
+++ b/tests/preemption_test.cpp
@@ -97,9 +97,9 @@
 
 // Many small long tasks are packed onto a few machines, so that room is left for large tasks.
 TEST_P(BestEffort, SmallTasksArePackedAndLeaveRoomForLargeOnes) {
-  Options small_market = options();
-  small_market.market_machines = 2;
-  World world(small_market);
+  Options sim_options = options();
+  sim_options.market_machines = 2;
+  World world(sim_options);
   // These jobs leave machines up and idle when the small tasks are submitted.
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2, 4, 20, 4));
   for (int i = 10; i < 30; i++) {
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -136,9 +136,9 @@
 // The machines of one zone cannot reach the owner of some shards, and the owner cannot reach one of the other
 // nodes either. The machines must still be served through the remaining nodes.
 TEST_P(Reachability, AZoneCannotReachTheOwner) {
-  Options large = options();
-  large.nodes = 5;
-  World world(large);
+  Options sim_options = options();
+  sim_options.nodes = 5;
+  World world(sim_options);
   add_long_jobs(world);
   int busy_machines_cut = 0;
   int lost_before_cut = 0;
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -137,9 +137,9 @@
 }
 
 TEST_P(Cluster, RandomFailuresWithDelayedMessages) {
-  Options mix = options();
-  mix.message_loss_share = 0.01;
-  World world(mix);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.01;
+  World world(sim_options);
   world.network.delayed_share = 0.8;
   add_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(4, 10)) {
@@ -230,9 +230,9 @@
 // serve again after the cut. No message is lost in this test, because a shard that is taken over meanwhile
 // measures the silence of its machines from the takeover.
 TEST_P(Cluster, MachinesThatAreCutOffTogetherAreNotReturned) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   world.network.delayed_share = 0;
   add_jobs(world, 2, 60);
   std::vector<Worker*> cut_off_machines;
@@ -291,10 +291,10 @@
 // Copies of reports, submissions, cancellations and transactions arrive up to 45 s late, that is, several
 // leases later. Takeovers, restarts and the return of the machines that sent them happen in between.
 TEST_P(Cluster, LateDuplicateMessagesChangeNothing) {
-  Options copied = options();
-  copied.message_copy_share = 0.3;
-  copied.commit_copy_share = 0.2;
-  World world(copied);
+  Options sim_options = options();
+  sim_options.message_copy_share = 0.3;
+  sim_options.commit_copy_share = 0.2;
+  World world(sim_options);
   add_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += world.uniform(8, 20)) {
     world.at(t, [&world] {
@@ -358,11 +358,11 @@
 // Processes restart within a fraction of a second: singly, in pairs, while shards are handed back, during an
 // election, and while requests that they sent before are still being applied.
 TEST_P(Cluster, ProcessesRestartWithinAFractionOfASecond) {
-  Options late = options();
-  late.message_loss_share = 0.02;
-  late.message_copy_share = 0.1;
-  late.commit_copy_share = 0.1;
-  World world(late);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.02;
+  sim_options.message_copy_share = 0.1;
+  sim_options.commit_copy_share = 0.1;
+  World world(sim_options);
   add_jobs(world, 2, 150);
   for (double t = 10; t < 170; t += world.uniform(3, 9)) {
     world.at(t, [&world] {
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -128,9 +128,9 @@
 // This version writes every field that production writes for arrays, with the same kind of value.
 TEST(Versions, ArrayRecordsAndMessagesKeepTheProductionFields) {
   set_up_log();
-  Options options;
-  options.seed = 7;
-  World world(options);
+  Options sim_options;
+  sim_options.seed = 7;
+  World world(sim_options);
   Collector collector(world);
   submit_array_workload(world);
 
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -169,9 +169,9 @@
 // conditional on. The retry is refused, and the node must not conclude from that refusal that the first copy
 // was applied.
 TEST_P(MonotonicAnswers, AnEndingThatWasNeverWritten) {
-  Options five_nodes = options();
-  five_nodes.nodes = 5;  // five shards delegate more tasks than three
-  World world(five_nodes);
+  Options sim_options = options();
+  sim_options.nodes = 5;  // five shards delegate more tasks than three
+  World world(sim_options);
   world.network.delayed_share = 0;
   for (int i = 0; i < 20; i++) world.submit(plain_job(world, i, world.uniform(2, 50), 12, 25));
   std::set<std::string> rewritten_delegations;
@@ -202,9 +202,9 @@
 // A node accepts a job, sees the job record through its watch, runs the job and ends it before the answer to
 // the acceptance arrives. The late answer must not start the job again.
 TEST_P(MonotonicAnswers, TheAnswerToAnAcceptanceIsSlow) {
-  Options one_node = options();
-  one_node.nodes = 1;
-  World world(one_node);
+  Options sim_options = options();
+  sim_options.nodes = 1;
+  World world(sim_options);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2, 4, 30));
   for (int i = 6; i < 26; i++) world.submit(plain_job(world, i, 40 + i, 1, 0.2, 1));
   int slow_answers = 0;
@@ -227,14 +227,14 @@
 
 // While the watch is stalled, more jobs are accepted and end than a short history of ended jobs would hold.
 TEST_P(MonotonicAnswers, AWatchThatLagsBehindManyEndings) {
-  Options one_node = options();
-  one_node.nodes = 1;
-  one_node.poll_all_nodes = false;
-  one_node.state_rps = 3000;
-  one_node.write_rps = 1500;
-  one_node.market_machines = 12;
-  one_node.team_cpus = one_node.team_max_cpus = 400;
-  World world(one_node);
+  Options sim_options = options();
+  sim_options.nodes = 1;
+  sim_options.poll_all_nodes = false;
+  sim_options.state_rps = 3000;
+  sim_options.write_rps = 1500;
+  sim_options.market_machines = 12;
+  sim_options.team_cpus = sim_options.team_max_cpus = 400;
+  World world(sim_options);
   for (int i = 0; i < 10; i++) world.submit(plain_job(world, i, 2, 12, 30));
   for (int i = 0; i < 600; i++) {
     world.submit(plain_job(world, 1000 + i, 50 + i * 0.01, 1, 0.2, 1));
@@ -259,10 +259,10 @@
 // Watch events arrive after the answers to newer writes. They must not restore delegations that were handed
 // back or jobs that have ended.
 TEST_P(MonotonicAnswers, TheWatchDeliversStaleEvents) {
-  Options five_nodes = options();
-  five_nodes.nodes = 5;
-  five_nodes.jobs = 60;
-  World world(five_nodes);
+  Options sim_options = options();
+  sim_options.nodes = 5;
+  sim_options.jobs = 60;
+  World world(sim_options);
   world.network.max_watch_delay_s = 1.2;
   add_jobs(world, 2, 150);
   world.at(250, [&world] { world.network.max_watch_delay_s = 0; });
@@ -272,8 +272,8 @@
 
   expect_invariants_hold(world);
   int tasks_returned = 0;
-  for (int i = 0; i < five_nodes.nodes; i++) {
-    for (int p = 0; p < five_nodes.nodes; p++) {
+  for (int i = 0; i < sim_options.nodes; i++) {
+    for (int p = 0; p < sim_options.nodes; p++) {
       const ShardLeader* shard = world.nodes[static_cast<std::size_t>(i)].node->shard(p);
       if (shard != nullptr) tasks_returned += static_cast<int>(shard->counters().tasks_returned);
     }
@@ -283,11 +283,11 @@
 
 // All failures overlap, while users poll all nodes around each change of a job.
 TEST_P(MonotonicAnswers, RandomFailuresOverlap) {
-  Options unreliable = options();
-  unreliable.message_loss_share = 0.01;
-  unreliable.late_commit_share = 0.05;
-  unreliable.jobs = 40;
-  World world(unreliable);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.01;
+  sim_options.late_commit_share = 0.05;
+  sim_options.jobs = 40;
+  World world(sim_options);
   add_jobs(world, 2, 120);
   world.network.commit_answer_delay_s = [&world](const std::string&, const Json&) {
     return world.uniform(0, 1) < 0.3   ? kLostAnswerDelaySeconds
