--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -53,7 +53,7 @@
   }
   // Submits jobs of long tasks, more than any one shard can hold. The simulated users do not cancel them on
   // their own.
-  static void add_long_jobs(World& world, double run_s) {
+  static void submit_long_jobs(World& world, double run_s) {
     for (int i = 0; i < 6; i++) {
       world.submit(plain_job(world, i, world.uniform(2, 9), 12, run_s));
     }
@@ -81,7 +81,7 @@
 TEST_P(Cancelled, WhileTheStateServiceRefusesADelegateAndThenIsDown) {
   World world(options());
   world.network.delayed_share = 0;
-  add_long_jobs(world, 150);
+  submit_long_jobs(world, 150);
   DelegatedJob delegated_job;
   const double refused_s = GetParam() % 2 == 0 ? 1 : 7;
   world.at(kFailuresStartSeconds, [&] {
@@ -114,7 +114,7 @@
 TEST_P(Cancelled, WhileAnOldOwnerReachesOnlyItsMachines) {
   World world(options());
   world.network.delayed_share = 0;
-  add_long_jobs(world, 200);
+  submit_long_jobs(world, 200);
   DelegatedJob delegated_job;
   int remaining_tasks = 0;
   world.at(kFailuresStartSeconds, [&] {
@@ -153,7 +153,7 @@
 TEST_P(Cancelled, WhileTheOldHomeShardOwnerReachesOnlyItsMachines) {
   World world(options());
   world.network.delayed_share = 0;
-  add_long_jobs(world, 200);
+  submit_long_jobs(world, 200);
   int node = -1;
   world.at(kFailuresStartSeconds, [&] {
     const std::string ref = world.jobs.begin()->first;
@@ -178,7 +178,7 @@
 TEST_P(Cancelled, WhileTheConfirmingOwnerCrashes) {
   World world(options());
   world.network.delayed_share = 0;
-  add_long_jobs(world, 200);
+  submit_long_jobs(world, 200);
   DelegatedJob delegated_job;
   bool has_owner_crashed = false;
   world.at(kFailuresStartSeconds, [&] {
@@ -214,7 +214,7 @@
 // which may be the owner of the home shard, crashes before that.
 TEST_P(Cancelled, ByATransactionThatIsAppliedLate) {
   World world(options());
-  add_long_jobs(world, 60);
+  submit_long_jobs(world, 60);
   world.at(kFailuresStartSeconds, [&world] {
     world.network.delay_commits = true;
     cancel_all(world);
@@ -233,7 +233,7 @@
 // old commands arrive, too.
 TEST_P(Cancelled, WhileItsMachinesHang) {
   World world(options());
-  add_long_jobs(world, 150);
+  submit_long_jobs(world, 150);
   int hung = 0;
   world.at(kFailuresStartSeconds, [&] {
     for (auto& [name, worker] : world.workers) {
@@ -257,7 +257,7 @@
 // work. No owner can have been replaced, so no running task may be lost.
 TEST_P(Cancelled, NothingIsLostInAnOutageThatAllNodesSee) {
   World world(options());
-  add_long_jobs(world, 110);
+  submit_long_jobs(world, 110);
   int starts_before = 0;
   world.at(50, [&] {
     starts_before = world.starts;
@@ -279,7 +279,7 @@
 // nodes still hold their shards. They let the leases of their machines expire in time.
 TEST_P(Cancelled, ARestartedNodeHasNoEvidence) {
   World world(options());
-  add_long_jobs(world, 200);
+  submit_long_jobs(world, 200);
   world.at(50, [&world] { world.state.set_outage(true); });
   const int node = GetParam() % 3;
   world.at(60, [&world, node] { world.nodes.crash(node, 0.2); });
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -28,7 +28,7 @@
   sim_options.market_machines = 2 * kLargeMarketMachines;
   sim_options.team_max_cpus = 14000;
   World world(sim_options);
-  add_mixed_load(world, 800, 100);
+  submit_mixed_jobs(world, 800, 100);
 
   world.run_until(kDurationSeconds);
 
@@ -58,7 +58,7 @@
 // records one after the other would be inactive for all that time.
 TEST_F(LargeFleet, AllNodesRestartWhileTheStateServiceIsSlow) {
   World world(large_fleet(2));
-  add_mixed_load(world, 300, 120);
+  submit_mixed_jobs(world, 300, 120);
   double longest_inactive_s = 0;  // the longest of any shard after a restart
   const auto measure_until_active = [&world, &longest_inactive_s](double restarted_at) {
     auto check = std::make_shared<std::function<void()>>();
@@ -110,15 +110,15 @@
   sim_options.message_copy_share = 0.02;
   sim_options.commit_copy_share = 0.02;
   World world(sim_options);
-  add_mixed_load(world, 300, 150);
-  std::vector<Worker*> cut_workers;
+  submit_mixed_jobs(world, 300, 150);
+  std::vector<Worker*> partitioned_workers;
   int rented_before = 0;
-  world.at(60, [&world, &cut_workers, &rented_before] {
+  world.at(60, [&world, &partitioned_workers, &rented_before] {
     rented_before = world.cloud.machines_rented;
     int count = 0;
     for (auto& [name, worker] : world.workers) {
       if (worker->zone != "hall-0" || worker->dead || count++ % 3 == 0) continue;  // about 15 % of all
-      if (!worker->tasks.empty()) cut_workers.push_back(worker.get());
+      if (!worker->tasks.empty()) partitioned_workers.push_back(worker.get());
       world.network.partition_machine(name);
     }
   });
@@ -129,12 +129,12 @@
       worker->hang(world.uniform(10, 30));
     }
   });
-  world.at(95, [&world, &cut_workers] {
+  world.at(95, [&world, &partitioned_workers] {
     world.network.partitions.clear();
     int alive = 0;
-    for (const Worker* worker : cut_workers) alive += worker->dead ? 0 : 1;
-    EXPECT_GT(cut_workers.size(), 20u);
-    EXPECT_GT(alive * 10, static_cast<int>(cut_workers.size()) * 9)
+    for (const Worker* worker : partitioned_workers) alive += worker->dead ? 0 : 1;
+    EXPECT_GT(partitioned_workers.size(), 20u);
+    EXPECT_GT(alive * 10, static_cast<int>(partitioned_workers.size()) * 9)
         << "partitioned machines were returned to the cloud, although they were alive";
   });
   world.at(110, [&world] {
@@ -158,7 +158,7 @@
 // and timers as if it still owned its shards.
 TEST_F(LargeFleet, AFrozenControllerStartsNothingWhenItResumes) {
   World world(large_fleet(4));
-  add_mixed_load(world, 300, 150);
+  submit_mixed_jobs(world, 300, 150);
   const auto freeze = [&world](int node, double duration_s) {
     const std::string name = node_name(node);
     world.nodes.freeze(node, duration_s);
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -26,7 +26,7 @@
     return out;
   }
   // Submits gangs of several sizes, and arrays among them.
-  static void add_gangs(World& world, double from, double run_s) {
+  static void submit_gangs(World& world, double from, double run_s) {
     const int sizes[] = {2, 3, 4, 6, 8};
     for (int i = 0; i < 8; i++)
       world.submit(gang_job(world, 60 + i, from + 2 * i, sizes[i % 5], run_s, 1 + i % 2));
@@ -107,7 +107,7 @@
 
 TEST_P(Gang, AllGangsCompleteWithoutFailures) {
   World world(options());
-  add_gangs(world, 3, 20);
+  submit_gangs(world, 3, 20);
 
   world.run_until(240);
 
@@ -122,7 +122,7 @@
   Options sim_options = options();
   sim_options.message_loss_share = 0;
   World world(sim_options);
-  add_gangs(world, 3, 20);
+  submit_gangs(world, 3, 20);
   world.at(30, [&world] {
     world.submit(gang_job(world, 90, 31, 8, 20, 4));
     on_member_in_phase(world, "waiting", true, [](Worker& worker) { worker.reboot(false); });
@@ -135,7 +135,7 @@
 
 TEST_P(Gang, MachineOfRunningGangLosesPower) {
   World world(options());
-  add_gangs(world, 3, 40);
+  submit_gangs(world, 3, 40);
   for (int i = 0; i < 3; i++) {
     world.at(45 + 7 * i, [&world] {
       on_member_in_phase(world, "running", false, [](Worker& worker) { worker.reboot(false); });
@@ -153,7 +153,7 @@
 // begin before that.
 TEST_P(Gang, MachinesHang) {
   World world(options());
-  add_gangs(world, 3, 40);
+  submit_gangs(world, 3, 40);
   world.at(
       20, [&world] { on_member_in_phase(world, "waiting", false, [](Worker& worker) { worker.hang(25); }); });
   world.at(50,
@@ -169,7 +169,7 @@
 
 TEST_P(Gang, MachinesAreInboundOrOutboundUnreachable) {
   World world(options());
-  add_gangs(world, 3, 30);
+  submit_gangs(world, 3, 30);
   world.at(15, [&world] {
     on_member_in_phase(world, "pulling", false, [&world](Worker& worker) {
       worker.loses_report_answers = true;
@@ -233,7 +233,7 @@
   sim_options.market_machines = 12;
   World world(sim_options);
   world.submit(gang_job(world, 90, 3, 8, 80, 4));  // The gang needs at least two machines.
-  add_gangs(world, 3, 60);
+  submit_gangs(world, 3, 60);
   bool has_crashed = false;
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
     if (has_crashed || txn.dump().find("\"x\":[") == std::string::npos) return;
@@ -261,7 +261,7 @@
   World world(sim_options);
   const UserJob job = gang_job(world, 90, 3, 8, 80, 4);
   world.submit(job);
-  add_gangs(world, 3, 60);
+  submit_gangs(world, 3, 60);
   // The home node of the gang crashes and restarts. The shard is handed back to it 15 s after the restart.
   const int home_node = shard_of(job.ref, world.options.nodes);
   world.at(50, [&world, home_node] { world.nodes.crash(home_node, 5); });
@@ -289,7 +289,7 @@
 // The owner crashes after the placements are durable and before the tasks are launched.
 TEST_P(Gang, OwnerCrashesAfterPlacementWrite) {
   World world(options());
-  add_gangs(world, 20, 20);
+  submit_gangs(world, 20, 20);
   int crashes = 0;
   world.network.on_commit = [&](const std::string& from, const Json& txn) {
     if (crashes >= 2 || !places_gang(txn)) return;
@@ -307,7 +307,7 @@
 // The owner does not receive the answer to the write that places a gang.
 TEST_P(Gang, AnswerToPlacementWriteIsLost) {
   World world(options());
-  add_gangs(world, 20, 20);
+  submit_gangs(world, 20, 20);
   int placement_writes = 0;
   world.network.commit_answer_delay_s = [&](const std::string&, const Json& txn) {
     return places_gang(txn) && placement_writes++ % 2 == 0 ? -1.0 : 0.0;
@@ -326,7 +326,7 @@
   sim_options.message_copy_share = 0.15;
   sim_options.late_commit_share = 0.02;
   World world(sim_options);
-  add_gangs(world, 3, 30);
+  submit_gangs(world, 3, 30);
   for (int i = 0; i < 3; i++) {
     world.at(40 + 9 * i, [&world] {
       on_member_in_phase(world, "running", false, [](Worker& worker) { worker.reboot(false); });
@@ -342,7 +342,7 @@
 
 TEST_P(Gang, CancelledInEveryPhase) {
   World world(options());
-  add_gangs(world, 3, 30);
+  submit_gangs(world, 3, 30);
   int cancelled = 0;
   double at = 8;
   for (const char* phase : {"pulling", "waiting", "running", "saving"}) {
@@ -371,7 +371,7 @@
 
 TEST_P(Gang, AllControllersAreDownForLongerThanALease) {
   World world(options());
-  add_gangs(world, 3, 40);
+  submit_gangs(world, 3, 40);
   world.at(45, [&world] {
     for (int i = 0; i < world.options.nodes; i++) world.nodes.crash(i, 16 + i);
   });
@@ -385,7 +385,7 @@
 // A network partition separates a machine with some members. They continue to run under the old lease.
 TEST_P(Gang, MembersArePartitioned) {
   World world(options());
-  add_gangs(world, 3, 40);
+  submit_gangs(world, 3, 40);
   world.at(45, [&world] {
     on_member_in_phase(world, "running", true,
                        [&world](Worker& worker) { world.network.partition_machine(worker.name); });
@@ -466,7 +466,7 @@
 // jobs may suffer from it.
 TEST_P(Gang, GangThatFailsOnEveryMachine) {
   World world(options());
-  add_gangs(world, 3, 20);
+  submit_gangs(world, 3, 20);
   UserJob failing_gang = gang_job(world, 90, 5, 4, 20, 1);
   failing_gang.always_fails = true;
   failing_gang.cancel_at = 120;
@@ -482,7 +482,7 @@
 // controllers accept them.
 TEST_P(Gang, AreAcceptedOnceAllControllersCanRunThem) {
   Options sim_options = options();
-  sim_options.earlier_version = true;
+  sim_options.runs_earlier_version = true;
   sim_options.next_value_kb = 2;
   sim_options.next_txn_ops = 4;
   World world(sim_options);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -30,10 +30,10 @@
     out.next_value_kb = kSmallValueKibibytes;
     out.next_txn_ops = kSmallTransactionOperations;
     out.next_write_rps = 20;
-    out.rate_limits = true;
+    out.enforces_rate_limits = true;
     return out;
   }
-  static void add_many_tasks(World& world, double first_submit_at, double run_s) {
+  static void submit_many_tasks(World& world, double first_submit_at, double run_s) {
     for (int i = 0; i < 10; i++) world.submit(plain_job(world, i, first_submit_at + 2 * i, 60, run_s, 1));
   }
   static void lower_limits(World& world) {
@@ -77,7 +77,7 @@
 // Writers keep the smaller limits from the start. The service begins to enforce them during a takeover.
 TEST_P(StateLimits, AreLoweredDuringTakeover) {
   World world(options());
-  add_many_tasks(world, 5, 40);
+  submit_many_tasks(world, 5, 40);
   world.at(60, [&world] { world.nodes.crash(1, 8); });
   world.at(62, [&world] { lower_limits(world); });
   world.faults_end_at = 75;
@@ -92,9 +92,9 @@
 // no content may be lost while they are split.
 TEST_P(StateLimits, LargerSegmentsOfThePreviousVersionAreSplit) {
   Options sim_options = options();
-  sim_options.earlier_version = true;
+  sim_options.runs_earlier_version = true;
   World world(sim_options);
-  add_many_tasks(world, 2, 70);
+  submit_many_tasks(world, 2, 70);
   std::size_t largest_before_split_bytes = 0;
   world.at(60, [&] { largest_before_split_bytes = largest_segment_bytes(world); });
   for (int i = 0; i < 3; i++) world.at(60 + 8 * i, [&world, i] { world.nodes.upgrade(i, 2); });
@@ -114,9 +114,9 @@
 // and back.
 TEST_P(StateLimits, SegmentsMoveBetweenVersionsInBothDirections) {
   Options sim_options = options();
-  sim_options.earlier_version = true;
+  sim_options.runs_earlier_version = true;
   World world(sim_options);
-  add_many_tasks(world, 2, 60);
+  submit_many_tasks(world, 2, 60);
   world.at(40, [&world] { world.nodes.upgrade(0, 1); });
   // The shard of node 0 moves to a node of the previous version and returns.
   world.at(58, [&world] { world.nodes.crash(0, 9); });
@@ -141,7 +141,7 @@
   sim_options.next_write_rps = 0;
   World world(sim_options);
   world.state.allows_oversized = true;
-  add_many_tasks(world, 2, 60);
+  submit_many_tasks(world, 2, 60);
   world.at(50, [&world] { world.state.lower_limits(kSmallValueKibibytes, kSmallTransactionOperations, 20); });
   world.faults_end_at = 60;
 
--- a/tests/loopback_test.cpp
+++ b/tests/loopback_test.cpp
@@ -27,7 +27,7 @@
 
   static sim::Options options() {
     sim::Options out;
-    out.external_nodes = true;
+    out.has_external_nodes = true;
     out.message_loss_share = 0;
     out.seed = 3;
     return out;
--- a/tests/measure_recovery.cpp
+++ b/tests/measure_recovery.cpp
@@ -75,7 +75,7 @@
   sim_options.recovery = true;
   sim_options.team_cpus = sim_options.team_max_cpus * market / kLargeMarketMachines;
   World world(sim_options);
-  add_mixed_load(world, std::max(20, 4 * market), 250);
+  submit_mixed_jobs(world, std::max(20, 4 * market), 250);
   Measurement measurement;
   StateService::Snapshot copy;
   if (loss != "emptied")
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -80,7 +80,7 @@
 }
 
 // Submits jobs whose tasks fail on every machine until the jobs are cancelled. Returns the names of the jobs.
-std::vector<std::string> submit_always_failing(World& world) {
+std::vector<std::string> submit_always_failing_jobs(World& world) {
   std::vector<std::string> out;
   for (int i = 20; i < 25; i++) {
     UserJob job = plain_job(world, i + 20, 25 + 1.5 * (i - 20), 20, 10, 1);
@@ -152,13 +152,14 @@
   sim_options.message_copy_share = 0.3;
   World world(sim_options);
   world.network.delayed_share = 1;
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int handovers = 0;
   for (double t = 30; t < 120; t += 22) {
     world.at(t, [&world] {
-      int cut = 0;
+      int partitioned_machine_count = 0;
       for (auto& [name, worker] : world.workers) {
-        if (worker->is_up() && !worker->tasks.empty() && cut++ < 4) world.network.partition_machine(name);
+        if (worker->is_up() && !worker->tasks.empty() && partitioned_machine_count++ < 4)
+          world.network.partition_machine(name);
       }
     });
     world.at(t + 1.5, [&] {
@@ -183,7 +184,7 @@
   Options sim_options = options();
   sim_options.late_commit_share = 0.25;
   World world(sim_options);
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   for (double t = 25; t < 110; t += world.uniform(12, 25)) {
     world.at(t, [&world] { world.nodes.crash(random_node(world), world.uniform(0.1, 9)); });
   }
@@ -199,7 +200,7 @@
 // and the new owner presents its fencing token to the machines.
 TEST_P(OverlappingFailures, OutboundUnreachableMachinesAndANewOwner) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int outbound_unreachable = 0;
   for (double t = 30; t < 110; t += 13) {
     world.at(t, [&] {
@@ -225,7 +226,7 @@
 // incarnation.
 TEST_P(OverlappingFailures, AllNodesAreDownForLongerThanALease) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int running_tasks = 0;
   for (const double t : {45.0, 90.0}) {
     world.at(t, [&] {
@@ -247,7 +248,7 @@
 // service.
 TEST_P(OverlappingFailures, TenOwnerChangesInTwoMinutesWithOutages) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   std::set<std::uint64_t> fencing_tokens;
   for (int i = 0; i < 10; i++) {
     world.at(20 + i * 12, [&world, i] { world.nodes.crash(i % world.options.nodes, i % 3 == 0 ? 0.1 : 6); });
@@ -422,7 +423,7 @@
 TEST_P(OverlappingFailures, DelayedCommandsReachMachinesThatResume) {
   World world(options());
   world.network.delayed_share = 1;
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int disturbed_machines = 0;
   for (double t = 25; t < 110; t += 7) {
     world.at(t, [&] {
@@ -458,7 +459,7 @@
 // that its expired leases no longer allow. Other nodes serve its shards in the meantime.
 TEST_P(OverlappingFailures, ANodeFreezesAndResumes) {
   World world(options());
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 20) {
     world.at(t, [&world] {
       const int node = random_node(world);
@@ -490,7 +491,7 @@
   sim_options.team_max_cpus = 160;
   World world(sim_options);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, 2 + i * 1.8, 16, 10, 4));
-  const std::vector<std::string> always_failing = submit_always_failing(world);
+  const std::vector<std::string> always_failing_refs = submit_always_failing_jobs(world);
   std::string faulty;
   std::set<std::string> healthy;
   world.at(24, [&] {
@@ -514,7 +515,7 @@
   EXPECT_GT(healthy.size(), 6u);
   EXPECT_LE(4u * static_cast<unsigned>(lost_machines), healthy.size())
       << "too many healthy machines were returned as faulty";
-  const int attempts = count_starts(world, always_failing);
+  const int attempts = count_starts(world, always_failing_refs);
   EXPECT_GE(attempts, 15);
   EXPECT_LT(attempts, 250);
 }
@@ -556,7 +557,7 @@
   sim_options.late_commit_share = 0.05;
   World world(sim_options);
   world.network.delayed_share = 0.6;
-  add_jobs(world, 2, 140);
+  submit_jobs(world, 2, 140);
   for (double t = 20; t < 150; t += world.uniform(2, 9)) {
     world.at(t, [&world] { inject_random_failure(world); });
   }
--- a/tests/reachability_test.cpp
+++ b/tests/reachability_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::uint64_t kOwnerToken = 41;
 
-ReportRelay::ReportInfo make_visit(std::uint64_t token, std::uint64_t owner_token = kOwnerToken) {
+ReportRelay::ReportInfo make_report(std::uint64_t token, std::uint64_t owner_token = kOwnerToken) {
   return {"host-000001", token, "roost-1", owner_token};
 }
 
@@ -32,7 +32,7 @@
     return out;
   }
   // Submits tasks that run for about as long as the network fault lasts.
-  static void add_long_jobs(World& world) {
+  static void submit_long_jobs(World& world) {
     for (int i = 0; i < 12; i++) world.submit(plain_job(world, i, world.uniform(2, 30), 4, 30, 2));
     for (int i = 12; i < 24; i++) world.submit(plain_job(world, i, world.uniform(60, 90), 4, 8, 2));
   }
@@ -43,11 +43,11 @@
 TEST(ReportRelay, ANewWorkerIsRedirectedAndAReturningOneIsRelayed) {
   ReportRelay relay;
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 100);
-  EXPECT_EQ(relay.route(make_visit(0), 100), Route::kRedirect);
-  EXPECT_EQ(relay.route(make_visit(0), 100.3), Route::kRedirect)
+  EXPECT_EQ(relay.route(make_report(0), 100), Route::kRedirect);
+  EXPECT_EQ(relay.route(make_report(0), 100.3), Route::kRedirect)
       << "the worker cannot have tried the owner yet";
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 106);
-  EXPECT_EQ(relay.route(make_visit(0), 106), Route::kRelay);
+  EXPECT_EQ(relay.route(make_report(0), 106), Route::kRelay);
 }
 
 TEST(ReportRelay, AWorkerThatTheOwnerHasServedIsRelayedAtOnce) {
@@ -55,9 +55,9 @@
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 100);
   // A new owner also sends its token to machines that it has not served yet. The token therefore proves only
   // after some time that the owner has served the worker.
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 101), Route::kRedirect);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken), 101), Route::kRedirect);
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 130);
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 130), Route::kRelay);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken), 130), Route::kRelay);
 }
 
 TEST(ReportRelay, WorkersAreRedirectedToTheOwnerPeriodically) {
@@ -66,7 +66,7 @@
   int relays = 0;
   for (double now = 20; now < 220; now += 2) {
     relay.on_owner_heartbeat("roost-1", {kOwnerToken}, now);
-    const Route route = relay.route(make_visit(kOwnerToken), now);
+    const Route route = relay.route(make_report(kOwnerToken), now);
     redirects += route == Route::kRedirect ? 1 : 0;
     relays += route == Route::kRelay ? 1 : 0;
   }
@@ -80,27 +80,27 @@
   ReportRelay relay;
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 0);
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 20);
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kRelay);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken), 20), Route::kRelay);
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 60);
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 60), Route::kRelay);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken), 60), Route::kRelay);
 }
 
 TEST(ReportRelay, AWorkerIsSentToTheNextNodeWhenTheOwnerIsUnreachable) {
   ReportRelay relay;
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 0);
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kNextNode);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken), 20), Route::kNextNode);
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 22);
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 22), Route::kRelay);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken), 22), Route::kRelay);
   relay.on_relay_failed("roost-1");
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 23), Route::kNextNode);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken), 23), Route::kNextNode);
 }
 
 TEST(ReportRelay, ANewOwnerCausesARedirectAndOldMachinesExpire) {
   ReportRelay relay;
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 0);
   relay.on_owner_heartbeat("roost-1", {kOwnerToken}, 20);
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken), 20), Route::kRelay);
-  EXPECT_EQ(relay.route(make_visit(kOwnerToken, kOwnerToken + 1), 21), Route::kRedirect);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken), 20), Route::kRelay);
+  EXPECT_EQ(relay.route(make_report(kOwnerToken, kOwnerToken + 1), 21), Route::kRedirect);
   EXPECT_EQ(relay.route({"host-000002", 0, "roost-1", kOwnerToken}, 22), Route::kRedirect);
   EXPECT_EQ(relay.size(), 2u);
   relay.route({"host-000003", 0, "roost-1", kOwnerToken}, 300);
@@ -111,14 +111,14 @@
 // shards for 40 s, the leases of all its machines expired, and 264 tasks were lost.
 TEST_P(Reachability, AnOwnerIsPartitionedFromItsWorkers) {
   World world(options());
-  add_long_jobs(world);
-  int tasks_on_cut_machines = 0;
-  int lost_before_cut = 0;
+  submit_long_jobs(world);
+  int tasks_on_partitioned_machines = 0;
+  int tasks_lost_before_partition = 0;
   world.at(45, [&] {
-    lost_before_cut = world.tasks_lost_with_lease;
+    tasks_lost_before_partition = world.tasks_lost_with_lease;
     for (auto& [name, worker] : world.workers) {
       if (world.nodes.owner_of(shard_of(name, world.options.nodes)) == 0)
-        tasks_on_cut_machines += static_cast<int>(worker->tasks.size());
+        tasks_on_partitioned_machines += static_cast<int>(worker->tasks.size());
     }
     world.network.partition_node_from_workers(0);
   });
@@ -128,9 +128,10 @@
   world.run_until(400);
 
   expect_invariants_hold(world);
-  EXPECT_GT(tasks_on_cut_machines, 0);
-  EXPECT_EQ(world.tasks_lost_with_lease, lost_before_cut)
-      << "tasks were lost to expired leases, of " << tasks_on_cut_machines << " on the owner's machines";
+  EXPECT_GT(tasks_on_partitioned_machines, 0);
+  EXPECT_EQ(world.tasks_lost_with_lease, tasks_lost_before_partition)
+      << "tasks were lost to expired leases, of " << tasks_on_partitioned_machines
+      << " on the owner's machines";
 }
 
 // The machines of one zone cannot reach the owner of some shards, and the owner cannot reach one of the other
@@ -139,15 +140,16 @@
   Options sim_options = options();
   sim_options.nodes = 5;
   World world(sim_options);
-  add_long_jobs(world);
-  int busy_machines_cut = 0;
-  int lost_before_cut = 0;
+  submit_long_jobs(world);
+  int partitioned_busy_machines = 0;
+  int tasks_lost_before_partition = 0;
   world.at(45, [&] {
-    lost_before_cut = world.tasks_lost_with_lease;
+    tasks_lost_before_partition = world.tasks_lost_with_lease;
     for (auto& [name, worker] : world.workers) {
       if (!worker->is_up() || worker->zone != "a") continue;
       world.network.partitions.insert({name, node_name(1)});
-      busy_machines_cut += worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
+      partitioned_busy_machines +=
+          worker->tasks.empty() || world.nodes.owner_of(shard_of(name, 5)) != 1 ? 0 : 1;
     }
     world.network.partitions.insert({node_name(1), node_name(2)});  // the next node that the machines try
   });
@@ -157,8 +159,8 @@
   world.run_until(400);
 
   expect_invariants_hold(world);
-  EXPECT_GT(busy_machines_cut, 0);
-  EXPECT_EQ(world.tasks_lost_with_lease, lost_before_cut);
+  EXPECT_GT(partitioned_busy_machines, 0);
+  EXPECT_EQ(world.tasks_lost_with_lease, tasks_lost_before_partition);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, Reachability, ::testing::Range(0, seed_count()));
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -34,7 +34,7 @@
 
 // Submits a job whose tasks keep starting until long after the loss, so that workers report tasks that the
 // surviving records do not contain.
-void add_job_across_loss(World& world) { world.submit(plain_job(world, 90, 44, 110, 8)); }
+void submit_job_across_loss(World& world) { world.submit(plain_job(world, 90, 44, 110, 8)); }
 
 Json stored_value(const World& world, const std::string& key) {
   const auto found = world.state.values().find(key);
@@ -100,7 +100,7 @@
 
 TEST_P(StateLoss, OutagesAndCrashesAreNotTakenForStateLoss) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
@@ -119,7 +119,7 @@
 
 TEST_P(StateLoss, StateIsEmptiedWhileAllControllersRun) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   world.at(world.uniform(30, 90), [&world] { world.state.clear(); });
   world.faults_end_at = 130;
 
@@ -134,7 +134,7 @@
 // completed and cancelled after it was made.
 TEST_P(StateLoss, EarlierStateIsRestoredWhileAllControllersRun) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   const double loss_at = world.uniform(40, 90);
   const auto lost_revisions = restore_earlier_copy(world, loss_at - world.uniform(0.2, 30), loss_at);
   world.faults_end_at = loss_at + 40;
@@ -147,7 +147,7 @@
 
 TEST_P(StateLoss, EarlierStateIsRestoredWithoutLeases) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   const double loss_at = world.uniform(40, 90);
   const auto lost_revisions = restore_earlier_copy(world, loss_at - world.uniform(0.2, 30), loss_at, false);
   world.faults_end_at = loss_at + 40;
@@ -160,7 +160,7 @@
 
 TEST_P(StateLoss, EarlierStateIsRestoredDuringOutage) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   const double loss_at = world.uniform(50, 80);
   const auto lost_revisions = restore_earlier_copy(world, loss_at - world.uniform(1, 30), loss_at, false);
   world.at(loss_at - world.uniform(1, 10), [&world] { world.state.set_outage(true); });
@@ -175,8 +175,8 @@
 
 TEST_P(StateLoss, AllControllersCrashRightAfterStateLoss) {
   World world(options());
-  add_jobs(world, 2, 40);
-  add_job_across_loss(world);
+  submit_jobs(world, 2, 40);
+  submit_job_across_loss(world);
   const double loss_at = world.uniform(60, 80);
   restore_earlier_copy(world, 55, loss_at);
   world.at(loss_at, [&world] {
@@ -190,8 +190,8 @@
 // run until the leases expire. A rebuild that did not wait for that started the same tasks elsewhere.
 TEST_P(StateLoss, ControllerCrashesAtStateLossWhileMachinesAreUnreachable) {
   World world(options());
-  add_jobs(world, 2, 40);
-  add_job_across_loss(world);
+  submit_jobs(world, 2, 40);
+  submit_job_across_loss(world);
   world.submit(plain_job(world, 91, 45, 8, 70));
   const double loss_at = world.uniform(60, 70);
   restore_earlier_copy(world, 55, loss_at);
@@ -208,8 +208,8 @@
 
 TEST_P(StateLoss, ControllerCrashesAtStateLoss) {
   World world(options());
-  add_jobs(world, 2, 40);
-  add_job_across_loss(world);
+  submit_jobs(world, 2, 40);
+  submit_job_across_loss(world);
   const double loss_at = world.uniform(60, 80);
   restore_earlier_copy(world, 55, loss_at);
   world.at(loss_at, [&world] { world.nodes.crash(random_node(world), world.uniform(0.2, 20)); });
@@ -220,8 +220,8 @@
 // The leader of the rebuild crashes at an arbitrary step, and so do its successors.
 TEST_P(StateLoss, RebuildLeadersCrash) {
   World world(options());
-  add_jobs(world, 2, 40);
-  add_job_across_loss(world);
+  submit_jobs(world, 2, 40);
+  submit_job_across_loss(world);
   const double loss_at = world.uniform(60, 80);
   restore_earlier_copy(world, 55, loss_at);
   for (double t = loss_at + 1; t < loss_at + 60; t += world.uniform(1, 25)) {
@@ -239,7 +239,7 @@
 
 TEST_P(StateLoss, StateIsLostAgainDuringRebuild) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   const double loss_at = world.uniform(40, 90);
   world.at(loss_at, [&world] { world.state.clear(); });
   world.at(loss_at + world.uniform(0.5, 4), [&world] { world.state.clear(); });
@@ -254,8 +254,8 @@
 // too late for the rebuild.
 TEST_P(StateLoss, ControllerIsPartitionedThroughoutRebuild) {
   World world(options());
-  add_jobs(world, 2, 40);
-  add_job_across_loss(world);
+  submit_jobs(world, 2, 40);
+  submit_job_across_loss(world);
   const double loss_at = world.uniform(60, 80);
   const int partitioned_node = random_node(world);
   restore_earlier_copy(world, 50, loss_at);
@@ -272,7 +272,7 @@
   sim_options.late_commit_share = 0.05;
   sim_options.commit_copy_share = 0.05;
   World world(sim_options);
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   const double loss_at = world.uniform(40, 90);
   for (double t = loss_at - 15; t < loss_at + 15; t += world.uniform(2, 6)) {
     world.at(t, [&world] {
--- a/tests/sim/cloud.cpp
+++ b/tests/sim/cloud.cpp
@@ -21,7 +21,7 @@
 
 void Cloud::handle(const std::string& target, const std::string& body, const Reply& reply) {
   if (outage) return reply(503, {{"error", "trouble"}});
-  if (world_.options.rate_limits) {
+  if (world_.options.enforces_rate_limits) {
     if (!call_limiter_.can_take(1, 0, world_.now)) return reply(429, Json::object());
     call_limiter_.take(1, world_.now);
   }
--- a/tests/sim/days.cpp
+++ b/tests/sim/days.cpp
@@ -54,11 +54,11 @@
   out.txn_ops = 12;
   out.cloud_rps = 8;
   out.items_per_page = 500;
-  out.rate_limits = true;
+  out.enforces_rate_limits = true;
   return out;
 }
 
-void add_mixed_load(World& world, int jobs, double last_submit_at) {
+void submit_mixed_jobs(World& world, int jobs, double last_submit_at) {
   for (int i = 0; i < jobs; i++) {
     UserJob job;
     job.ref = "job-" + std::to_string(100000 + i * 7919 % 100000);
@@ -98,7 +98,7 @@
   return static_cast<int>(world.rng() % static_cast<std::uint64_t>(world.options.nodes));
 }
 
-void add_jobs(World& world, double earliest_at, double latest_at) {
+void submit_jobs(World& world, double earliest_at, double latest_at) {
   for (int i = 0; i < world.options.jobs; i++) world.submit(make_job(world, i, earliest_at, latest_at));
 }
 
--- a/tests/sim/gangs.cpp
+++ b/tests/sim/gangs.cpp
@@ -28,11 +28,11 @@
   }
   // Attempts whose tasks have all disappeared are included.
   for (auto& [key, attempt] : attempts_) members[key];
-  for (auto& [key, list] : members) play(world_.jobs.at(key.first), attempts_[key], list);
+  for (auto& [key, list] : members) advance_attempt(world_.jobs.at(key.first), attempts_[key], list);
   world_.in(kStepSeconds, [this] { step(); });
 }
 
-void Gangs::play(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
+void Gangs::advance_attempt(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
   const auto present_tasks = static_cast<std::size_t>(std::count_if(
       members.begin(), members.end(), [](const Member& each) { return is_present(*each.task); }));
   if (!attempt.has_started) {
@@ -81,13 +81,13 @@
 }
 
 // Sets the progress back to the last checkpoint before the attempt ended.
-void Gangs::fall_back(UserJob& job, Attempt& attempt) const {
+void Gangs::restore_checkpointed_progress(UserJob& job, Attempt& attempt) const {
   const double checkpoint_interval_s = job.body["snapshot_every_s"].get<double>();
   const double progress_until = attempt.ended_at >= 0 ? attempt.ended_at : attempt.first_stop_at;
   const double reached_s = attempt.progress_at_start_s + progress_until - attempt.started_at;
-  const double kept_s =
+  const double checkpointed_s =
       checkpoint_interval_s > 0 ? std::floor(reached_s / checkpoint_interval_s) * checkpoint_interval_s : 0;
-  job.progress_s = std::max(job.progress_s, std::min(kept_s, job.run_s));
+  job.progress_s = std::max(job.progress_s, std::min(checkpointed_s, job.run_s));
 }
 
 void Gangs::run(UserJob& job, Attempt& attempt, std::vector<Member>& members) {
@@ -112,7 +112,7 @@
   if (attempt.ended_at < 0) {
     attempt.ended_at = world_.now;
     if (static_cast<int>(job.completed.size()) < job.task_count) attempts_failed++;
-    fall_back(job, attempt);
+    restore_checkpointed_progress(job, attempt);
   }
   if (world_.now - attempt.ended_at < world_.options.gang_peer_s) return;
   for (Member& member : members) {
@@ -159,7 +159,7 @@
   if (!attempt.is_saved && attempt.ended_at < 0) {
     attempt.ended_at = world_.now;
     attempts_not_saved++;
-    fall_back(job, attempt);
+    restore_checkpointed_progress(job, attempt);
   }
   for (Member& member : members) {
     if (!member.worker->hung) exit(member, "mates_gone");
--- a/tests/sim/gangs.hpp
+++ b/tests/sim/gangs.hpp
@@ -57,11 +57,11 @@
   using Key = std::pair<std::string, std::uint64_t>;
 
   void step();
-  void play(UserJob& job, Attempt& attempt, std::vector<Member>& members);
+  void advance_attempt(UserJob& job, Attempt& attempt, std::vector<Member>& members);
   void start(UserJob& job, Attempt& attempt, std::vector<Member>& members);
   void run(UserJob& job, Attempt& attempt, std::vector<Member>& members);
   void save(UserJob& job, Attempt& attempt, std::vector<Member>& members);
-  void fall_back(UserJob& job, Attempt& attempt) const;
+  void restore_checkpointed_progress(UserJob& job, Attempt& attempt) const;
   static void exit(Member& member, const char* cause);
 
   World& world_;
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -69,8 +69,8 @@
     reply(std::move(answer));
   };
   world_.in(call.timeout_s, [finish] { finish({}); });
-  const double loss = world_.options.message_loss_share;
-  if (world_.uniform(0, 1) < loss) return;  // the request is lost
+  const double loss_share = world_.options.message_loss_share;
+  if (world_.uniform(0, 1) < loss_share) return;  // the request is lost
   const auto delay_s = draw_delay_s(from, call);
   if (!delay_s || schedule_late_commit(from, call, *delay_s)) return;
   const auto delivered = std::make_shared<bool>(false);
@@ -151,16 +151,16 @@
 }
 
 void Network::deliver_to_state(const std::string& from, const HttpCall& call, const JsonReply& answer) {
-  const auto nobody = [](int, const Json&) {};
+  const auto ignore_answer = [](int, const Json&) {};
   record_size("state request", call.body.size(), kMaxBodyBytes);
   if (nodes_refused_by_state.count(from) > 0) return answer(503, {{"error", "trouble"}});
   if (is_commit(call) && commit_answers_to_drop > 0) {
     commit_answers_to_drop--;
-    return world_.state.handle(call.method, call.path, call.body, nobody);
+    return world_.state.handle(call.method, call.path, call.body, ignore_answer);
   }
   if (is_commit(call) && should_lose_commit && should_lose_commit(from, parse_json(call.body))) return;
   if (nodes_without_state_answers.count(from) > 0) {
-    return world_.state.handle(call.method, call.path, call.body, nobody);
+    return world_.state.handle(call.method, call.path, call.body, ignore_answer);
   }
   if (is_commit(call) && (on_commit || commit_answer_delay_s)) return deliver_commit(from, call, answer);
   if (call.path.rfind("/changes", 0) == 0) return deliver_watch(from, call, answer);
--- a/tests/sim/nodes.cpp
+++ b/tests/sim/nodes.cpp
@@ -18,7 +18,7 @@
   if (options.next_write_rps > 0) out.next_write_rps = options.next_write_rps;
 }
 
-Settings settings_for(int node, const Options& options, bool earlier_version) {
+Settings settings_for(int node, const Options& options, bool runs_earlier_version) {
   Settings out;
   out.node = node_name(node);
   out.area = "a";
@@ -41,8 +41,8 @@
   out.state_write_rps = out.next_write_rps = options.write_rps;
   out.txn_ops = options.txn_ops;
   out.value_kb = options.value_kb;
-  if (!earlier_version) apply_next_limits(options, out);
-  out.tuning.recovery = options.recovery && !earlier_version;
+  if (!runs_earlier_version) apply_next_limits(options, out);
+  out.tuning.recovery = options.recovery && !runs_earlier_version;
   out.cloud_rps = options.cloud_rps;
   out.list_lag_s = 3;
   return out;
@@ -83,16 +83,16 @@
 // ---------------------------------------------------------------- processes
 
 Nodes::Nodes(World& world) : world_(world), processes_(static_cast<std::size_t>(world.options.nodes)) {
-  for (Process& each : processes_) each.earlier_version = world.options.earlier_version;
+  for (Process& each : processes_) each.runs_earlier_version = world.options.runs_earlier_version;
 }
 
 void Nodes::start(int index) {
   Process& started = process(index);
-  started.settings = settings_for(index, world_.options, started.earlier_version);
+  started.settings = settings_for(index, world_.options, started.runs_earlier_version);
   started.env = std::make_unique<NodeEnv>(world_, index, world_.uniform(kSlowestClockRate, kFastestClockRate),
                                           world_.uniform(-0.1, 0.1));
   started.node = std::make_unique<recovery::Controller>(*started.env, started.settings,
-                                                        Capabilities{!started.earlier_version});
+                                                        Capabilities{!started.runs_earlier_version});
   started.node->start();
 }
 
@@ -107,7 +107,7 @@
 }
 
 void Nodes::upgrade(int index, double restart_after_s) {
-  process(index).earlier_version = false;
+  process(index).runs_earlier_version = false;
   crash(index, restart_after_s);
 }
 
--- a/tests/sim/nodes.hpp
+++ b/tests/sim/nodes.hpp
@@ -49,7 +49,7 @@
     // Null if the process has ended.
     std::unique_ptr<recovery::Controller> node;
     bool is_frozen = false;
-    bool earlier_version = false;
+    bool runs_earlier_version = false;
     // Events that arrived while the node was frozen, in order.
     std::vector<std::function<void()>> deferred;
   };
--- a/tests/sim/options.hpp
+++ b/tests/sim/options.hpp
@@ -49,13 +49,13 @@
   int next_txn_ops = 0;
   double next_write_rps = 0;
   // All nodes start as the earlier version; see Nodes::upgrade.
-  bool earlier_version = false;
+  bool runs_earlier_version = false;
   double cloud_rps = 2;
   // Page size of the state service. It is small so that every list needs paging.
   std::size_t items_per_page = 7;
-  bool rate_limits = false;  // true: the state service and the cloud answer 429 above their rates
+  bool enforces_rate_limits = false;  // true: the state service and the cloud answer 429 above their rates
   // The nodes run outside of this simulation; see Network::send_to_external_node.
-  bool external_nodes = false;
+  bool has_external_nodes = false;
   // Loss of the state service's data is detected and the records are rebuilt.
   bool recovery = false;
   // Users poll all nodes around each acceptance, cancellation and end of a job.
--- a/tests/sim/rule_checker.cpp
+++ b/tests/sim/rule_checker.cpp
@@ -165,9 +165,9 @@
   std::map<std::string, int> slots_per_zone;
   for (const auto& [name, worker] : world_.workers) {
     if (!worker->is_up()) continue;
-    const bool is_well = worker->is_healthy() && worker->eviction_notice_s < 0;
+    const bool can_take_tasks = worker->is_healthy() && worker->eviction_notice_s < 0;
     const bool is_allowed = (!worker->spot || may_use_spot(job)) && may_run_in(job, worker->zone);
-    if (is_well && is_allowed)
+    if (can_take_tasks && is_allowed)
       slots_per_zone[worker->zone] += static_cast<int>(worker->free_cores() / job.cores);
   }
   int total_slots = 0;
@@ -195,8 +195,8 @@
         return worker.is_up() && worker.is_healthy() && worker.free_cores() >= job.cores &&
                (!worker.spot || may_use_spot(job)) && may_run_in(job, worker.zone);
       });
-  const bool has_placement_bond = is_bound_to_one_zone(job) || is_scattered(job);
-  if (has_placement_bond && !job.completed.empty()) return false;
+  const bool has_placement_constraint = is_bound_to_one_zone(job) || is_scattered(job);
+  if (has_placement_constraint && !job.completed.empty()) return false;
   return has_room && *used_cores + job.cores <= world_.options.team_max_cpus && !has_completed(job);
 }
 
--- a/tests/sim/state_service.cpp
+++ b/tests/sim/state_service.cpp
@@ -125,7 +125,7 @@
   expire_leases();
   if (outage_) return reply(503, {{"error", "trouble"}});
   const std::string path = target.substr(0, target.find('?'));
-  if (world_.options.rate_limits) {
+  if (world_.options.enforces_rate_limits) {
     if (!call_limiter_.can_take(1, 0, world_.now)) {
       rate_limited_calls++;
       return reply(429, Json::object());
@@ -192,7 +192,7 @@
 }
 
 bool StateService::try_take_writes(std::size_t changes) {
-  if (!world_.options.rate_limits || changes == 0) return true;
+  if (!world_.options.enforces_rate_limits || changes == 0) return true;
   const auto cost = static_cast<double>(changes);
   if (!write_limiter_.can_take(cost, 0, world_.now)) return false;
   write_limiter_.take(cost, world_.now);
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -44,10 +44,10 @@
     world_.report_violation("forgotten: submission of " + ref + " answered " + std::to_string(reply.status));
     return;
   }
-  const bool known = reply.status == 200 || reply.status == 201;
-  if (!known && reply.status != 404) return;
-  const std::string phase = known ? phase_of(reply) : "";
-  const auto broken_rule = job.answers.record({asked_at, world_.now, known, phase});
+  const bool is_known = reply.status == 200 || reply.status == 201;
+  if (!is_known && reply.status != 404) return;
+  const std::string phase = is_known ? phase_of(reply) : "";
+  const auto broken_rule = job.answers.record({asked_at, world_.now, is_known, phase});
   if (broken_rule) world_.report_violation(*broken_rule + " (" + ref + ")");
   if (phase == "running" && job.gang && job.gang_started_at < 0)
     world_.report_violation("gang reported as running, but it never started: " + ref);
@@ -61,7 +61,7 @@
       job.aborted_at = world_.now;
       if (world_.options.poll_all_nodes) poll_all_nodes_repeatedly(ref, 20, 0.1);
     }
-  } else if (known && question == Question::kCancellation) {
+  } else if (is_known && question == Question::kCancellation) {
     world_.report_violation("cancellation of " + ref + " answered with phase " + phase);
   }
 }
--- a/tests/sim/world.cpp
+++ b/tests/sim/world.cpp
@@ -30,7 +30,7 @@
     const Json txn = {{"guards", Json::array()}, {"then", {{{"put", "meta"}, {"data", meta}}}}};
     state.handle("POST", "/commit", txn.dump(), [](int, const Json&) {});
   }
-  if (!options.external_nodes) {
+  if (!options.has_external_nodes) {
     for (int i = 0; i < options.nodes; i++) nodes.start(i);
   }
   at(1, [this] { rules.begin(); });
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -43,7 +43,7 @@
 
 TEST_P(Cluster, NoFailures) {
   World world(options());
-  add_jobs(world, 2, 60);
+  submit_jobs(world, 2, 60);
 
   world.run_until(400);
 
@@ -53,7 +53,7 @@
 
 TEST_P(Cluster, NodesCrashSinglyOrTogetherAndRestart) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   for (double t = 15; t < 150; t += world.uniform(6, 20)) {
     world.at(t, [&world] {
       const bool all = world.rng() % 5 == 0;
@@ -72,7 +72,7 @@
 
 TEST_P(Cluster, StateServiceAndCloudOutagesWhileNodesCrash) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
@@ -88,7 +88,7 @@
 
 TEST_P(Cluster, TheStateServiceRefusesOneNode) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 25) {
     world.at(t, [&world] {
       world.network.nodes_refused_by_state.clear();
@@ -105,7 +105,7 @@
 TEST_P(Cluster, MachinesHangDieAreCutOffAndFailTheirTasks) {
   World world(options());
   world.cloud.boot_failure_share = 0.1;
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(5, 12)) {
     world.at(t, [&world] {
       Worker* worker = random_worker(world);
@@ -141,7 +141,7 @@
   sim_options.message_loss_share = 0.01;
   World world(sim_options);
   world.network.delayed_share = 0.8;
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(4, 10)) {
     world.at(t, [&world] {
       Worker* worker = random_worker(world);
@@ -164,10 +164,10 @@
           const std::string other = node_name((node + 1) % world.options.nodes);
           world.network.partitions.insert({name, other});
           if (worker != nullptr) world.network.partitions.insert({worker->name, name});
-          const std::string cut = worker == nullptr ? other : worker->name;
-          world.in(world.uniform(3, 30), [&world, name, other, cut] {
+          const std::string partitioned_name = worker == nullptr ? other : worker->name;
+          world.in(world.uniform(3, 30), [&world, name, other, partitioned_name] {
             world.network.partitions.erase({name, other});
-            world.network.partitions.erase({cut, name});
+            world.network.partitions.erase({partitioned_name, name});
           });
           break;
         }
@@ -234,19 +234,19 @@
   sim_options.message_loss_share = 0;
   World world(sim_options);
   world.network.delayed_share = 0;
-  add_jobs(world, 2, 60);
-  std::vector<Worker*> cut_off_machines;
-  world.at(50, [&world, &cut_off_machines] {
+  submit_jobs(world, 2, 60);
+  std::vector<Worker*> partitioned_machines;
+  world.at(50, [&world, &partitioned_machines] {
     for (auto& [name, worker] : world.workers) {
-      if (cut_off_machines.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
-      cut_off_machines.push_back(worker.get());
+      if (partitioned_machines.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
+      partitioned_machines.push_back(worker.get());
       world.network.partition_machine(name);
     }
   });
-  world.at(74, [&world, &cut_off_machines] {
+  world.at(74, [&world, &partitioned_machines] {
     world.network.partitions.clear();
-    EXPECT_GE(cut_off_machines.size(), 3u);
-    for (const Worker* worker : cut_off_machines) EXPECT_FALSE(worker->dead) << worker->name;
+    EXPECT_GE(partitioned_machines.size(), 3u);
+    for (const Worker* worker : partitioned_machines) EXPECT_FALSE(worker->dead) << worker->name;
   });
 
   world.run_until(500);
@@ -259,7 +259,7 @@
 // returned.
 TEST_P(Cluster, InboundUnreachableMachinesGetFewLaunchesAndTheirTasksRunElsewhere) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   std::vector<std::string> permanently_unreachable;
   for (double t = 25; t < 150; t += 12) {
     world.at(t, [&world, &permanently_unreachable] {
@@ -295,7 +295,7 @@
   sim_options.message_copy_share = 0.3;
   sim_options.commit_copy_share = 0.2;
   World world(sim_options);
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += world.uniform(8, 20)) {
     world.at(t, [&world] {
       Worker* worker = random_worker(world);
@@ -326,7 +326,7 @@
 TEST_P(Cluster, ANodeReachesOnlyItsWorkers) {
   World world(options());
   world.network.delayed_share = 0.3;
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 45) {
     world.at(t, [&world] {
       const std::string name = node_name(random_node(world));
@@ -363,7 +363,7 @@
   sim_options.message_copy_share = 0.1;
   sim_options.commit_copy_share = 0.1;
   World world(sim_options);
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 10; t < 170; t += world.uniform(3, 9)) {
     world.at(t, [&world] {
       const int node = random_node(world);
@@ -389,7 +389,7 @@
 // task may be started twice.
 TEST_P(Cluster, MachinesRebootWithinAFractionOfASecond) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   int reboots = 0;
   for (double t = 20; t < 160; t += world.uniform(3, 9)) {
     world.at(t, [&world, &reboots] {
@@ -431,7 +431,7 @@
 // an operator has dealt with the record.
 TEST_P(Cluster, AnUnreadableRecordMakesNoJobUnknown) {
   World world(options());
-  add_jobs(world, 2, 60);
+  submit_jobs(world, 2, 60);
   world.at(40, [&world] {
     const std::string segment = keys::segment(0, 1);
     if (world.state.values().count(segment) > 0) world.state.corrupt(segment);
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -71,7 +71,7 @@
 
 // Submits arrays and injects faults so that every kind of record and message occurs.
 void submit_array_workload(World& world) {
-  add_jobs(world, 2, 60);
+  submit_jobs(world, 2, 60);
   for (int i = 0; i < 4; i++) world.submit(plain_job(world, 40 + i, 5 + i, 40, 30, 1));
   for (int i = 0; i < 3; i++) {
     UserJob job = plain_job(world, 50 + i, 20 + i, 30, 40, 4);
@@ -162,7 +162,7 @@
   static Options options() {
     Options out;
     out.seed = static_cast<std::uint64_t>(GetParam());
-    out.earlier_version = true;
+    out.runs_earlier_version = true;
     out.next_value_kb = 2;
     out.next_txn_ops = 4;
     out.next_write_rps = 20;
@@ -179,7 +179,7 @@
 // directions, while processes of both versions crash, restart with the same version, or are partitioned.
 TEST_P(Upgrade, FaultsDuringARollingUpgrade) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, 40 + i, 5 + 12 * i, 40, 25, 1));
   world.at(40, [&world] { world.nodes.upgrade(0, 2); });
   world.at(46, [&world] { world.nodes.crash(1, 0.3); });  // restarts with the old version
@@ -204,7 +204,7 @@
 // An upgrade stops half way, and both versions keep serving jobs side by side.
 TEST_P(Upgrade, MixedVersionsKeepServing) {
   World world(options());
-  add_jobs(world, 2, 140);
+  submit_jobs(world, 2, 140);
   world.at(40, [&world] { world.nodes.upgrade(1, 2); });
   world.at(70, [&world] { world.nodes.crash(1, 9); });
   world.at(110, [&world] { world.nodes.crash(0, 9); });
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -48,7 +48,7 @@
     return out;
   }
   // Cuts the links between all nodes.
-  static void cut_all_peers(World& world) {
+  static void partition_all_nodes(World& world) {
     for (int a = 0; a < world.options.nodes; a++) {
       for (int b = 0; b < a; b++) world.network.partitions.insert({node_name(a), node_name(b)});
     }
@@ -64,7 +64,7 @@
       affected_answers++;
       return delay_s();
     };
-    world.at(20, [&world] { cut_all_peers(world); });
+    world.at(20, [&world] { partition_all_nodes(world); });
     world.at(130, [&world] {
       world.network.heal_partitions();
       world.network.commit_answer_delay_s = nullptr;
@@ -80,7 +80,7 @@
 // outcome.
 TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsLost) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int lost_answers = 0;
   delay_answers(
       world, ends_job, [] { return kLostAnswerDelaySeconds; }, lost_answers);
@@ -94,7 +94,7 @@
 // As above, but the answer is only slow.
 TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsSlow) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int slow_answers = 0;
   delay_answers(
       world, ends_job, [&world] { return world.uniform(0.2, 1.4); }, slow_answers);
@@ -108,7 +108,7 @@
 // The transaction that cancels a job is applied, but its answer is lost.
 TEST_P(MonotonicAnswers, TheAnswerToACancellationIsLost) {
   World world(options());
-  add_jobs(world, 2, 90);
+  submit_jobs(world, 2, 90);
   int lost_answers = 0;
   delay_answers(
       world, cancels_job, [] { return kLostAnswerDelaySeconds; }, lost_answers);
@@ -139,7 +139,7 @@
   world.network.commit_answer_delay_s = [&](const std::string& from, const Json& transaction) {
     if (!changes_key(transaction, "delete", keys::shard_owner(0)) || handed_back++ > 0) return 0.0;
     world.network.nodes_without_state_answers.insert(from);
-    cut_all_peers(world);
+    partition_all_nodes(world);
     world.network.partition_node_from_workers(node_index(from));
     world.in(3, [&world] {
       world.network.nodes_without_state_answers.clear();
@@ -186,7 +186,7 @@
     }
     return false;
   };
-  world.at(55, [&world] { cut_all_peers(world); });
+  world.at(55, [&world] { partition_all_nodes(world); });
   world.at(120, [&world] {
     world.network.should_lose_commit = nullptr;
     world.network.heal_partitions();
@@ -264,7 +264,7 @@
   sim_options.jobs = 60;
   World world(sim_options);
   world.network.max_watch_delay_s = 1.2;
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   world.at(250, [&world] { world.network.max_watch_delay_s = 0; });
   world.faults_end_at = 250;
 
@@ -288,7 +288,7 @@
   sim_options.late_commit_share = 0.05;
   sim_options.jobs = 40;
   World world(sim_options);
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   world.network.commit_answer_delay_s = [&world](const std::string&, const Json&) {
     return world.uniform(0, 1) < 0.3   ? kLostAnswerDelaySeconds
            : world.uniform(0, 1) < 0.2 ? world.uniform(0.1, 1.4)
@@ -299,7 +299,7 @@
       const int node = random_node(world);
       switch (world.rng() % 5) {
         case 0:
-          return cut_all_peers(world);
+          return partition_all_nodes(world);
         case 1:
           return world.network.partition_node(node, world.rng() % 2 == 0);
         case 2:
