--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -63,7 +63,7 @@
   }
 };
 
-// Cuts the machines of the shard off from all nodes except this one.
+// Partitions the machines of the shard from all nodes except this one.
 void limit_shard_to_node(World& world, int shard, int node) {
   for (auto& [name, worker] : world.workers) {
     if (shard_of(name, world.options.nodes) != shard) continue;
@@ -103,14 +103,14 @@
   world.run_until(300);
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
-  // Both owners know of the cancellation, although the state service refuses one of them: the user need not
-  // wait for the end of the outage.
+  // Both owners have received the cancellation, although the state service refuses one of them. The user need
+  // not wait for the end of the outage.
   EXPECT_TRUE(is_confirmed);
 }
 
-// As above, but the owner of the delegate shard is also cut off from the other nodes and reaches only its
-// machines. Another node takes the shard over and the cancellation is confirmed. The old owner must stop the
-// tasks that it runs without being asked.
+// As above, but the owner of the delegate shard is also partitioned from the other nodes and reaches only
+// its machines. Another node takes the shard over and the cancellation is confirmed. The old owner must stop
+// its tasks without a request to do so.
 TEST_P(Cancelled, WhileAnOldOwnerReachesOnlyItsMachines) {
   World world(options());
   world.network.delayed_share = 0;
@@ -148,7 +148,7 @@
       << "no delegated task ran under the old owner at the confirmation: the case did not occur";
 }
 
-// The state service refuses the owner of the home shard, which is also cut off from its peers and reaches
+// The state service refuses the owner of the home shard, which is also partitioned from its peers and reaches
 // only its machines. The new owner confirms the cancellation.
 TEST_P(Cancelled, WhileTheOldHomeShardOwnerReachesOnlyItsMachines) {
   World world(options());
@@ -206,7 +206,7 @@
 
   EXPECT_TRUE(has_owner_crashed);
   EXPECT_FALSE(was_confirmed_early)
-      << "the cancellation was confirmed while the delegate held a valid lease and did not know of it";
+      << "the cancellation was confirmed while the delegate held a valid lease and had not received it";
   expect_invariants_hold(world);
 }
 
@@ -229,8 +229,8 @@
   expect_invariants_hold(world);
 }
 
-// Machines hang with tasks of jobs that are then cancelled, and resume within their leases. Late copies of
-// old commands arrive, too.
+// Machines hang with tasks of jobs that are then cancelled, and resume within their leases. Late duplicates
+// of old commands arrive, too.
 TEST_P(Cancelled, WhileItsMachinesHang) {
   World world(options());
   submit_long_jobs(world, 150);
@@ -275,7 +275,7 @@
   }
 }
 
-// A node that restarts during the outage does not know what happened before and is no evidence that the other
+// A node that restarts during the outage has no record of earlier events and is no evidence that the other
 // nodes still hold their shards. They let the leases of their machines expire in time.
 TEST_P(Cancelled, ARestartedNodeHasNoEvidence) {
   World world(options());
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -49,7 +49,7 @@
       std::cout << kind << ": " << world.network.message_counts[kind] << ", at most " << bytes << " bytes\n";
     std::cout << world.workers.size() << " machines, " << world.starts << " starts, "
               << world.state.requested_changes << " changes, " << world.state.rate_limited_calls
-              << " too many\n";
+              << " calls answered 429\n";
   }
 }
 
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -150,7 +150,7 @@
 }
 
 // The tasks of a hung machine, waiting or running, stay on it until its lease expires. No new attempt may
-// begin before that.
+// start before that.
 TEST_P(Gang, MachinesHang) {
   World world(options());
   submit_gangs(world, 3, 40);
@@ -319,8 +319,8 @@
   EXPECT_GT(placement_writes, 0);
 }
 
-// Old copies of reports arrive late, some of them from earlier attempts, and some transactions are carried
-// out late.
+// Duplicates of old reports arrive late, some of them from earlier attempts, and some transactions are
+// applied late.
 TEST_P(Gang, DuplicateReportsAndDelayedWrites) {
   Options sim_options = options();
   sim_options.message_copy_share = 0.15;
@@ -392,7 +392,7 @@
   });
   world.at(50, [&world] { world.nodes.crash(random_node(world), 0.3); });
   world.at(85, [&world] { world.network.heal_partitions(); });
-  world.faults_end_at = 150;  // Messages that were held back arrive up to 60 s later.
+  world.faults_end_at = 150;  // Delayed messages arrive up to 60 s later.
 
   world.run_until(420);
 
@@ -478,7 +478,7 @@
   for (const auto& [ref, job] : world.jobs) EXPECT_TRUE(job.user_saw_done || job.always_fails) << ref;
 }
 
-// Gangs are not accepted while a controller of the previous version is known to run. Afterwards all
+// Gangs are not accepted while a controller of the earlier version is known to run. Afterwards all
 // controllers accept them.
 TEST_P(Gang, AreAcceptedOnceAllControllersCanRunThem) {
   Options sim_options = options();
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -88,7 +88,7 @@
   EXPECT_EQ(world.state.oversized_transactions, 0);
 }
 
-// The previous version wrote segments that are larger than later limits allow. They must stay readable, and
+// The earlier version wrote segments that are larger than later limits allow. They must stay readable, and
 // no content may be lost while they are split.
 TEST_P(StateLimits, LargerSegmentsOfThePreviousVersionAreSplit) {
   Options sim_options = options();
@@ -118,11 +118,11 @@
   World world(sim_options);
   submit_many_tasks(world, 2, 60);
   world.at(40, [&world] { world.nodes.upgrade(0, 1); });
-  // The shard of node 0 moves to a node of the previous version and returns.
+  // The shard of node 0 moves to a node of the earlier version and returns.
   world.at(58, [&world] { world.nodes.crash(0, 9); });
   world.at(60, [&world] { world.nodes.crash(1, 0.3); });
   world.at(95, [&world] { world.nodes.upgrade(1, 1); });
-  world.at(96, [&world] { world.nodes.crash(2, 5); });  // Node 2 restarts with the previous version.
+  world.at(96, [&world] { world.nodes.crash(2, 5); });  // Node 2 restarts with the earlier version.
   world.at(110, [&world] { world.nodes.upgrade(2, 1); });
   world.faults_end_at = 125;
 
@@ -133,7 +133,7 @@
 }
 
 // The service lowers its limits without announcing it. Controllers must make their writes smaller, and no
-// shard may be given up again and again.
+// shard may be given up repeatedly.
 TEST_P(StateLimits, AreLoweredWithoutAnnouncement) {
   Options sim_options = options();
   sim_options.next_value_kb = 0;
--- a/tests/meetings_test.cpp
+++ b/tests/meetings_test.cpp
@@ -100,7 +100,7 @@
   return out;
 }
 
-// Injects one of the failures of the tests below, drawn at random, at a random node or machine.
+// Injects one of the failures of the tests below, drawn at random, on a random node or machine.
 void inject_random_failure(World& world) {
   const int node = random_node(world);
   Worker* worker = random_worker(world);
@@ -145,8 +145,8 @@
 
 }  // namespace
 
-// Reports delayed by a network cut arrive at the owner that has taken the shard over and acted in the
-// meantime. Copies of earlier reports arrive with them, some of them from earlier incarnations.
+// Reports delayed by a network partition arrive at the owner that has taken the shard over and acted in the
+// meantime. Duplicates of earlier reports arrive with them, some of them from earlier incarnations.
 TEST_P(OverlappingFailures, DelayedReportsReachANewOwner) {
   Options sim_options = options();
   sim_options.message_copy_share = 0.3;
@@ -179,7 +179,7 @@
 }
 
 // A quarter of all transactions gets no answer and is applied seconds later, after newer transactions of the
-// same node. Meanwhile nodes crash, and users cancel jobs, poll them and submit them again.
+// same node. Meanwhile nodes crash, and users cancel jobs, poll them and resubmit them.
 TEST_P(OverlappingFailures, TransactionsAreAppliedLate) {
   Options sim_options = options();
   sim_options.late_commit_share = 0.25;
@@ -222,8 +222,8 @@
   EXPECT_GT(outbound_unreachable, 1);
 }
 
-// All nodes are down for longer than lease_s, so that every machine has lost its tasks and has begun a new
-// incarnation.
+// All nodes are down for longer than lease_s, so that every machine has lost its tasks and has started a
+// new incarnation.
 TEST_P(OverlappingFailures, AllNodesAreDownForLongerThanALease) {
   World world(options());
   submit_jobs(world, 2, 100);
@@ -419,7 +419,7 @@
 }
 
 // Commands and their answers are delayed for seconds, after which the machines resume: a machine that hung
-// processes the commands that arrived in the meantime, and a machine that was cut off receives them late.
+// processes the commands that arrived in the meantime, and a partitioned machine receives them late.
 TEST_P(OverlappingFailures, DelayedCommandsReachMachinesThatResume) {
   World world(options());
   world.network.delayed_share = 1;
@@ -520,8 +520,8 @@
   EXPECT_LT(attempts, 250);
 }
 
-// A node freezes, and its shards get a new owner, which learns of machines without tasks only from their
-// reports. These machines are up and must not be returned as rentals that never arrived.
+// A node freezes, and its shards get a new owner, which has no information on machines without tasks
+// except from their reports. These machines are up and must not be returned as rentals that never arrived.
 TEST_P(OverlappingFailures, IdleMachinesSurviveATakeover) {
   Options sim_options = options();
   sim_options.message_loss_share = 0;
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -85,7 +85,8 @@
     }
   }
   // Runs until `ends_at` and checks the result. From `operator_starts_at` on, an operator resolves
-  // unaccounted jobs; the troubles are over when the operator's decisions are made.
+  // unaccounted jobs. The faults count as ended kDecisionsDurationSeconds later, when the operator has made
+  // all decisions.
   static void run_with_operator(World& world, double operator_starts_at, double ends_at,
                                 int min_incarnation) {
     world.faults_end_at = operator_starts_at + kDecisionsDurationSeconds;
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -1,5 +1,5 @@
-// The network of the simulated cluster. It carries every message, and delays, loses or copies messages as
-// the options and the test specify.
+// The network of the simulated cluster. It carries every message, and delays, loses or duplicates messages
+// as the options and the test specify.
 #pragma once
 
 #include <functional>
--- a/tests/sim/options.hpp
+++ b/tests/sim/options.hpp
@@ -53,7 +53,8 @@
   double cloud_rps = 2;
   // Page size of the state service. It is small so that every list needs paging.
   std::size_t items_per_page = 7;
-  bool enforces_rate_limits = false;  // true: the state service and the cloud answer 429 above their rates
+  // The state service and the cloud answer 429 above their rates.
+  bool enforces_rate_limits = false;
   // The nodes run outside of this simulation; see Network::send_to_external_node.
   bool has_external_nodes = false;
   // Loss of the state service's data is detected and the records are rebuilt.
--- a/tests/sim/users.cpp
+++ b/tests/sim/users.cpp
@@ -37,7 +37,7 @@
       });
 }
 
-// Checks every answer, whatever its question.
+// Checks the answer to a question of any kind.
 void Users::check(Question question, const std::string& ref, double asked_at, const HttpReply& reply) {
   UserJob& job = world_.jobs.at(ref);
   if (question == Question::kSubmission && (reply.status == 400 || reply.status == 422)) {
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -187,8 +187,8 @@
   expect_invariants_hold(world);
 }
 
-// The state service refuses the old owner, which is also cut off from the other nodes but keeps renewing the
-// lease of a machine that the new owner cannot reach. The silence of the machine does not prove that its
+// The state service refuses the old owner, which is also partitioned from the other nodes but keeps renewing
+// the lease of a machine that the new owner cannot reach. The silence of the machine does not prove that its
 // tasks have ended: they are still running.
 TEST_P(Cluster, TheOldOwnerMayStillRenewTheLeaseOfASilentMachine) {
   World world(options());
@@ -226,9 +226,9 @@
   expect_invariants_hold(world);
 }
 
-// Several machines that become silent together are more likely cut off than dead. They are not returned, and
-// serve again after the cut. No message is lost in this test, because a shard that is taken over meanwhile
-// measures the silence of its machines from the takeover.
+// Several machines that become silent together are more likely partitioned than dead. They are not returned,
+// and serve again after the partition. No message is lost in this test, because a shard that is taken over
+// meanwhile measures the silence of its machines from the takeover.
 TEST_P(Cluster, MachinesThatAreCutOffTogetherAreNotReturned) {
   Options sim_options = options();
   sim_options.message_loss_share = 0;
@@ -288,7 +288,7 @@
     EXPECT_TRUE(world.workers.at(name)->dead) << name << " was not returned although it stayed unreachable";
 }
 
-// Copies of reports, submissions, cancellations and transactions arrive up to 45 s late, that is, several
+// Duplicates of reports, submissions, cancellations and transactions arrive up to 45 s late, that is, several
 // leases later. Takeovers, restarts and the return of the machines that sent them happen in between.
 TEST_P(Cluster, LateDuplicateMessagesChangeNothing) {
   Options sim_options = options();
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -182,7 +182,7 @@
   submit_jobs(world, 2, 100);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, 40 + i, 5 + 12 * i, 40, 25, 1));
   world.at(40, [&world] { world.nodes.upgrade(0, 2); });
-  world.at(46, [&world] { world.nodes.crash(1, 0.3); });  // restarts with the old version
+  world.at(46, [&world] { world.nodes.crash(1, 0.3); });  // restarts with the earlier version
   world.at(50, [&world] { world.network.partition_node(0, true); });
   world.at(62, [&world] { world.network.heal_partitions(); });
   world.at(66, [&world] { world.network.partition_node_from_workers(2); });
--- a/tests/went_back_test.cpp
+++ b/tests/went_back_test.cpp
@@ -47,7 +47,7 @@
     out.poll_all_nodes = true;
     return out;
   }
-  // Cuts the links between all nodes.
+  // Partitions all nodes from each other.
   static void partition_all_nodes(World& world) {
     for (int a = 0; a < world.options.nodes; a++) {
       for (int b = 0; b < a; b++) world.network.partitions.insert({node_name(a), node_name(b)});
@@ -76,7 +76,7 @@
 }  // namespace
 
 // The transaction that ends a job is applied, but its answer is lost. Nodes that cannot reach the owner read
-// the ending record and report it to users. The owner must not answer "running" until it has found out the
+// the ending record and report it to users. The owner must not answer "running" until it has determined the
 // outcome.
 TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsLost) {
   World world(options());
