--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -107,8 +107,8 @@
 // must be replaced only once.
 TEST_F(LargeFleet, MostOfAZoneIsPartitionedWhileMachinesHangAndDie) {
   Options sim_options = large_fleet(3);
-  sim_options.message_copy_share = 0.02;
-  sim_options.commit_copy_share = 0.02;
+  sim_options.message_duplicate_share = 0.02;
+  sim_options.commit_duplicate_share = 0.02;
   World world(sim_options);
   submit_mixed_jobs(world, 300, 150);
   std::vector<Worker*> partitioned_workers;
@@ -148,7 +148,7 @@
   world.run_until(330);
 
   expect_invariants_hold(world);
-  EXPECT_EQ(world.rules.launches_to_copies, 0);
+  EXPECT_EQ(world.rules.launches_to_duplicates, 0);
   EXPECT_LT(world.cloud.machines_rented, 2 * rented_before)
       << "more machines were rented than lost machines need as replacements";
 }
--- a/tests/gang_test.cpp
+++ b/tests/gang_test.cpp
@@ -88,9 +88,9 @@
 int evict_two_members(World& world, const std::string& ref) {
   int members = 0;
   for (auto& [name, worker] : world.workers) {
-    const bool member = std::any_of(worker->tasks.begin(), worker->tasks.end(),
-                                    [&ref](const Task& task) { return task.ref == ref; });
-    if (member && members++ < 2) evict_machine(world, *worker, 14);
+    const bool hosts_member = std::any_of(worker->tasks.begin(), worker->tasks.end(),
+                                          [&ref](const Task& task) { return task.ref == ref; });
+    if (hosts_member && members++ < 2) evict_machine(world, *worker, 14);
   }
   return members;
 }
@@ -268,8 +268,8 @@
   bool handed_back = false;
   world.network.on_commit = [&](const std::string&, const Json& txn) {
     for (const Json& change : txn["then"]) {
-      const bool released = change.contains("delete") && change["delete"] == keys::shard_owner(home_node);
-      if (!released || handed_back) continue;
+      const bool is_released = change.contains("delete") && change["delete"] == keys::shard_owner(home_node);
+      if (!is_released || handed_back) continue;
       handed_back = true;
       world.in(0, [&world] {
         if (Worker* worker = find_member(world, "running")) evict_machine(world, *worker, 15);
@@ -323,7 +323,7 @@
 // applied late.
 TEST_P(Gang, DuplicateReportsAndDelayedWrites) {
   Options sim_options = options();
-  sim_options.message_copy_share = 0.15;
+  sim_options.message_duplicate_share = 0.15;
   sim_options.late_commit_share = 0.02;
   World world(sim_options);
   submit_gangs(world, 3, 30);
--- a/tests/monotonic_answers_test.cpp
+++ b/tests/monotonic_answers_test.cpp
@@ -30,8 +30,8 @@
 // Returns whether the transaction cancels a job, that is, writes a job record that exists already.
 bool cancels_job(const Json& transaction) {
   for (const Json& guard : transaction["guards"]) {
-    const bool job_record = guard["k"].get<std::string>().rfind(keys::kJobRecords, 0) == 0;
-    if (job_record && guard["stamp"] != 0 && changes_key(transaction, "put", guard["k"])) return true;
+    const bool is_job_record = guard["k"].get<std::string>().rfind(keys::kJobRecords, 0) == 0;
+    if (is_job_record && guard["stamp"] != 0 && changes_key(transaction, "put", guard["k"])) return true;
   }
   return false;
 }
--- a/tests/overlapping_failures_test.cpp
+++ b/tests/overlapping_failures_test.cpp
@@ -149,7 +149,7 @@
 // meantime. Duplicates of earlier reports arrive with them, some of them from earlier incarnations.
 TEST_P(OverlappingFailures, DelayedReportsReachANewOwner) {
   Options sim_options = options();
-  sim_options.message_copy_share = 0.3;
+  sim_options.message_duplicate_share = 0.3;
   World world(sim_options);
   world.network.delayed_share = 1;
   submit_jobs(world, 2, 100);
@@ -175,7 +175,7 @@
 
   expect_invariants_hold(world);
   EXPECT_GT(handovers, 1);
-  EXPECT_EQ(world.rules.launches_to_copies, 0);
+  EXPECT_EQ(world.rules.launches_to_duplicates, 0);
 }
 
 // A quarter of all transactions gets no answer and is applied seconds later, after newer transactions of the
@@ -553,7 +553,7 @@
 TEST_P(OverlappingFailures, RandomFailuresOverlap) {
   Options sim_options = options();
   sim_options.message_loss_share = 0.005;
-  sim_options.message_copy_share = 0.1;
+  sim_options.message_duplicate_share = 0.1;
   sim_options.late_commit_share = 0.05;
   World world(sim_options);
   world.network.delayed_share = 0.6;
@@ -562,7 +562,7 @@
     world.at(t, [&world] { inject_random_failure(world); });
   }
   world.at(190, [&world] {
-    world.options.late_commit_share = world.options.message_copy_share = 0;
+    world.options.late_commit_share = world.options.message_duplicate_share = 0;
     world.network.heal_partitions();
     world.state.set_outage(false);
   });
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -269,9 +269,9 @@
 
 TEST_P(StateLoss, MachinesHangOrAreUnreachableAndMessagesAndWritesAreDelayed) {
   Options sim_options = options();
-  sim_options.message_copy_share = 0.05;
+  sim_options.message_duplicate_share = 0.05;
   sim_options.late_commit_share = 0.05;
-  sim_options.commit_copy_share = 0.05;
+  sim_options.commit_duplicate_share = 0.05;
   World world(sim_options);
   submit_jobs(world, 2, 120);
   const double loss_at = world.uniform(40, 90);
--- a/tests/sim/network.cpp
+++ b/tests/sim/network.cpp
@@ -10,8 +10,8 @@
 namespace {
 // Limit for a request, a transaction and one line of an answer.
 constexpr std::size_t kMaxBodyBytes = std::size_t{64} * 1024;
-// Marks a copy in transit, at the end of its path.
-const char* const kCopySuffix = "#copy";
+// Marks a duplicate in transit, at the end of its path.
+const char* const kDuplicateSuffix = "#copy";
 
 bool is_commit(const HttpCall& call) { return call.path == "/commit"; }
 
@@ -19,12 +19,12 @@
   return is_commit(call) && call.body.find("\"then\":[]") == std::string::npos;
 }
 
-// Returns the share of messages of this kind that are copied.
-double copy_share(const std::string& from, const HttpCall& call, const Options& options) {
-  if (is_commit(call)) return options.commit_copy_share;
-  const bool is_copied_kind =
+// Returns the share of messages of this kind that are duplicated.
+double duplicate_share(const std::string& from, const HttpCall& call, const Options& options) {
+  if (is_commit(call)) return options.commit_duplicate_share;
+  const bool is_duplicated_kind =
       call.path == "/hello" || call.path == "/v2/runs" || call.path.ends_with("/cancel");
-  return is_copied_kind && from.rfind(kNodeNamePrefix, 0) != 0 ? options.message_copy_share : 0;
+  return is_duplicated_kind && from.rfind(kNodeNamePrefix, 0) != 0 ? options.message_duplicate_share : 0;
 }
 }  // namespace
 
@@ -74,7 +74,7 @@
   const auto delay_s = draw_delay_s(from, call);
   if (!delay_s || schedule_late_commit(from, call, *delay_s)) return;
   const auto delivered = std::make_shared<bool>(false);
-  maybe_copy(from, call, *delay_s, delivered);
+  maybe_duplicate(from, call, *delay_s, delivered);
   world_.in(*delay_s, [this, from, call, finish, delivered] {
     *delivered = world_.nodes.is_up(call.destination);
     deliver(from, call, [this, finish, delivered](const HttpReply& answer) {
@@ -114,16 +114,17 @@
   return true;
 }
 
-void Network::maybe_copy(const std::string& from, const HttpCall& call, double delay_s,
-                         const std::shared_ptr<bool>& delivered) {
-  const double share = copy_share(from, call, world_.options);
+void Network::maybe_duplicate(const std::string& from, const HttpCall& call, double delay_s,
+                              const std::shared_ptr<bool>& delivered) {
+  const double share = duplicate_share(from, call, world_.options);
   if (share <= 0 || world_.uniform(0, 1) >= share) return;
-  world_.in(delay_s + world_.uniform(1, world_.options.max_copy_delay_s), [this, from, call, delivered] {
-    HttpCall copy = call;
-    // A copy is not marked if it overtakes the message itself, which a partition delays, or if the receiver
-    // rejected the message. The owner of the shard cannot distinguish such a copy from a first message.
-    if (*delivered) copy.path += kCopySuffix;
-    deliver(from, copy, [](const HttpReply&) {});
+  world_.in(delay_s + world_.uniform(1, world_.options.max_duplicate_delay_s), [this, from, call, delivered] {
+    HttpCall duplicate = call;
+    // A duplicate is not marked if it overtakes the message itself, which a partition delays, or if the
+    // receiver rejected the message. The owner of the shard cannot distinguish such a duplicate from a first
+    // message.
+    if (*delivered) duplicate.path += kDuplicateSuffix;
+    deliver(from, duplicate, [](const HttpReply&) {});
   });
 }
 
@@ -131,15 +132,15 @@
 
 void Network::deliver(const std::string& from, const HttpCall& sent, const Reply& reply) {
   HttpCall call = sent;
-  const bool is_copy = call.path.ends_with(kCopySuffix);
-  if (is_copy) call.path.resize(call.path.size() - std::string(kCopySuffix).size());
+  const bool is_duplicate = call.path.ends_with(kDuplicateSuffix);
+  if (is_duplicate) call.path.resize(call.path.size() - std::string(kDuplicateSuffix).size());
   const auto answer = [reply](int status, const Json& body) { reply({status, body.dump()}); };
   if (call.destination == kStateAddress) return deliver_to_state(from, call, answer);
   if (call.destination == kCloudAddress) return world_.cloud.handle(call.path, call.body, answer);
   const auto node = node_at(call.destination, world_.options.nodes);
   if (node) {
     if (send_to_external_node) return send_to_external_node(call, reply);
-    return deliver_to_node({from, node->index, node->is_client_address, is_copy, call}, reply);
+    return deliver_to_node({from, node->index, node->is_client_address, is_duplicate, call}, reply);
   }
   const auto machine = world_.workers_by_address.find(call.destination);
   if (machine != world_.workers_by_address.end()) {
@@ -212,7 +213,7 @@
   const Responder responder([this, reply, node_call](const HttpAnswer& out) {
     if (node_call.is_client_address) record_size("answer", out.body.size(), kMaxBodyBytes);
     world_.rules.check_node_answer(node_call.from, node_name(node_call.node), node_call.call, out,
-                                   node_call.is_copy);
+                                   node_call.is_duplicate);
     if (!node_call.is_client_address && on_peer_message) on_peer_message(node_call.call, out);
     reply({out.status, out.body});
   });
--- a/tests/sim/network.hpp
+++ b/tests/sim/network.hpp
@@ -76,13 +76,13 @@
   std::map<std::string, int> message_counts;
 
  private:
-  // A message to a node, with the kind of address it was sent to, and whether it is a copy of an earlier
+  // A message to a node, with the kind of address it was sent to, and whether it is a duplicate of an earlier
   // message.
   struct NodeCall {
     std::string from;
     int node;
     bool is_client_address;
-    bool is_copy;
+    bool is_duplicate;
     HttpCall call;
   };
   using JsonReply = std::function<void(int status, const Json& body)>;
@@ -91,10 +91,10 @@
   // Schedules a late delivery without an answer if the message is a transaction selected for it, and
   // returns whether it is.
   bool schedule_late_commit(const std::string& from, const HttpCall& call, double delay_s);
-  // Sends a copy after some messages. `delivered` says whether the message itself has been accepted when
-  // the copy arrives.
-  void maybe_copy(const std::string& from, const HttpCall& call, double delay_s,
-                  const std::shared_ptr<bool>& delivered);
+  // Sends a duplicate after some messages. `delivered` says whether the message itself has been accepted when
+  // the duplicate arrives.
+  void maybe_duplicate(const std::string& from, const HttpCall& call, double delay_s,
+                       const std::shared_ptr<bool>& delivered);
   // Returns the name of the participant with this address, or the address itself if that participant has no
   // name.
   [[nodiscard]] std::string name_at(const std::string& address) const;
--- a/tests/sim/options.hpp
+++ b/tests/sim/options.hpp
@@ -20,13 +20,13 @@
   int nodes = 3;
   // Share of requests and of answers that are lost.
   double message_loss_share = 0.002;
-  // Share of reports, submissions and cancellations that are followed by a late copy.
-  double message_copy_share = 0;
-  // Share of transactions that are followed by a late copy.
-  double commit_copy_share = 0;
+  // Share of reports, submissions and cancellations that are followed by a late duplicate.
+  double message_duplicate_share = 0;
+  // Share of transactions that are followed by a late duplicate.
+  double commit_duplicate_share = 0;
   // Share of transactions that get no answer and are applied 2 to 12 s late.
   double late_commit_share = 0;
-  double max_copy_delay_s = 45;
+  double max_duplicate_delay_s = 45;
   int jobs = 24;
   // Number of shards recorded before the first start. With 0, the nodes choose it.
   int shard_count = 0;
--- a/tests/sim/rule_checker.cpp
+++ b/tests/sim/rule_checker.cpp
@@ -97,12 +97,12 @@
 // ---------------------------------------------------------------- answers
 
 void RuleChecker::check_node_answer(const std::string& from, const std::string& node, const HttpCall& call,
-                                    const HttpAnswer& out, bool is_copy) {
+                                    const HttpAnswer& out, bool is_duplicate) {
   if (call.path != "/hello" || out.status != 200) return;
   const Json body = parse_json(out.body);
   for (const Json& order : body["orders"]) {
     if (order["verb"] != "launch") continue;
-    if (is_copy) launches_to_copies++;
+    if (is_duplicate) launches_to_duplicates++;
     check_launch(from, node, order);
   }
 }
--- a/tests/sim/rule_checker.hpp
+++ b/tests/sim/rule_checker.hpp
@@ -23,15 +23,15 @@
 
   // Checks a task that has just started on the machine.
   void check_start(const Worker& worker, const Task& task);
-  // Checks the commands in a node's answer. `is_copy` says whether the answer is to a copy of an earlier
-  // message.
+  // Checks the commands in a node's answer. `is_duplicate` says whether the answer is to a duplicate of an
+  // earlier message.
   void check_node_answer(const std::string& from, const std::string& node, const HttpCall& call,
-                         const HttpAnswer& out, bool is_copy);
+                         const HttpAnswer& out, bool is_duplicate);
 
   // Whether no job may wait for 90 s while a machine has room for it, once the faults have ended.
   bool checks_starvation = true;
-  // Launches in answers to copies of reports. They reach no worker.
-  int launches_to_copies = 0;
+  // Launches in answers to duplicates of reports. They reach no worker.
+  int launches_to_duplicates = 0;
   // Launches in answers to machines that no answer reaches, by attempt.
   std::map<std::string, int> launches_to_unreachable;
   // Starts after the user was informed that the job is cancelled.
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -292,8 +292,8 @@
 // leases later. Takeovers, restarts and the return of the machines that sent them happen in between.
 TEST_P(Cluster, LateDuplicateMessagesChangeNothing) {
   Options sim_options = options();
-  sim_options.message_copy_share = 0.3;
-  sim_options.commit_copy_share = 0.2;
+  sim_options.message_duplicate_share = 0.3;
+  sim_options.commit_duplicate_share = 0.2;
   World world(sim_options);
   submit_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += world.uniform(8, 20)) {
@@ -317,7 +317,7 @@
   world.run_until(500);
 
   expect_invariants_hold(world);
-  EXPECT_EQ(world.rules.launches_to_copies, 0);
+  EXPECT_EQ(world.rules.launches_to_duplicates, 0);
 }
 
 // A node reaches neither the state service nor the other nodes, only its workers. In half of the cases the
@@ -330,14 +330,14 @@
   for (double t = 25; t < 150; t += 45) {
     world.at(t, [&world] {
       const std::string name = node_name(random_node(world));
-      const bool are_workers_cut_off = world.rng() % 2 == 0;
+      const bool are_workers_partitioned = world.rng() % 2 == 0;
       world.network.nodes_refused_by_state.insert(name);
       world.network.isolated_since[name] = world.now;
       for (int i = 0; i < world.options.nodes; i++) {
         if (node_name(i) == name) continue;
         world.network.partitions.insert({name, node_name(i)});
         for (auto& [machine_name, worker] : world.workers) {
-          if (are_workers_cut_off && shard_of(machine_name, world.options.nodes) == node_index(name))
+          if (are_workers_partitioned && shard_of(machine_name, world.options.nodes) == node_index(name))
             world.network.partitions.insert({machine_name, node_name(i)});
         }
       }
@@ -360,8 +360,8 @@
 TEST_P(Cluster, ProcessesRestartWithinAFractionOfASecond) {
   Options sim_options = options();
   sim_options.message_loss_share = 0.02;
-  sim_options.message_copy_share = 0.1;
-  sim_options.commit_copy_share = 0.1;
+  sim_options.message_duplicate_share = 0.1;
+  sim_options.commit_duplicate_share = 0.1;
   World world(sim_options);
   submit_jobs(world, 2, 150);
   for (double t = 10; t < 170; t += world.uniform(3, 9)) {
--- a/tests/versions_test.cpp
+++ b/tests/versions_test.cpp
@@ -37,8 +37,8 @@
 // Replaces ids of jobs and machines that are used as keys by a placeholder, so that shapes can be compared.
 std::string normalized_field_name(const std::string& name) {
   if (name.rfind("host-", 0) == 0) return "HOST";
-  const bool job = name.rfind("job-", 0) == 0 || name.rfind("w/b/", 0) == 0;
-  return job ? "JOB" : name;
+  const bool is_job = name.rfind("job-", 0) == 0 || name.rfind("w/b/", 0) == 0;
+  return is_job ? "JOB" : name;
 }
 
 const char* json_kind(const Json& value) {
