--- a/tests/cancel_test.cpp
+++ b/tests/cancel_test.cpp
@@ -53,7 +53,7 @@
   }
   // Submits jobs of long tasks, more than any one shard can hold. The simulated users do not cancel them on
   // their own.
-  static void add_long_jobs(World& world, double run_s) {
+  static void submit_long_jobs(World& world, double run_s) {
     for (int i = 0; i < 6; i++) {
       world.submit(plain_job(world, i, world.uniform(2, 9), 12, run_s));
     }
@@ -63,7 +63,7 @@
   }
 };
 
-// Cuts the machines of the shard off from all nodes except this one.
+// Partitions the machines of the shard from all nodes except this one.
 void limit_shard_to_node(World& world, int shard, int node) {
   for (auto& [name, worker] : world.workers) {
     if (shard_of(name, world.options.nodes) != shard) continue;
@@ -81,7 +81,7 @@
 TEST_P(Cancelled, WhileTheStateServiceRefusesADelegateAndThenIsDown) {
   World world(options());
   world.network.delayed_share = 0;
-  add_long_jobs(world, 150);
+  submit_long_jobs(world, 150);
   DelegatedJob delegated_job;
   const double refused_s = GetParam() % 2 == 0 ? 1 : 7;
   world.at(kFailuresStartSeconds, [&] {
@@ -103,18 +103,18 @@
   world.run_until(300);
 
   EXPECT_TRUE(world.violations.empty()) << world.summary();
-  // Both owners know of the cancellation, although the state service refuses one of them: the user need not
-  // wait for the end of the outage.
+  // Both owners have received the cancellation, although the state service refuses one of them. The user need
+  // not wait for the end of the outage.
   EXPECT_TRUE(is_confirmed);
 }
 
-// As above, but the owner of the delegate shard is also cut off from the other nodes and reaches only its
-// machines. Another node takes the shard over and the cancellation is confirmed. The old owner must stop the
-// tasks that it runs without being asked.
+// As above, but the owner of the delegate shard is also partitioned from the other nodes and reaches only
+// its machines. Another node takes the shard over and the cancellation is confirmed. The old owner must stop
+// its tasks without a request to do so.
 TEST_P(Cancelled, WhileAnOldOwnerReachesOnlyItsMachines) {
   World world(options());
   world.network.delayed_share = 0;
-  add_long_jobs(world, 200);
+  submit_long_jobs(world, 200);
   DelegatedJob delegated_job;
   int remaining_tasks = 0;
   world.at(kFailuresStartSeconds, [&] {
@@ -148,12 +148,12 @@
       << "no delegated task ran under the old owner at the confirmation: the case did not occur";
 }
 
-// The state service refuses the owner of the home shard, which is also cut off from its peers and reaches
+// The state service refuses the owner of the home shard, which is also partitioned from its peers and reaches
 // only its machines. The new owner confirms the cancellation.
 TEST_P(Cancelled, WhileTheOldHomeShardOwnerReachesOnlyItsMachines) {
   World world(options());
   world.network.delayed_share = 0;
-  add_long_jobs(world, 200);
+  submit_long_jobs(world, 200);
   int node = -1;
   world.at(kFailuresStartSeconds, [&] {
     const std::string ref = world.jobs.begin()->first;
@@ -178,7 +178,7 @@
 TEST_P(Cancelled, WhileTheConfirmingOwnerCrashes) {
   World world(options());
   world.network.delayed_share = 0;
-  add_long_jobs(world, 200);
+  submit_long_jobs(world, 200);
   DelegatedJob delegated_job;
   bool has_owner_crashed = false;
   world.at(kFailuresStartSeconds, [&] {
@@ -206,7 +206,7 @@
 
   EXPECT_TRUE(has_owner_crashed);
   EXPECT_FALSE(was_confirmed_early)
-      << "the cancellation was confirmed while the delegate held a valid lease and did not know of it";
+      << "the cancellation was confirmed while the delegate held a valid lease and had not received it";
   expect_invariants_hold(world);
 }
 
@@ -214,7 +214,7 @@
 // which may be the owner of the home shard, crashes before that.
 TEST_P(Cancelled, ByATransactionThatIsAppliedLate) {
   World world(options());
-  add_long_jobs(world, 60);
+  submit_long_jobs(world, 60);
   world.at(kFailuresStartSeconds, [&world] {
     world.network.delay_commits = true;
     cancel_all(world);
@@ -229,11 +229,11 @@
   expect_invariants_hold(world);
 }
 
-// Machines hang with tasks of jobs that are then cancelled, and resume within their leases. Late copies of
-// old commands arrive, too.
+// Machines hang with tasks of jobs that are then cancelled, and resume within their leases. Late duplicates
+// of old commands arrive, too.
 TEST_P(Cancelled, WhileItsMachinesHang) {
   World world(options());
-  add_long_jobs(world, 150);
+  submit_long_jobs(world, 150);
   int hung = 0;
   world.at(kFailuresStartSeconds, [&] {
     for (auto& [name, worker] : world.workers) {
@@ -257,7 +257,7 @@
 // work. No owner can have been replaced, so no running task may be lost.
 TEST_P(Cancelled, NothingIsLostInAnOutageThatAllNodesSee) {
   World world(options());
-  add_long_jobs(world, 110);
+  submit_long_jobs(world, 110);
   int starts_before = 0;
   world.at(50, [&] {
     starts_before = world.starts;
@@ -275,11 +275,11 @@
   }
 }
 
-// A node that restarts during the outage does not know what happened before and is no evidence that the other
+// A node that restarts during the outage has no record of earlier events and is no evidence that the other
 // nodes still hold their shards. They let the leases of their machines expire in time.
 TEST_P(Cancelled, ARestartedNodeHasNoEvidence) {
   World world(options());
-  add_long_jobs(world, 200);
+  submit_long_jobs(world, 200);
   world.at(50, [&world] { world.state.set_outage(true); });
   const int node = GetParam() % 3;
   world.at(60, [&world, node] { world.nodes.crash(node, 0.2); });
@@ -308,9 +308,9 @@
 // Verifies the check itself: it reports a machine that keeps its tasks although it is ordered to stop them.
 TEST(CancelledCheck, FindsATaskThatIgnoresCancellation) {
   set_up_log();
-  Options lossless;
-  lossless.message_loss_share = 0;
-  World world(lossless);
+  Options sim_options;
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   UserJob job = plain_job(world, 1, 2, 6, 300, 1);
   job.cancel_at = 40;
   world.submit(job);
--- a/tests/went_back_test.cpp
+++ b/tests/monotonic_answers_test.cpp
@@ -30,8 +30,8 @@
 // Returns whether the transaction cancels a job, that is, writes a job record that exists already.
 bool cancels_job(const Json& transaction) {
   for (const Json& guard : transaction["guards"]) {
-    const bool job_record = guard["k"].get<std::string>().rfind(keys::kJobRecords, 0) == 0;
-    if (job_record && guard["stamp"] != 0 && changes_key(transaction, "put", guard["k"])) return true;
+    const bool is_job_record = guard["k"].get<std::string>().rfind(keys::kJobRecords, 0) == 0;
+    if (is_job_record && guard["stamp"] != 0 && changes_key(transaction, "put", guard["k"])) return true;
   }
   return false;
 }
@@ -47,8 +47,8 @@
     out.poll_all_nodes = true;
     return out;
   }
-  // Cuts the links between all nodes.
-  static void cut_all_peers(World& world) {
+  // Partitions all nodes from each other.
+  static void partition_all_nodes(World& world) {
     for (int a = 0; a < world.options.nodes; a++) {
       for (int b = 0; b < a; b++) world.network.partitions.insert({node_name(a), node_name(b)});
     }
@@ -64,7 +64,7 @@
       affected_answers++;
       return delay_s();
     };
-    world.at(20, [&world] { cut_all_peers(world); });
+    world.at(20, [&world] { partition_all_nodes(world); });
     world.at(130, [&world] {
       world.network.heal_partitions();
       world.network.commit_answer_delay_s = nullptr;
@@ -76,11 +76,11 @@
 }  // namespace
 
 // The transaction that ends a job is applied, but its answer is lost. Nodes that cannot reach the owner read
-// the ending record and report it to users. The owner must not answer "running" until it has found out the
+// the ending record and report it to users. The owner must not answer "running" until it has determined the
 // outcome.
 TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsLost) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int lost_answers = 0;
   delay_answers(
       world, ends_job, [] { return kLostAnswerDelaySeconds; }, lost_answers);
@@ -94,7 +94,7 @@
 // As above, but the answer is only slow.
 TEST_P(MonotonicAnswers, TheAnswerToAnEndingIsSlow) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int slow_answers = 0;
   delay_answers(
       world, ends_job, [&world] { return world.uniform(0.2, 1.4); }, slow_answers);
@@ -108,7 +108,7 @@
 // The transaction that cancels a job is applied, but its answer is lost.
 TEST_P(MonotonicAnswers, TheAnswerToACancellationIsLost) {
   World world(options());
-  add_jobs(world, 2, 90);
+  submit_jobs(world, 2, 90);
   int lost_answers = 0;
   delay_answers(
       world, cancels_job, [] { return kLostAnswerDelaySeconds; }, lost_answers);
@@ -139,7 +139,7 @@
   world.network.commit_answer_delay_s = [&](const std::string& from, const Json& transaction) {
     if (!changes_key(transaction, "delete", keys::shard_owner(0)) || handed_back++ > 0) return 0.0;
     world.network.nodes_without_state_answers.insert(from);
-    cut_all_peers(world);
+    partition_all_nodes(world);
     world.network.partition_node_from_workers(node_index(from));
     world.in(3, [&world] {
       world.network.nodes_without_state_answers.clear();
@@ -169,9 +169,9 @@
 // conditional on. The retry is refused, and the node must not conclude from that refusal that the first copy
 // was applied.
 TEST_P(MonotonicAnswers, AnEndingThatWasNeverWritten) {
-  Options five_nodes = options();
-  five_nodes.nodes = 5;  // five shards delegate more tasks than three
-  World world(five_nodes);
+  Options sim_options = options();
+  sim_options.nodes = 5;  // five shards delegate more tasks than three
+  World world(sim_options);
   world.network.delayed_share = 0;
   for (int i = 0; i < 20; i++) world.submit(plain_job(world, i, world.uniform(2, 50), 12, 25));
   std::set<std::string> rewritten_delegations;
@@ -186,7 +186,7 @@
     }
     return false;
   };
-  world.at(55, [&world] { cut_all_peers(world); });
+  world.at(55, [&world] { partition_all_nodes(world); });
   world.at(120, [&world] {
     world.network.should_lose_commit = nullptr;
     world.network.heal_partitions();
@@ -202,9 +202,9 @@
 // A node accepts a job, sees the job record through its watch, runs the job and ends it before the answer to
 // the acceptance arrives. The late answer must not start the job again.
 TEST_P(MonotonicAnswers, TheAnswerToAnAcceptanceIsSlow) {
-  Options one_node = options();
-  one_node.nodes = 1;
-  World world(one_node);
+  Options sim_options = options();
+  sim_options.nodes = 1;
+  World world(sim_options);
   for (int i = 0; i < 6; i++) world.submit(plain_job(world, i, 2, 4, 30));
   for (int i = 6; i < 26; i++) world.submit(plain_job(world, i, 40 + i, 1, 0.2, 1));
   int slow_answers = 0;
@@ -227,14 +227,14 @@
 
 // While the watch is stalled, more jobs are accepted and end than a short history of ended jobs would hold.
 TEST_P(MonotonicAnswers, AWatchThatLagsBehindManyEndings) {
-  Options one_node = options();
-  one_node.nodes = 1;
-  one_node.poll_all_nodes = false;
-  one_node.state_rps = 3000;
-  one_node.write_rps = 1500;
-  one_node.market_machines = 12;
-  one_node.team_cpus = one_node.team_max_cpus = 400;
-  World world(one_node);
+  Options sim_options = options();
+  sim_options.nodes = 1;
+  sim_options.poll_all_nodes = false;
+  sim_options.state_rps = 3000;
+  sim_options.write_rps = 1500;
+  sim_options.market_machines = 12;
+  sim_options.team_cpus = sim_options.team_max_cpus = 400;
+  World world(sim_options);
   for (int i = 0; i < 10; i++) world.submit(plain_job(world, i, 2, 12, 30));
   for (int i = 0; i < 600; i++) {
     world.submit(plain_job(world, 1000 + i, 50 + i * 0.01, 1, 0.2, 1));
@@ -259,12 +259,12 @@
 // Watch events arrive after the answers to newer writes. They must not restore delegations that were handed
 // back or jobs that have ended.
 TEST_P(MonotonicAnswers, TheWatchDeliversStaleEvents) {
-  Options five_nodes = options();
-  five_nodes.nodes = 5;
-  five_nodes.jobs = 60;
-  World world(five_nodes);
+  Options sim_options = options();
+  sim_options.nodes = 5;
+  sim_options.jobs = 60;
+  World world(sim_options);
   world.network.max_watch_delay_s = 1.2;
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   world.at(250, [&world] { world.network.max_watch_delay_s = 0; });
   world.faults_end_at = 250;
 
@@ -272,8 +272,8 @@
 
   expect_invariants_hold(world);
   int tasks_returned = 0;
-  for (int i = 0; i < five_nodes.nodes; i++) {
-    for (int p = 0; p < five_nodes.nodes; p++) {
+  for (int i = 0; i < sim_options.nodes; i++) {
+    for (int p = 0; p < sim_options.nodes; p++) {
       const ShardLeader* shard = world.nodes[static_cast<std::size_t>(i)].node->shard(p);
       if (shard != nullptr) tasks_returned += static_cast<int>(shard->counters().tasks_returned);
     }
@@ -283,12 +283,12 @@
 
 // All failures overlap, while users poll all nodes around each change of a job.
 TEST_P(MonotonicAnswers, RandomFailuresOverlap) {
-  Options unreliable = options();
-  unreliable.message_loss_share = 0.01;
-  unreliable.late_commit_share = 0.05;
-  unreliable.jobs = 40;
-  World world(unreliable);
-  add_jobs(world, 2, 120);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.01;
+  sim_options.late_commit_share = 0.05;
+  sim_options.jobs = 40;
+  World world(sim_options);
+  submit_jobs(world, 2, 120);
   world.network.commit_answer_delay_s = [&world](const std::string&, const Json&) {
     return world.uniform(0, 1) < 0.3   ? kLostAnswerDelaySeconds
            : world.uniform(0, 1) < 0.2 ? world.uniform(0.1, 1.4)
@@ -299,7 +299,7 @@
       const int node = random_node(world);
       switch (world.rng() % 5) {
         case 0:
-          return cut_all_peers(world);
+          return partition_all_nodes(world);
         case 1:
           return world.network.partition_node(node, world.rng() % 2 == 0);
         case 2:
--- a/tests/meetings_test.cpp
+++ b/tests/overlapping_failures_test.cpp
@@ -80,7 +80,7 @@
 }
 
 // Submits jobs whose tasks fail on every machine until the jobs are cancelled. Returns the names of the jobs.
-std::vector<std::string> submit_always_failing(World& world) {
+std::vector<std::string> submit_always_failing_jobs(World& world) {
   std::vector<std::string> out;
   for (int i = 20; i < 25; i++) {
     UserJob job = plain_job(world, i + 20, 25 + 1.5 * (i - 20), 20, 10, 1);
@@ -100,7 +100,7 @@
   return out;
 }
 
-// Injects one of the failures of the tests below, drawn at random, at a random node or machine.
+// Injects one of the failures of the tests below, drawn at random, on a random node or machine.
 void inject_random_failure(World& world) {
   const int node = random_node(world);
   Worker* worker = random_worker(world);
@@ -145,20 +145,21 @@
 
 }  // namespace
 
-// Reports delayed by a network cut arrive at the owner that has taken the shard over and acted in the
-// meantime. Copies of earlier reports arrive with them, some of them from earlier incarnations.
+// Reports delayed by a network partition arrive at the owner that has taken the shard over and acted in the
+// meantime. Duplicates of earlier reports arrive with them, some of them from earlier incarnations.
 TEST_P(OverlappingFailures, DelayedReportsReachANewOwner) {
-  Options late = options();
-  late.message_copy_share = 0.3;
-  World world(late);
+  Options sim_options = options();
+  sim_options.message_duplicate_share = 0.3;
+  World world(sim_options);
   world.network.delayed_share = 1;
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int handovers = 0;
   for (double t = 30; t < 120; t += 22) {
     world.at(t, [&world] {
-      int cut = 0;
+      int partitioned_machine_count = 0;
       for (auto& [name, worker] : world.workers) {
-        if (worker->is_up() && !worker->tasks.empty() && cut++ < 4) world.network.partition_machine(name);
+        if (worker->is_up() && !worker->tasks.empty() && partitioned_machine_count++ < 4)
+          world.network.partition_machine(name);
       }
     });
     world.at(t + 1.5, [&] {
@@ -174,16 +175,16 @@
 
   expect_invariants_hold(world);
   EXPECT_GT(handovers, 1);
-  EXPECT_EQ(world.rules.launches_to_copies, 0);
+  EXPECT_EQ(world.rules.launches_to_duplicates, 0);
 }
 
 // A quarter of all transactions gets no answer and is applied seconds later, after newer transactions of the
-// same node. Meanwhile nodes crash, and users cancel jobs, poll them and submit them again.
+// same node. Meanwhile nodes crash, and users cancel jobs, poll them and resubmit them.
 TEST_P(OverlappingFailures, TransactionsAreAppliedLate) {
-  Options late = options();
-  late.late_commit_share = 0.25;
-  World world(late);
-  add_jobs(world, 2, 100);
+  Options sim_options = options();
+  sim_options.late_commit_share = 0.25;
+  World world(sim_options);
+  submit_jobs(world, 2, 100);
   for (double t = 25; t < 110; t += world.uniform(12, 25)) {
     world.at(t, [&world] { world.nodes.crash(random_node(world), world.uniform(0.1, 9)); });
   }
@@ -199,7 +200,7 @@
 // and the new owner presents its fencing token to the machines.
 TEST_P(OverlappingFailures, OutboundUnreachableMachinesAndANewOwner) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int outbound_unreachable = 0;
   for (double t = 30; t < 110; t += 13) {
     world.at(t, [&] {
@@ -221,11 +222,11 @@
   EXPECT_GT(outbound_unreachable, 1);
 }
 
-// All nodes are down for longer than lease_s, so that every machine has lost its tasks and has begun a new
-// incarnation.
+// All nodes are down for longer than lease_s, so that every machine has lost its tasks and has started a
+// new incarnation.
 TEST_P(OverlappingFailures, AllNodesAreDownForLongerThanALease) {
   World world(options());
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int running_tasks = 0;
   for (const double t : {45.0, 90.0}) {
     world.at(t, [&] {
@@ -247,7 +248,7 @@
 // service.
 TEST_P(OverlappingFailures, TenOwnerChangesInTwoMinutesWithOutages) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   std::set<std::uint64_t> fencing_tokens;
   for (int i = 0; i < 10; i++) {
     world.at(20 + i * 12, [&world, i] { world.nodes.crash(i % world.options.nodes, i % 3 == 0 ? 0.1 : 6); });
@@ -300,11 +301,11 @@
 // More urgent and best-effort work than the machines can run, while the state service answers slowly and
 // messages are lost. The limits of the teams and the priority order hold, and all jobs run in the end.
 TEST_P(OverlappingFailures, MoreWorkThanCapacityWithASlowStateService) {
-  Options slow = options();
-  slow.message_loss_share = 0.02;
-  slow.nodes = 3;
-  slow.market_machines = 1;
-  World world(slow);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.02;
+  sim_options.nodes = 3;
+  sim_options.market_machines = 1;
+  World world(sim_options);
   for (int i = 0; i < 30; i++) {
     UserJob job = plain_job(world, i, world.uniform(2, 60), 8, 8, i % 3 == 0 ? 4 : 2);
     job.body["urgency"] = i % 2 == 0 ? "urgent" : "best_effort";
@@ -329,9 +330,9 @@
 // The tasks of a job end far apart, with a change of owner in between. Completed tasks stay completed, no
 // task runs twice, and the job is done once its last task is done.
 TEST_P(OverlappingFailures, TasksThatEndFarApartAcrossAChangeOfOwner) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   for (int i = 0; i < 10; i++) {
     UserJob job = plain_job(world, i, 5, 2 + i % 2, 40, 1);
     job.run_increment_s = 50;  // task k takes 50 s longer than task k - 1
@@ -358,9 +359,9 @@
 // Users cancel and resubmit a job at the moment at which its last task ends, without any other failure. The
 // job ends as done or as cancelled, and keeps the state that users received first.
 TEST_P(OverlappingFailures, ACancellationAtTheEndOfTheLastTask) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, world.uniform(2, 60), 1 + i % 3, 6, 1));
   int last_task_ends = 0;
   world.on_job_completed = [&](const std::string& ref) {
@@ -390,11 +391,11 @@
 // cancelled at the same time. Tasks on those machines count towards the limit, cancelled or not. A new owner
 // once did not count them and started other tasks of the team beyond the limit.
 TEST_P(OverlappingFailures, TeamLimitHoldsWhileMachinesAreUnreachableAndJobsAreCancelled) {
-  Options limited = options();
-  limited.message_loss_share = 0;
-  limited.nodes = 3;
-  limited.team_max_cpus = 40;
-  World world(limited);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  sim_options.nodes = 3;
+  sim_options.team_max_cpus = 40;
+  World world(sim_options);
   world.network.delayed_share = 0;
   submit_jobs_of_two_teams(world);
   TeamUsage red_team;
@@ -418,11 +419,11 @@
 }
 
 // Commands and their answers are delayed for seconds, after which the machines resume: a machine that hung
-// processes the commands that arrived in the meantime, and a machine that was cut off receives them late.
+// processes the commands that arrived in the meantime, and a partitioned machine receives them late.
 TEST_P(OverlappingFailures, DelayedCommandsReachMachinesThatResume) {
   World world(options());
   world.network.delayed_share = 1;
-  add_jobs(world, 2, 100);
+  submit_jobs(world, 2, 100);
   int disturbed_machines = 0;
   for (double t = 25; t < 110; t += 7) {
     world.at(t, [&] {
@@ -458,7 +459,7 @@
 // that its expired leases no longer allow. Other nodes serve its shards in the meantime.
 TEST_P(OverlappingFailures, ANodeFreezesAndResumes) {
   World world(options());
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 20) {
     world.at(t, [&world] {
       const int node = random_node(world);
@@ -483,14 +484,14 @@
 // on which those jobs fail are not classified as faulty, the faulty machine is detected and returned, other
 // jobs continue, and the failing jobs are retried rarely.
 TEST_P(OverlappingFailures, AlwaysFailingJobsAndAFaultyMachine) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  lossless.nodes = 3;
-  lossless.market_machines = 6;
-  lossless.team_max_cpus = 160;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  sim_options.nodes = 3;
+  sim_options.market_machines = 6;
+  sim_options.team_max_cpus = 160;
+  World world(sim_options);
   for (int i = 0; i < 40; i++) world.submit(plain_job(world, i, 2 + i * 1.8, 16, 10, 4));
-  const std::vector<std::string> always_failing = submit_always_failing(world);
+  const std::vector<std::string> always_failing_refs = submit_always_failing_jobs(world);
   std::string faulty;
   std::set<std::string> healthy;
   world.at(24, [&] {
@@ -514,18 +515,18 @@
   EXPECT_GT(healthy.size(), 6u);
   EXPECT_LE(4u * static_cast<unsigned>(lost_machines), healthy.size())
       << "too many healthy machines were returned as faulty";
-  const int attempts = count_starts(world, always_failing);
+  const int attempts = count_starts(world, always_failing_refs);
   EXPECT_GE(attempts, 15);
   EXPECT_LT(attempts, 250);
 }
 
-// A node freezes, and its shards get a new owner, which learns of machines without tasks only from their
-// reports. These machines are up and must not be returned as rentals that never arrived.
+// A node freezes, and its shards get a new owner, which has no information on machines without tasks
+// except from their reports. These machines are up and must not be returned as rentals that never arrived.
 TEST_P(OverlappingFailures, IdleMachinesSurviveATakeover) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  lossless.nodes = 3;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  sim_options.nodes = 3;
+  World world(sim_options);
   for (int i = 0; i < 8; i++) world.submit(plain_job(world, i, 2, 8, 25, 2));
   std::map<int, std::set<std::string>> idle_by_shard;
   world.at(72, [&] {
@@ -550,18 +551,18 @@
 
 // All failures of the tests above, drawn at random and overlapping.
 TEST_P(OverlappingFailures, RandomFailuresOverlap) {
-  Options mix = options();
-  mix.message_loss_share = 0.005;
-  mix.message_copy_share = 0.1;
-  mix.late_commit_share = 0.05;
-  World world(mix);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.005;
+  sim_options.message_duplicate_share = 0.1;
+  sim_options.late_commit_share = 0.05;
+  World world(sim_options);
   world.network.delayed_share = 0.6;
-  add_jobs(world, 2, 140);
+  submit_jobs(world, 2, 140);
   for (double t = 20; t < 150; t += world.uniform(2, 9)) {
     world.at(t, [&world] { inject_random_failure(world); });
   }
   world.at(190, [&world] {
-    world.options.late_commit_share = world.options.message_copy_share = 0;
+    world.options.late_commit_share = world.options.message_duplicate_share = 0;
     world.network.heal_partitions();
     world.state.set_outage(false);
   });
--- a/tests/sim/options.hpp
+++ b/tests/sim/options.hpp
@@ -20,13 +20,13 @@
   int nodes = 3;
   // Share of requests and of answers that are lost.
   double message_loss_share = 0.002;
-  // Share of reports, submissions and cancellations that are followed by a late copy.
-  double message_copy_share = 0;
-  // Share of transactions that are followed by a late copy.
-  double commit_copy_share = 0;
+  // Share of reports, submissions and cancellations that are followed by a late duplicate.
+  double message_duplicate_share = 0;
+  // Share of transactions that are followed by a late duplicate.
+  double commit_duplicate_share = 0;
   // Share of transactions that get no answer and are applied 2 to 12 s late.
   double late_commit_share = 0;
-  double max_copy_delay_s = 45;
+  double max_duplicate_delay_s = 45;
   int jobs = 24;
   // Number of shards recorded before the first start. With 0, the nodes choose it.
   int shard_count = 0;
@@ -49,13 +49,14 @@
   int next_txn_ops = 0;
   double next_write_rps = 0;
   // All nodes start as the earlier version; see Nodes::upgrade.
-  bool earlier_version = false;
+  bool runs_earlier_version = false;
   double cloud_rps = 2;
   // Page size of the state service. It is small so that every list needs paging.
   std::size_t items_per_page = 7;
-  bool rate_limits = false;  // true: the state service and the cloud answer 429 above their rates
+  // The state service and the cloud answer 429 above their rates.
+  bool enforces_rate_limits = false;
   // The nodes run outside of this simulation; see Network::send_to_external_node.
-  bool external_nodes = false;
+  bool has_external_nodes = false;
   // Loss of the state service's data is detected and the records are rebuilt.
   bool recovery = false;
   // Users poll all nodes around each acceptance, cancellation and end of a job.
--- a/tests/sim_test.cpp
+++ b/tests/sim_test.cpp
@@ -43,7 +43,7 @@
 
 TEST_P(Cluster, NoFailures) {
   World world(options());
-  add_jobs(world, 2, 60);
+  submit_jobs(world, 2, 60);
 
   world.run_until(400);
 
@@ -53,7 +53,7 @@
 
 TEST_P(Cluster, NodesCrashSinglyOrTogetherAndRestart) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   for (double t = 15; t < 150; t += world.uniform(6, 20)) {
     world.at(t, [&world] {
       const bool all = world.rng() % 5 == 0;
@@ -72,7 +72,7 @@
 
 TEST_P(Cluster, StateServiceAndCloudOutagesWhileNodesCrash) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 35) {
     world.at(t, [&world] { world.state.set_outage(true); });
     world.at(t + world.uniform(3, 18), [&world] { world.state.set_outage(false); });
@@ -88,7 +88,7 @@
 
 TEST_P(Cluster, TheStateServiceRefusesOneNode) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += 25) {
     world.at(t, [&world] {
       world.network.nodes_refused_by_state.clear();
@@ -105,7 +105,7 @@
 TEST_P(Cluster, MachinesHangDieAreCutOffAndFailTheirTasks) {
   World world(options());
   world.cloud.boot_failure_share = 0.1;
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(5, 12)) {
     world.at(t, [&world] {
       Worker* worker = random_worker(world);
@@ -137,11 +137,11 @@
 }
 
 TEST_P(Cluster, RandomFailuresWithDelayedMessages) {
-  Options mix = options();
-  mix.message_loss_share = 0.01;
-  World world(mix);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.01;
+  World world(sim_options);
   world.network.delayed_share = 0.8;
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 15; t < 180; t += world.uniform(4, 10)) {
     world.at(t, [&world] {
       Worker* worker = random_worker(world);
@@ -164,10 +164,10 @@
           const std::string other = node_name((node + 1) % world.options.nodes);
           world.network.partitions.insert({name, other});
           if (worker != nullptr) world.network.partitions.insert({worker->name, name});
-          const std::string cut = worker == nullptr ? other : worker->name;
-          world.in(world.uniform(3, 30), [&world, name, other, cut] {
+          const std::string partitioned_name = worker == nullptr ? other : worker->name;
+          world.in(world.uniform(3, 30), [&world, name, other, partitioned_name] {
             world.network.partitions.erase({name, other});
-            world.network.partitions.erase({cut, name});
+            world.network.partitions.erase({partitioned_name, name});
           });
           break;
         }
@@ -187,8 +187,8 @@
   expect_invariants_hold(world);
 }
 
-// The state service refuses the old owner, which is also cut off from the other nodes but keeps renewing the
-// lease of a machine that the new owner cannot reach. The silence of the machine does not prove that its
+// The state service refuses the old owner, which is also partitioned from the other nodes but keeps renewing
+// the lease of a machine that the new owner cannot reach. The silence of the machine does not prove that its
 // tasks have ended: they are still running.
 TEST_P(Cluster, TheOldOwnerMayStillRenewTheLeaseOfASilentMachine) {
   World world(options());
@@ -226,27 +226,27 @@
   expect_invariants_hold(world);
 }
 
-// Several machines that become silent together are more likely cut off than dead. They are not returned, and
-// serve again after the cut. No message is lost in this test, because a shard that is taken over meanwhile
-// measures the silence of its machines from the takeover.
+// Several machines that become silent together are more likely partitioned than dead. They are not returned,
+// and serve again after the partition. No message is lost in this test, because a shard that is taken over
+// meanwhile measures the silence of its machines from the takeover.
 TEST_P(Cluster, MachinesThatAreCutOffTogetherAreNotReturned) {
-  Options lossless = options();
-  lossless.message_loss_share = 0;
-  World world(lossless);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0;
+  World world(sim_options);
   world.network.delayed_share = 0;
-  add_jobs(world, 2, 60);
-  std::vector<Worker*> cut_off_machines;
-  world.at(50, [&world, &cut_off_machines] {
+  submit_jobs(world, 2, 60);
+  std::vector<Worker*> partitioned_machines;
+  world.at(50, [&world, &partitioned_machines] {
     for (auto& [name, worker] : world.workers) {
-      if (cut_off_machines.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
-      cut_off_machines.push_back(worker.get());
+      if (partitioned_machines.size() >= 4 || worker->dead || worker->tasks.empty()) continue;
+      partitioned_machines.push_back(worker.get());
       world.network.partition_machine(name);
     }
   });
-  world.at(74, [&world, &cut_off_machines] {
+  world.at(74, [&world, &partitioned_machines] {
     world.network.partitions.clear();
-    EXPECT_GE(cut_off_machines.size(), 3u);
-    for (const Worker* worker : cut_off_machines) EXPECT_FALSE(worker->dead) << worker->name;
+    EXPECT_GE(partitioned_machines.size(), 3u);
+    for (const Worker* worker : partitioned_machines) EXPECT_FALSE(worker->dead) << worker->name;
   });
 
   world.run_until(500);
@@ -259,7 +259,7 @@
 // returned.
 TEST_P(Cluster, InboundUnreachableMachinesGetFewLaunchesAndTheirTasksRunElsewhere) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   std::vector<std::string> permanently_unreachable;
   for (double t = 25; t < 150; t += 12) {
     world.at(t, [&world, &permanently_unreachable] {
@@ -288,14 +288,14 @@
     EXPECT_TRUE(world.workers.at(name)->dead) << name << " was not returned although it stayed unreachable";
 }
 
-// Copies of reports, submissions, cancellations and transactions arrive up to 45 s late, that is, several
+// Duplicates of reports, submissions, cancellations and transactions arrive up to 45 s late, that is, several
 // leases later. Takeovers, restarts and the return of the machines that sent them happen in between.
 TEST_P(Cluster, LateDuplicateMessagesChangeNothing) {
-  Options copied = options();
-  copied.message_copy_share = 0.3;
-  copied.commit_copy_share = 0.2;
-  World world(copied);
-  add_jobs(world, 2, 120);
+  Options sim_options = options();
+  sim_options.message_duplicate_share = 0.3;
+  sim_options.commit_duplicate_share = 0.2;
+  World world(sim_options);
+  submit_jobs(world, 2, 120);
   for (double t = 20; t < 160; t += world.uniform(8, 20)) {
     world.at(t, [&world] {
       Worker* worker = random_worker(world);
@@ -317,7 +317,7 @@
   world.run_until(500);
 
   expect_invariants_hold(world);
-  EXPECT_EQ(world.rules.launches_to_copies, 0);
+  EXPECT_EQ(world.rules.launches_to_duplicates, 0);
 }
 
 // A node reaches neither the state service nor the other nodes, only its workers. In half of the cases the
@@ -326,18 +326,18 @@
 TEST_P(Cluster, ANodeReachesOnlyItsWorkers) {
   World world(options());
   world.network.delayed_share = 0.3;
-  add_jobs(world, 2, 150);
+  submit_jobs(world, 2, 150);
   for (double t = 25; t < 150; t += 45) {
     world.at(t, [&world] {
       const std::string name = node_name(random_node(world));
-      const bool are_workers_cut_off = world.rng() % 2 == 0;
+      const bool are_workers_partitioned = world.rng() % 2 == 0;
       world.network.nodes_refused_by_state.insert(name);
       world.network.isolated_since[name] = world.now;
       for (int i = 0; i < world.options.nodes; i++) {
         if (node_name(i) == name) continue;
         world.network.partitions.insert({name, node_name(i)});
         for (auto& [machine_name, worker] : world.workers) {
-          if (are_workers_cut_off && shard_of(machine_name, world.options.nodes) == node_index(name))
+          if (are_workers_partitioned && shard_of(machine_name, world.options.nodes) == node_index(name))
             world.network.partitions.insert({machine_name, node_name(i)});
         }
       }
@@ -358,12 +358,12 @@
 // Processes restart within a fraction of a second: singly, in pairs, while shards are handed back, during an
 // election, and while requests that they sent before are still being applied.
 TEST_P(Cluster, ProcessesRestartWithinAFractionOfASecond) {
-  Options late = options();
-  late.message_loss_share = 0.02;
-  late.message_copy_share = 0.1;
-  late.commit_copy_share = 0.1;
-  World world(late);
-  add_jobs(world, 2, 150);
+  Options sim_options = options();
+  sim_options.message_loss_share = 0.02;
+  sim_options.message_duplicate_share = 0.1;
+  sim_options.commit_duplicate_share = 0.1;
+  World world(sim_options);
+  submit_jobs(world, 2, 150);
   for (double t = 10; t < 170; t += world.uniform(3, 9)) {
     world.at(t, [&world] {
       const int node = random_node(world);
@@ -389,7 +389,7 @@
 // task may be started twice.
 TEST_P(Cluster, MachinesRebootWithinAFractionOfASecond) {
   World world(options());
-  add_jobs(world, 2, 120);
+  submit_jobs(world, 2, 120);
   int reboots = 0;
   for (double t = 20; t < 160; t += world.uniform(3, 9)) {
     world.at(t, [&world, &reboots] {
@@ -431,7 +431,7 @@
 // an operator has dealt with the record.
 TEST_P(Cluster, AnUnreadableRecordMakesNoJobUnknown) {
   World world(options());
-  add_jobs(world, 2, 60);
+  submit_jobs(world, 2, 60);
   world.at(40, [&world] {
     const std::string segment = keys::segment(0, 1);
     if (world.state.values().count(segment) > 0) world.state.corrupt(segment);
