--- a/src/coordination/ownership/node_lease.cpp
+++ b/src/coordination/ownership/node_lease.cpp
@@ -88,8 +88,8 @@
 // well, the loss must be detected before this node drops its state, so the revision is read first.
 void NodeLease::on_missing() {
   if (monitor_ == nullptr) return expire("the lease of this node expired");
-  if (env_.now() < earliest_expiry_at_)
-    return monitor_->on_contradiction("the lease of this node ended before its expiry time");
+  // This text is shown to operators as the reason in the recovery status and stays as it is.
+  if (env_.now() < earliest_expiry_at_) return monitor_->on_contradiction("a lease ended before its time");
   state_.get(RequestPriority::kLease, keys::kRevisionProbe, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
       env_.after(kRetryDelaySeconds, [this] { on_missing(); });
--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -132,8 +132,9 @@
   const bool segment_changed = std::any_of(failed.begin(), failed.end(), [this](const std::string& key) {
     return key.rfind(keys::segments(ctx_.shard), 0) == 0;
   });
+  // This text is shown to operators as the reason in the recovery status and stays as it is.
   if (is_still_owner && segment_changed && !write->has_unanswered_copy)
-    ctx_.on_state_contradiction("a journal segment was changed although only the shard's leader writes it");
+    ctx_.on_state_contradiction("a page of the journal has changed");
   const bool too_large =
       reply.outcome == Outcome::kInvalid && !write->has_unanswered_copy && reduce_write_sizes();
   if ((too_large || (!failed.empty() && is_still_owner && !changed_key_failed)) && write->on_conflict &&
--- a/src/recovery/loss_detector.cpp
+++ b/src/recovery/loss_detector.cpp
@@ -10,8 +10,9 @@
 
 void LossDetector::on_revision(std::uint64_t newest_when_asked, std::uint64_t revision) {
   if (revision < newest_when_asked) {
-    report_loss("the state service answered with revision " + std::to_string(revision) +
-                ", although it had reached revision " + std::to_string(newest_when_asked));
+    // This text is shown to operators as the reason in the recovery status and stays as it is.
+    report_loss("the state service is at revision " + std::to_string(revision) + " after " +
+                std::to_string(newest_when_asked));
     return;
   }
   newest_revision_ = std::max(newest_revision_, revision);
@@ -24,7 +25,8 @@
 void LossDetector::on_contradiction(const std::string& what) { report_loss(what); }
 
 void LossDetector::on_other_incarnation() {
-  report_loss("the record meta is missing or belongs to another incarnation");
+  // This text is shown to operators as the reason in the recovery status and stays as it is.
+  report_loss("meta is missing or of another incarnation");
 }
 
 void LossDetector::report_loss(const std::string& reason) {
--- a/src/recovery/start_up.cpp
+++ b/src/recovery/start_up.cpp
@@ -90,7 +90,8 @@
   // At the first start of a cluster the state service is empty too, but no worker has tasks then.
   const bool records_missing = !meta_ && !reported().jobs.empty();
   if (service_is_behind || records_missing)
-    return report_loss("workers or controllers know of newer records than the state service holds");
+    // This text is shown to operators as the reason in the recovery status and stays as it is.
+    return report_loss("workers or controllers know of what the state service does not");
   // Without `meta` there are no records, so none of them can be stale.
   const double stale_risk_s = meta_ ? min_stale_risk_s_.value_or(kStaleRiskSeconds) : 0;
   outer_env_.after(
