--- a/src/bookkeeping/ledger.hpp
+++ b/src/bookkeeping/ledger.hpp
@@ -66,9 +66,10 @@
 
   RangeSet waiting;
   RangeSet done;
-  RangeSet unsaved;        // completed tasks that are not durable yet and must not be reaped
-  bool fold_due = false;   // too many completions for journal segments: the job's own record must take them
-  double least_cores = 0;  // of the smallest machine type that can hold a task
+  RangeSet undurable_completions;  // completed tasks that are not durable yet and must not be reaped
+  bool progress_write_due =
+      false;  // too many completions for journal segments: the job's own record must take them
+  double min_machine_cores = 0;  // of the smallest machine type that can hold a task
   std::uint64_t progress_revision = 0;
   // Completions that do not fit into one record are stored in additional ones, each of which covers
   // kTasksPerProgressChunk tasks.
@@ -166,8 +167,10 @@
     for (const auto& [key, each] : delegated) open += each.range.size() - each.done.size();
     return open;
   }
-  void mark_saved(const RangeSet& indices) { unsaved.erase(indices); }
-  [[nodiscard]] bool is_durable(int index) const { return done.contains(index) && !unsaved.contains(index); }
+  void mark_durable(const RangeSet& indices) { undurable_completions.erase(indices); }
+  [[nodiscard]] bool is_durable(int index) const {
+    return done.contains(index) && !undurable_completions.contains(index);
+  }
 };
 using JobPtr = std::shared_ptr<Job>;
 
--- a/src/client/tables.cpp
+++ b/src/client/tables.cpp
@@ -9,22 +9,22 @@
 
 namespace {
 
-constexpr std::size_t kColumns = 6;
-using Row = std::array<std::string, kColumns>;
+constexpr std::size_t kColumnCount = 6;
+using Row = std::array<std::string, kColumnCount>;
 
 // Makes each column as wide as its longest entry, with two blanks between columns.
 std::string render(const std::vector<Row>& rows) {
-  std::array<std::size_t, kColumns> widths{};
+  std::array<std::size_t, kColumnCount> widths{};
   for (const Row& row : rows) {
-    for (std::size_t column = 0; column < kColumns; column++)
+    for (std::size_t column = 0; column < kColumnCount; column++)
       widths[column] = std::max(widths[column], row[column].size());
   }
   std::string out;
   for (const Row& row : rows) {
     std::string line;
-    for (std::size_t column = 0; column < kColumns; column++) {
+    for (std::size_t column = 0; column < kColumnCount; column++) {
       line += row[column];
-      if (column + 1 < kColumns) line += std::string(widths[column] - row[column].size() + 2, ' ');
+      if (column + 1 < kColumnCount) line += std::string(widths[column] - row[column].size() + 2, ' ');
     }
     out += line.substr(0, line.find_last_not_of(' ') + 1) + "\n";
   }
--- a/src/coordination/fleet/cloud_messages.cpp
+++ b/src/coordination/fleet/cloud_messages.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr int kStatusOk = 200;
-constexpr int kStatusBadRequest = 400;
-constexpr int kStatusUnavailable = 503;
+constexpr int kOkStatus = 200;
+constexpr int kBadRequestStatus = 400;
+constexpr int kUnavailableStatus = 503;
 
 std::string text_or_empty(const Json& object, const char* field) {
   const auto it = object.find(field);
@@ -84,12 +84,12 @@
 
 RentalAnswer RentalAnswer::from_reply(int status, const Json& body) {
   RentalAnswer out;
-  if (status == kStatusOk && body.is_object()) {
+  if (status == kOkStatus && body.is_object()) {
     out.outcome = Outcome::kRented;
     out.machine_names = parse_machine_names(body);
-  } else if (status == kStatusUnavailable && body.is_object() && body.value("error", "") == "no capacity") {
+  } else if (status == kUnavailableStatus && body.is_object() && body.value("error", "") == "no capacity") {
     out.outcome = Outcome::kNoCapacity;
-  } else if (status == kStatusBadRequest) {
+  } else if (status == kBadRequestStatus) {
     out.outcome = Outcome::kRejected;
   }
   return out;
--- a/src/coordination/fleet/fleet.cpp
+++ b/src/coordination/fleet/fleet.cpp
@@ -45,7 +45,7 @@
 
 void Fleet::run_step() {
   const double now = ctx_.env->now();
-  if (ctx_.exclusive_owner()) update_fleet(now - last_step_at_);
+  if (ctx_.owns_exclusively()) update_fleet(now - last_step_at_);
   last_step_at_ = now;
   ctx_.env->after(kStepIntervalSeconds, callback_guard_([this] { run_step(); }));
 }
--- a/src/coordination/fleet/fleet.hpp
+++ b/src/coordination/fleet/fleet.hpp
@@ -39,7 +39,7 @@
     std::uint64_t fencing_token = 0;  // fencing token of shard 0
     int shard_count = 1;
     // Returns true if no other node can lead shard 0 at this moment.
-    std::function<bool()> exclusive_owner;
+    std::function<bool()> owns_exclusively;
     // Receives the machine types each time that the cloud has listed them.
     std::function<void(MachineTypes)> on_new_types;
   };
--- a/src/coordination/fleet/rental_ledger.cpp
+++ b/src/coordination/fleet/rental_ledger.cpp
@@ -39,7 +39,7 @@
     resume(items);
     done();
   };
-  services_.state.list(RequestPriority::kRest, keys::kRentals, callback_guard_(std::move(on_list)));
+  services_.state.list(RequestPriority::kOther, keys::kRentals, callback_guard_(std::move(on_list)));
 }
 
 void RentalLedger::resume(const std::vector<StateItem>& items) {
@@ -193,7 +193,7 @@
   Transaction txn;
   txn.guard(keys::shard_owner(0), fencing_token_);
   txn.remove(keys::rental(name));
-  services_.state.commit(RequestPriority::kRest, txn, [](const StateReply&) {});
+  services_.state.commit(RequestPriority::kOther, txn, [](const StateReply&) {});
 }
 
 void RentalLedger::subtract_open_calls(int count) { open_calls_ = std::max(0, open_calls_ - count); }
--- a/src/coordination/node/machine_type_catalog.cpp
+++ b/src/coordination/node/machine_type_catalog.cpp
@@ -128,7 +128,7 @@
         "the list of machine types is too long to be recorded: nodes that start must ask the cloud for it");
     return;
   }
-  state_.commit(RequestPriority::kRest, *txn, [](const StateReply&) {});
+  state_.commit(RequestPriority::kOther, *txn, [](const StateReply&) {});
 }
 
 void MachineTypeCatalog::update(MachineTypes types) { set_types(std::move(types), false); }
@@ -142,7 +142,7 @@
     listener_.changed();
   }
   if (should_record) save_record();
-  if (is_first_list) listener_.first_known();
+  if (is_first_list) listener_.on_first_list();
 }
 
 }  // namespace mothslip
--- a/src/coordination/node/machine_type_catalog.hpp
+++ b/src/coordination/node/machine_type_catalog.hpp
@@ -18,8 +18,8 @@
 class MachineTypeCatalog {
  public:
   struct Listener {
-    std::function<void()> changed;      // called when the list differs from the previous one
-    std::function<void()> first_known;  // called when the first list is known
+    std::function<void()> changed;        // called when the list differs from the previous one
+    std::function<void()> on_first_list;  // called when the first list is known
   };
   // All references must outlive this object.
   MachineTypeCatalog(Env& env, StateClient& state, CloudClient& cloud, const Settings& settings,
--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -99,8 +99,8 @@
                                std::function<void(Json)> answer) {
     shard_router_.call_leader(other, path, body, std::move(answer));
   };
-  context.exclusive_owner = [this, shard] { return owns_exclusively(shard); };
-  context.may_renew = [this, shard] { return ownership_.may_renew_worker_leases(shard); };
+  context.owns_exclusively = [this, shard] { return owns_exclusively(shard); };
+  context.may_renew_worker_leases = [this, shard] { return ownership_.may_renew_worker_leases(shard); };
   context.owner_change_revision = [this](int other) { return ownership_.owner(other).fencing_token; };
   // Both callbacks destroy the leader that calls them, so they run from a timer, after the leader's code has
   // returned.
@@ -133,7 +133,7 @@
   context.zones = &zones_;
   context.fencing_token = fencing_token;
   context.shard_count = ownership_.shard_count();
-  context.exclusive_owner = [this] { return owns_exclusively(kFleetShard); };
+  context.owns_exclusively = [this] { return owns_exclusively(kFleetShard); };
   // The update may restart shards and thus destroy the fleet manager, so it runs from a timer, after the code
   // of the caller has returned.
   context.on_new_types = [this](MachineTypes types) {
--- a/src/coordination/node/peer_heartbeats.cpp
+++ b/src/coordination/node/peer_heartbeats.cpp
@@ -8,7 +8,8 @@
 namespace {
 constexpr double kIntervalSeconds = 2.0;
 constexpr double kTimeoutSeconds = 1.0;
-// The relative drift of two steady clocks: twice what the protocol allows.
+// The relative drift between the steady clocks of two nodes: twice what the protocol allows. ShardContext
+// allows more for the clocks of workers.
 constexpr double kMaxClockDriftFraction = 0.001;
 }  // namespace
 
--- a/src/coordination/ownership/node_lease.cpp
+++ b/src/coordination/ownership/node_lease.cpp
@@ -12,7 +12,9 @@
 constexpr double kRenewTimeoutSeconds = kRenewIntervalSeconds * 1.5;
 constexpr double kMinRenewPauseSeconds = 0.05;  // between an answer and the next renewal
 constexpr double kRetryDelaySeconds = 0.3;
-constexpr double kMaxClockDriftFraction = 0.001;  // twice the drift that the protocol allows
+// Drift of the clocks of the service processes; ShardContext allows more for the clocks of workers. It is
+// twice the drift that the protocol allows.
+constexpr double kMaxClockDriftFraction = 0.001;
 constexpr double kExpiryMarginSeconds = 0.05;
 // Subtracted from cancel_s when worker leases are bounded, for message delays and steps of the worker's
 // clock.
--- a/src/coordination/shard/cancellation.cpp
+++ b/src/coordination/shard/cancellation.cpp
@@ -32,7 +32,7 @@
     responder.send(200, cancellation_body(ref, JobPhase::kCancelled));
     return;
   }
-  if (committer_.state_silent()) {
+  if (committer_.is_state_service_unresponsive()) {
     responder.send(503, R"({"error":"state service away"})", 2);
     return;
   }
@@ -51,7 +51,7 @@
 void Cancellation::expire_waiters(Job& job) {
   const double now = ctx_.env->now();
   std::erase_if(job.cancel_waiters, [this, now](const Job::CancelWaiter& waiter) {
-    if (committer_.state_silent()) {
+    if (committer_.is_state_service_unresponsive()) {
       waiter.responder.send(503, R"({"error":"state service away"})", 2);
     } else if (now >= waiter.answer_by) {
       waiter.responder.send(503, R"({"error":"being cancelled"})", 1);
@@ -194,7 +194,7 @@
     it->second->cancellation_acknowledged = true;
   }
   committer_.send_due_writes();
-  return {acknowledged, ctx_.exclusive_owner(), ctx_.fencing_token};
+  return {acknowledged, ctx_.owns_exclusively(), ctx_.fencing_token};
 }
 
 bool Cancellation::record_acknowledgements() {
@@ -217,7 +217,7 @@
     recorded.push_back(job);
   }
   if (recorded.empty()) return false;
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn,
+  committer_.commit(RequestPriority::kOther, RecordCommitter::kOtherSlot, txn,
                     [recorded](std::uint64_t revision) {
                       for (const JobPtr& job : recorded) {
                         job->progress_inflight = false;
--- a/src/coordination/shard/delegation_planner.cpp
+++ b/src/coordination/shard/delegation_planner.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 // Factor on the estimated duration of a task, because estimates are often too low.
-constexpr double kEstimateSafetyFactor = 1.3;
+constexpr double kRunTimeSafetyFactor = 1.3;
 }  // namespace
 
 bool take_room(Resources& room, const Resources& demand) {
@@ -68,7 +68,7 @@
       PlacementRules::kUrgencyBonus * static_cast<int>(spec.urgency) + rules_.age_bonus(job, wall_time);
   if (spec.deadline_s) {
     out.pressure = deadline_pressure(job.record.submitted_at + *spec.deadline_s - wall_time,
-                                     kEstimateSafetyFactor * std::max(1.0, spec.estimated_s));
+                                     kRunTimeSafetyFactor * std::max(1.0, spec.estimated_s));
   }
   return out;
 }
--- a/src/coordination/shard/delegation_planner.hpp
+++ b/src/coordination/shard/delegation_planner.hpp
@@ -34,9 +34,9 @@
   // the machine is not reserved for a gang.
   [[nodiscard]] bool has_usable_room(const Machine& machine) const;
   [[nodiscard]] std::vector<SurplusJob> surplus_jobs() const;
-  // Chooses tasks for one offer. The quota that they use is subtracted from `request.spare`. For each team
-  // with tasks for which there is room but no quota, `missing_quota` receives the largest demand of such a
-  // task.
+  // Chooses tasks for one offer. The quota that they use is subtracted from `request.spare_quotas`. For each
+  // team with tasks for which there is room but no quota, `missing_quota` receives the largest demand of such
+  // a task.
   void choose_tasks(const RoomOffer& offer, TaskRequest& request, std::vector<SurplusJob>& jobs,
                     std::map<int, Resources>& missing_quota) const;
 
--- a/src/coordination/shard/gang_scheduler.cpp
+++ b/src/coordination/shard/gang_scheduler.cpp
@@ -288,7 +288,7 @@
 void GangScheduler::request_capacity() {
   const double now = ctx_.env->now();
   if (ctx_.shard_count < 2 || now < next_capacity_request_at_ || capacity_request_inflight_ ||
-      committer_.state_silent() || !ctx_.exclusive_owner())
+      committer_.is_state_service_unresponsive() || !ctx_.owns_exclusively())
     return;
   next_capacity_request_at_ = now + kCapacityRequestIntervalSeconds;
   for (const auto& [name, job] : model_.jobs()) {
--- a/src/coordination/shard/job_completion.cpp
+++ b/src/coordination/shard/job_completion.cpp
@@ -68,7 +68,7 @@
     for (const JobPtr& job : finished) job->finishing = false;
     return true;
   };
-  committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn, done, conflict);
+  committer_.commit(RequestPriority::kCompletion, RecordCommitter::kCompletionSlot, txn, done, conflict);
   return true;
 }
 
@@ -80,7 +80,7 @@
     waiter.responder.send(200, cancellation_body(ref, JobPhase::kDone));
   }
   ctx_.on_job_ended(ref, {JobPhase::kDone, job->spec().task_count, 0});
-  job->unsaved.clear();
+  job->undurable_completions.clear();
   progress_.discard_progress_chunks(*job);
   model_.remove_job(ref);
 }
@@ -103,7 +103,7 @@
     removed.push_back(key);
   }
   job->progress_inflight = true;
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [job, removed](std::uint64_t) {
+  committer_.commit(RequestPriority::kOther, RecordCommitter::kOtherSlot, txn, [job, removed](std::uint64_t) {
     job->progress_inflight = false;
     for (const std::string& key : removed) job->delegated.erase(key);
   });
@@ -118,7 +118,7 @@
     return Cleanup::kNotDue;
   if (job.delegated_here()) {
     // The home shard deletes delegations whose record is complete.
-    if (job.complete() && job.unsaved.empty()) return Cleanup::kNotDue;
+    if (job.complete() && job.undurable_completions.empty()) return Cleanup::kNotDue;
     if (txn.changes.size() + 1 > max_changes) return Cleanup::kNoRoom;
     txn.guard(name, job.delegation_revision);
     txn.remove(name);
@@ -145,7 +145,7 @@
     cleaned.push_back(name);
   }
   if (cleaned.empty()) return false;
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn,
+  committer_.commit(RequestPriority::kOther, RecordCommitter::kOtherSlot, txn,
                     [this, cleaned](std::uint64_t) { on_cleaned(cleaned); });
   return true;
 }
--- a/src/coordination/shard/journal.cpp
+++ b/src/coordination/shard/journal.cpp
@@ -175,7 +175,7 @@
 }
 
 void Journal::on_completions_recorded(const JobPtr& job, const std::string& name, const RangeSet& done) {
-  job->mark_saved(done);
+  job->mark_durable(done);
   segments_.erase_completions(name, done);
 }
 
--- a/src/coordination/shard/journal_outcome.cpp
+++ b/src/coordination/shard/journal_outcome.cpp
@@ -28,7 +28,7 @@
     if (delegated != delegation.job->delegated.end())
       delegated->second.revision = std::max(delegated->second.revision, revision);
   }
-  for (const auto& [job, indices] : write.completions) job->mark_saved(indices);
+  for (const auto& [job, indices] : write.completions) job->mark_durable(indices);
   gangs_.on_gangs_recorded(mark_recorded(write));
   const std::set<JobPtr> stopped = mark_stops_recorded(write);
   drop_removed_placements(write);
--- a/src/coordination/shard/journal_write_builder.cpp
+++ b/src/coordination/shard/journal_write_builder.cpp
@@ -37,10 +37,10 @@
     : ctx_(context), model_(model), delegation_(delegation), segments_(segments), pending_(pending) {}
 
 bool JournalWriteBuilder::needs_journal_entry(const Job& job) {
-  if (job.unsaved.empty() || job.finishing || job.record.cancelled) return false;
+  if (job.undurable_completions.empty() || job.finishing || job.record.cancelled) return false;
   if (job.complete() && (job.delegated_here() || job.all_delegated_complete()))
     return false;  // the ending contains all completions
-  return !job.fold_due && !job.progress_inflight;
+  return !job.progress_write_due && !job.progress_inflight;
 }
 
 // Adds all new placements of a gang to the write, or none of them if the write has no room. Returns the gangs
@@ -161,12 +161,13 @@
   bool has_remaining = false;
   for (const auto& [name, job] : model_.jobs()) {
     if (!needs_journal_entry(*job)) {
-      has_remaining |= !job->unsaved.empty() && (job->fold_due || job->progress_inflight);
+      has_remaining |=
+          !job->undurable_completions.empty() && (job->progress_write_due || job->progress_inflight);
       continue;
     }
-    const std::size_t bytes = completion_bytes(name, job->unsaved) + 1;
+    const std::size_t bytes = completion_bytes(name, job->undurable_completions) + 1;
     if (bytes > limit_bytes / 4) {
-      job->fold_due = true;
+      job->progress_write_due = true;
       has_remaining = true;
       continue;
     }
@@ -175,10 +176,10 @@
       break;
     }
     RangeSet& recorded = segments_.at(JournalSegments::kActiveSegment).done[name];
-    recorded.insert(job->unsaved);
+    recorded.insert(job->undurable_completions);
     // Many scattered completions of one job are cheaper to store in its progress record.
-    if (recorded.text_bytes() > limit_bytes / 8) job->fold_due = true;
-    write.completions.emplace_back(job, job->unsaved);
+    if (recorded.text_bytes() > limit_bytes / 8) job->progress_write_due = true;
+    write.completions.emplace_back(job, job->undurable_completions);
   }
   pending_.completions_unrecorded_since = has_remaining ? ctx_.env->now() : 0;
 }
--- a/src/coordination/shard/placement_rules.cpp
+++ b/src/coordination/shard/placement_rules.cpp
@@ -39,14 +39,14 @@
   }
 }
 
-// Whether no type smaller than `type` can hold the task. `least_cores` are those of the smallest type that
-// can.
-bool PlacementRules::needs_type(double least_cores, int type) const {
-  return least_cores >= ctx_.types->at(type).cores;
+// Whether no type smaller than `type` can hold the task. `min_machine_cores` are those of the smallest type
+// that can.
+bool PlacementRules::needs_type(double min_machine_cores, int type) const {
+  return min_machine_cores >= ctx_.types->at(type).cores;
 }
 
 bool PlacementRules::fits_smaller_type(const Job& job, int type) const {
-  return is_flexible(job) && !needs_type(job.least_cores, type);
+  return is_flexible(job) && !needs_type(job.min_machine_cores, type);
 }
 
 // Whether the job's tasks could run on any machine that is large enough.
@@ -142,7 +142,7 @@
   for (const auto& [ref, job] : model_.jobs()) {
     if (job->waiting.empty() || job->is_over() || is_preemptible(*job)) continue;
     const int urgency = static_cast<int>(job->spec().urgency);
-    if (needs_type(job->least_cores, machine.type)) {
+    if (needs_type(job->min_machine_cores, machine.type)) {
       if (!fits(job->demand, machine.capacity) || !allowed_on(*job, machine)) continue;
       const bool starves = is_starving(*job);
       if (!starves && !within_quota(*job)) continue;
--- a/src/coordination/shard/placement_rules.hpp
+++ b/src/coordination/shard/placement_rules.hpp
@@ -67,7 +67,7 @@
     int max_small_urgency = 0;
     Resources max_small_demand{};  // for each resource, the largest demand of a single small task
   };
-  [[nodiscard]] bool needs_type(double least_cores, int type) const;
+  [[nodiscard]] bool needs_type(double min_machine_cores, int type) const;
   [[nodiscard]] static bool is_flexible(const Job& job);
   [[nodiscard]] bool avoids_machine(const Job& job, const Machine& machine) const;
   void add_waiting_here(const Machine& machine, WaitingBySize& out) const;
--- a/src/coordination/shard/preemptor.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -195,7 +195,8 @@
 }
 
 void Preemptor::preempt() {
-  if (!has_best_effort_jobs_ || committer_.state_silent() || !ctx_.exclusive_owner()) return;
+  if (!has_best_effort_jobs_ || committer_.is_state_service_unresponsive() || !ctx_.owns_exclusively())
+    return;
   const double wall_time = ctx_.env->wall_time();
   std::vector<const Job*> waiting;
   for (const auto& [name, job] : model_.jobs()) {
--- a/src/coordination/shard/progress_records.cpp
+++ b/src/coordination/shard/progress_records.cpp
@@ -56,7 +56,7 @@
   // from leaving a progress record behind.
   txn.guard(keys::job_record(ctx_.shard, ref), job.job_revision);
   const RangeSet main = main_progress(job);
-  job.fold_due = false;
+  job.progress_write_due = false;
   if (static_cast<double>(main.text_bytes()) <= kProgressFillFraction * committer_.max_value_bytes()) {
     txn.guard(keys::progress_record(ctx_.shard, ref), job.progress_revision);
     txn.put(keys::progress_record(ctx_.shard, ref), {{"done", main.to_text()}});
@@ -68,7 +68,7 @@
   txn.guard(keys::progress_chunk(ctx_.shard, ref, number),
             existing == job.progress_chunks.end() ? 0 : existing->second.revision);
   txn.put(keys::progress_chunk(ctx_.shard, ref, number), {{"done", slice.to_text()}});
-  job.fold_due = true;  // the other completions are written later
+  job.progress_write_due = true;  // the other completions are written later
   return {number, std::move(slice)};
 }
 
@@ -77,7 +77,7 @@
 bool ProgressRecords::progress_due(const Job& job, std::size_t complete_delegations,
                                    std::size_t max_changes) const {
   if (job.complete()) return completion_.changes_to_end(job) > max_changes;
-  return job.fold_due || complete_delegations >= kMinDelegationsToMerge;
+  return job.progress_write_due || complete_delegations >= kMinDelegationsToMerge;
 }
 
 // Adds the deletion of completed delegations whose tasks are all contained in the written progress. Returns
@@ -124,11 +124,12 @@
     if (!completion_.conflicts_only_with_cancellations(failed)) return false;
     for (const JobProgress& progress : written) {
       progress.job->progress_inflight = false;
-      progress.job->fold_due = true;
+      progress.job->progress_write_due = true;
     }
     return true;
   };
-  committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn, on_done, on_conflict);
+  committer_.commit(RequestPriority::kCompletion, RecordCommitter::kCompletionSlot, txn, on_done,
+                    on_conflict);
   return true;
 }
 
@@ -167,7 +168,7 @@
   }
   // These records are no longer used by anyone, so they are left in place if a guard fails.
   committer_.commit(
-      RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [](std::uint64_t) {},
+      RequestPriority::kOther, RecordCommitter::kOtherSlot, txn, [](std::uint64_t) {},
       [](const std::vector<std::string>&) { return true; });
   return true;
 }
--- a/src/coordination/shard/quota_shares.cpp
+++ b/src/coordination/shard/quota_shares.cpp
@@ -105,7 +105,7 @@
 }
 
 void QuotaShares::request_quota() {
-  if (shortages_.empty() || committer_.state_silent()) return;
+  if (shortages_.empty() || committer_.is_state_service_unresponsive()) return;
   last_shard_asked_ = ctx_.next_shard(last_shard_asked_);
   QuotaRequest request{ctx_.shard, {}};
   for (const auto& [team, needed] : shortages_) {
@@ -194,7 +194,7 @@
 
 void QuotaShares::commit_quota(int team, const std::shared_ptr<std::string>& body, const QuotaSplit& split) {
   ctx_.state->commit_body(
-      RequestPriority::kRest, *body, 1, callback_guard_([this, team, body, split](const StateReply& reply) {
+      RequestPriority::kOther, *body, 1, callback_guard_([this, team, body, split](const StateReply& reply) {
         if (reply.ok()) {
           transferring_teams_.erase(team);
           set_split(team, split, reply.revision());
@@ -209,7 +209,7 @@
 }
 
 void QuotaShares::reload_team(int team) {
-  ctx_.state->get(RequestPriority::kRest, keys::quota_split(team),
+  ctx_.state->get(RequestPriority::kOther, keys::quota_split(team),
                   callback_guard_([this, team](const StateReply& reply) {
                     if (reply.ok() && reply.body.contains("data")) {
                       transferring_teams_.erase(team);
--- a/src/coordination/shard/record_committer.cpp
+++ b/src/coordination/shard/record_committer.cpp
@@ -32,7 +32,7 @@
 // wrong: when a delegation that is deleted along with its job had changed, an ending was reported that had
 // never been written.
 struct RecordCommitter::Write {
-  RequestPriority priority = RequestPriority::kRest;
+  RequestPriority priority = RequestPriority::kOther;
   int slot = 0;
   std::string body;
   int change_count = 0;
@@ -74,7 +74,7 @@
   try_commit(write);
 }
 
-bool RecordCommitter::state_silent() const {
+bool RecordCommitter::is_state_service_unresponsive() const {
   return unanswered_since_ != 0 && ctx_.env->now() - unanswered_since_ > kSilenceThresholdSeconds;
 }
 
--- a/src/coordination/shard/record_committer.hpp
+++ b/src/coordination/shard/record_committer.hpp
@@ -18,7 +18,7 @@
  public:
   // Kinds of transactions: cancellations; journal writes; endings, progress and delegation records;
   // everything else.
-  enum Slot { kCancelSlot = 0, kJournalSlot, kDoneSlot, kRestSlot, kSlotCount };
+  enum Slot { kCancelSlot = 0, kJournalSlot, kCompletionSlot, kOtherSlot, kSlotCount };
   // Called when a transaction was rejected, with the keys whose guards failed (none if it was too large).
   // Returns true if it has handled the rejection. Otherwise the shard is restarted.
   using ConflictHandler = std::function<bool(const std::vector<std::string>& failed)>;
@@ -41,7 +41,7 @@
   void commit(RequestPriority priority, int slot, const Transaction& txn,
               std::function<void(std::uint64_t)> on_done, ConflictHandler on_conflict = nullptr);
   // Whether the state service has neither executed nor rejected a transaction for some time.
-  [[nodiscard]] bool state_silent() const;
+  [[nodiscard]] bool is_state_service_unresponsive() const;
 
  private:
   struct Write;
--- a/src/coordination/shard/shard_context.hpp
+++ b/src/coordination/shard/shard_context.hpp
@@ -21,11 +21,11 @@
   const MachineTypes* types = nullptr;
   NameTable* zones = nullptr;
   int shard_count = 1;
-  // Whether no other node can own this shard now (Ownership::exclusive).
-  std::function<bool()> exclusive_owner;
+  // Whether no other node can own this shard now (Ownership::owns_exclusively).
+  std::function<bool()> owns_exclusively;
   // Whether the leases of the workers of this shard may be renewed
   // (Ownership::may_renew_worker_leases).
-  std::function<bool()> may_renew;
+  std::function<bool()> may_renew_worker_leases;
   // Returns the revision of the last ownership change of a shard that this node has observed: when its
   // current owner claimed it, or when its last owner lost it.
   std::function<std::uint64_t(int shard)> owner_change_revision;
@@ -48,9 +48,10 @@
   // The longest time that a worker's lease can last after the report that renewed it, measured by this node's
   // clock.
   [[nodiscard]] double worker_lease_bound_s() const {
-    constexpr double kMaxClockDriftFraction = 0.002;  // relative drift of two clocks
-    constexpr double kLeaseMarginSeconds = 1.0;       // covers the worker's clock steps and message delays
-    return settings->lease_s * (1 + kMaxClockDriftFraction) + kLeaseMarginSeconds;
+    // Relative drift between the clocks of this node and of a worker. Larger than kMaxClockDriftFraction.
+    constexpr double kMaxWorkerClockDriftFraction = 0.002;
+    constexpr double kLeaseMarginSeconds = 1.0;  // covers the worker's clock steps and message delays
+    return settings->lease_s * (1 + kMaxWorkerClockDriftFraction) + kLeaseMarginSeconds;
   }
   // A machine's room is used only while its last report is at most this old. The bound allows for the reports
   // of idle machines, which are held before they are answered.
--- a/src/coordination/shard/shard_leader.cpp
+++ b/src/coordination/shard/shard_leader.cpp
@@ -135,7 +135,7 @@
 // kIdleReportHoldSeconds).
 double ShardLeader::report_hold_s(const Machine& machine) const {
   const bool nothing_to_send = machine.unmatched.empty() && machine.token_acknowledged &&
-                               machine.schedulable() && ctx_.exclusive_owner();
+                               machine.schedulable() && ctx_.owns_exclusively();
   if (!nothing_to_send) return 0;
   if (machine.placements.empty()) return std::min(kIdleReportHoldSeconds, ctx_.settings->lease_s / 4);
   const bool all_reported = std::all_of(
@@ -185,12 +185,12 @@
   }
   if (journal_.has_freed_placements()) journal_.release_freed_placements();
   journal_.write_journal();
-  while (has_room(RecordCommitter::kDoneSlot) &&
+  while (has_room(RecordCommitter::kCompletionSlot) &&
          (completion_.commit_endings() || progress_.commit_progress())) {
   }
-  while (has_room(RecordCommitter::kDoneSlot) && delegation_.commit_delegations()) {
+  while (has_room(RecordCommitter::kCompletionSlot) && delegation_.commit_delegations()) {
   }
-  while (has_room(RecordCommitter::kRestSlot) &&
+  while (has_room(RecordCommitter::kOtherSlot) &&
          (completion_.commit_cancelled_cleanup() || cancellation_.record_acknowledgements() ||
           progress_.commit_discarded())) {
   }
@@ -260,7 +260,8 @@
   // loaded: delegations that have not been read yet are checked after loading.
   if (path == peer_paths::kJobCancelled)
     return cancellation_.on_job_cancelled(CancellationNotice::from_json(body)).to_json();
-  if (!model_.active() || committer_.state_silent() || !ctx_.exclusive_owner()) return TaskReply{}.to_json();
+  if (!model_.active() || committer_.is_state_service_unresponsive() || !ctx_.owns_exclusively())
+    return TaskReply{}.to_json();
   try {
     return dispatch(path, body);
   } catch (const MalformedMessage& error) {
--- a/src/coordination/shard/shard_leader.hpp
+++ b/src/coordination/shard/shard_leader.hpp
@@ -83,7 +83,9 @@
   bool resolve_held(const std::string& ref, HeldDecision decision);
 
   // Whether no commit has been answered for a while.
-  [[nodiscard]] bool state_silent() const { return committer_.state_silent(); }
+  [[nodiscard]] bool is_state_service_unresponsive() const {
+    return committer_.is_state_service_unresponsive();
+  }
   [[nodiscard]] const Counters& counters() const { return model_.counters(); }
 
  private:
--- a/src/coordination/shard/shard_model.cpp
+++ b/src/coordination/shard/shard_model.cpp
@@ -16,7 +16,8 @@
 
 void ShardModel::set_demand_elsewhere(std::vector<WaitingHint> hints) {
   demand_elsewhere_ = std::move(hints);
-  for (WaitingHint& hint : demand_elsewhere_) hint.min_machine_cores = least_cores(std::nullopt, hint.demand);
+  for (WaitingHint& hint : demand_elsewhere_)
+    hint.min_machine_cores = min_machine_cores(std::nullopt, hint.demand);
 }
 
 JobPtr ShardModel::find_job_of_task(const std::string& ref, int index) const {
@@ -39,7 +40,7 @@
   job->team = std::max(0, ctx_.settings->team_index(spec.team));
   job->image = images_.intern(spec.image);
   job->demand = {spec.cores, spec.memory_gb, spec.accelerators};
-  job->least_cores = least_cores(spec.machine_types, job->demand);
+  job->min_machine_cores = min_machine_cores(spec.machine_types, job->demand);
   return job;
 }
 
@@ -188,14 +189,14 @@
   const int first = job->is_gang() ? 0 : index;
   const int last = job->is_gang() ? job->spec().task_count : index + 1;
   job->done.insert(first, last);
-  job->unsaved.insert(first, last);
+  job->undurable_completions.insert(first, last);
   job->waiting.erase(job->waiting.slice(first, last));
   std::erase_if(job->backoff,
                 [first, last](const auto& item) { return item.second >= first && item.second < last; });
   hooks_.on_completion_added();
 }
 
-bool ShardModel::has_failed_on_one_machine(const std::string& ref) const {
+bool ShardModel::has_failed_on_one_machine_only(const std::string& ref) const {
   std::set<std::string> failing_machines;
   const std::string prefix = keys::delegations(ctx_.shard, ref);
   const auto add = [&failing_machines](const Job& job) {
@@ -207,8 +208,8 @@
   return failing_machines.size() == 1;
 }
 
-double ShardModel::least_cores(const std::optional<std::vector<std::string>>& machine_types,
-                               const Resources& demand) const {
+double ShardModel::min_machine_cores(const std::optional<std::vector<std::string>>& machine_types,
+                                     const Resources& demand) const {
   double smallest_cores = std::numeric_limits<double>::infinity();
   for (const MachineType& type : ctx_.types->all()) {
     if (machine_types &&
--- a/src/coordination/shard/shard_model.hpp
+++ b/src/coordination/shard/shard_model.hpp
@@ -84,7 +84,7 @@
   // Returns the machine of a recorded placement. Adds it if it is new.
   Machine& find_or_add_machine(const std::string& name, const MachineRecord& record);
   // Frees all placements of the machine. Called when the cloud has confirmed that the machine is gone, which
-  // is evidence (d) of worker_liveness.hpp.
+  // is the last piece of evidence listed in worker_liveness.hpp.
   void remove_machine(Machine& machine);
   // Whether the machine was removed. Late reports of removed machines prove nothing. Only the most recently
   // removed machines are remembered.
@@ -107,12 +107,12 @@
   // Marks the task as completed. The tasks of a gang complete together, so all of them are marked.
   void mark_done(const JobPtr& job, int index);
   // Whether the job has failed on exactly one of the shard's machines.
-  [[nodiscard]] bool has_failed_on_one_machine(const std::string& ref) const;
+  [[nodiscard]] bool has_failed_on_one_machine_only(const std::string& ref) const;
 
   // Returns the cores of the smallest allowed machine type that can hold such a task, or infinity if none
   // can.
-  [[nodiscard]] double least_cores(const std::optional<std::vector<std::string>>& machine_types,
-                                   const Resources& demand) const;
+  [[nodiscard]] double min_machine_cores(const std::optional<std::vector<std::string>>& machine_types,
+                                         const Resources& demand) const;
   // Returns an attempt number that is larger than those of all earlier leaders. If the detection of lost
   // state is enabled, the number begins with the newest known revision, so that a worker that reports it
   // later proves that the state service once had this revision.
--- a/src/coordination/shard/task_delegation.cpp
+++ b/src/coordination/shard/task_delegation.cpp
@@ -178,7 +178,7 @@
     tail.insert(first, last);
     job.range.erase(tail);
     job.done.erase(tail);
-    job.unsaved.erase(tail);
+    job.undurable_completions.erase(tail);
     job.waiting.erase(tail);
   }
   return true;
@@ -199,7 +199,7 @@
 TaskDelegation::DelegationWrite TaskDelegation::add_write(Transaction& txn, const std::string& key,
                                                           const JobPtr& job, bool return_waiting) {
   DelegationWrite out{job, job->range, job->done, false};
-  job->fold_due = false;
+  job->progress_write_due = false;
   if (return_waiting) {
     model_.counters().tasks_returned += static_cast<std::uint64_t>(job->waiting.size());
     out.range.erase(job->waiting);
@@ -228,13 +228,13 @@
       continue;
     const bool return_waiting = should_return_waiting(*job);
     // Until a delegation is complete, its completions are kept in the journal's segments.
-    const bool due = (!job->unsaved.empty() && job->complete()) || job->fold_due;
+    const bool due = (!job->undurable_completions.empty() && job->complete()) || job->progress_write_due;
     if (!return_waiting && !due) continue;
     if (txn.changes.size() + 1 > max_writes) break;
     if (trim_to_record_size(*job)) batch.push_back(add_write(txn, key, job, return_waiting));
   }
   if (batch.empty()) return false;
-  committer_.commit(RequestPriority::kDone, RecordCommitter::kDoneSlot, txn,
+  committer_.commit(RequestPriority::kCompletion, RecordCommitter::kCompletionSlot, txn,
                     [this, batch](std::uint64_t revision) { on_delegations_written(batch, revision); });
   return true;
 }
@@ -318,8 +318,8 @@
 
 void TaskDelegation::request_tasks() {
   const double now = ctx_.env->now();
-  if (task_request_inflight_ || now < next_task_request_at_ || committer_.state_silent() ||
-      !ctx_.exclusive_owner())
+  if (task_request_inflight_ || now < next_task_request_at_ || committer_.is_state_service_unresponsive() ||
+      !ctx_.owns_exclusively())
     return;
   next_task_request_at_ = now + kTaskRequestIntervalSeconds;
   const TaskRequest request = task_request();
--- a/src/coordination/shard/task_placement.cpp
+++ b/src/coordination/shard/task_placement.cpp
@@ -13,8 +13,8 @@
 namespace mothslip {
 
 namespace {
-constexpr double kMinFreeCores = 0.01;          // a machine with less is full
-constexpr double kRuntimeEstimateFactor = 1.3;  // run-time estimates are often too low
+constexpr double kMinFreeCores = 0.01;        // a machine with less is full
+constexpr double kRunTimeSafetyFactor = 1.3;  // run-time estimates are often too low
 // An answer waits at most this long for the placements to be committed. Workers drop answers after 4 s, and a
 // commit rarely takes this long.
 constexpr double kMaxAnswerDelaySeconds = 1.2;
@@ -71,7 +71,7 @@
   // Until the machine has acknowledged the leader's token, its report may be a late copy, and the machine may
   // no longer exist.
   if (!machine.token_acknowledged) return false;
-  if (committer_.state_silent() || !ctx_.exclusive_owner()) return false;
+  if (committer_.is_state_service_unresponsive() || !ctx_.owns_exclusively()) return false;
   return fits({kMinFreeCores, 0, 0}, machine.room);
 }
 
@@ -112,7 +112,7 @@
   if (spec.deadline_s) {
     const double time_left_s = job.record.submitted_at + *spec.deadline_s - ctx_.env->wall_time();
     out.pressure =
-        deadline_pressure(time_left_s, kRuntimeEstimateFactor * std::max(1.0, spec.estimated_s) + fetch_s);
+        deadline_pressure(time_left_s, kRunTimeSafetyFactor * std::max(1.0, spec.estimated_s) + fetch_s);
   }
   return out;
 }
--- a/src/coordination/shard/unaccounted_tasks.cpp
+++ b/src/coordination/shard/unaccounted_tasks.cpp
@@ -55,7 +55,7 @@
   const std::string& ref = job->spec().ref;
   Transaction txn = committer_.guarded_transaction();
   txn.remove(keys::unaccounted(ctx_.shard, ref));
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, [this, job](std::uint64_t) {
+  committer_.commit(RequestPriority::kOther, RecordCommitter::kOtherSlot, txn, [this, job](std::uint64_t) {
     const auto found = model_.unaccounted().find(job->spec().ref);
     if (found == model_.unaccounted().end()) return;  // the decision was given twice
     RangeSet held = found->second.held_indices(job->spec().task_count);
@@ -95,7 +95,7 @@
   };
   // The guard on the job record fails if the description has arrived in the meantime. The decision is then
   // not applied, and the operator has to repeat it.
-  committer_.commit(RequestPriority::kRest, RecordCommitter::kRestSlot, txn, on_written,
+  committer_.commit(RequestPriority::kOther, RecordCommitter::kOtherSlot, txn, on_written,
                     [](const std::vector<std::string>&) { return true; });
 }
 
--- a/src/coordination/shard/worker_commands.cpp
+++ b/src/coordination/shard/worker_commands.cpp
@@ -31,7 +31,7 @@
 void WorkerCommands::answer(Machine& machine) {
   if (machine.answer.answered()) return;
   machine.report_held = false;
-  if (!ctx_.may_renew()) {
+  if (!ctx_.may_renew_worker_leases()) {
     // Another leader may have taken over and may have confirmed cancellations. The lease is not renewed, so
     // that tasks that may be cancelled do not continue to run.
     machine.answer.send(503, R"({"error":"perhaps no longer the owner"})", 1);
@@ -49,7 +49,7 @@
   // Launches need exclusive ownership, because another leader may have confirmed a cancellation since this
   // leader's lease ran out. They also need a worker that has acknowledged this leader's token: otherwise the
   // report may be a late copy from before this leader took over, and the orders would be lost.
-  const bool may_launch = ctx_.exclusive_owner() && machine.token_acknowledged && machine.schedulable();
+  const bool may_launch = ctx_.owns_exclusively() && machine.token_acknowledged && machine.schedulable();
   bool relaunched = false;
   for (Placement& placement : machine.placements) {
     if (placement.stage != Placement::Stage::kRecorded) continue;
--- a/src/coordination/shard/worker_liveness.cpp
+++ b/src/coordination/shard/worker_liveness.cpp
@@ -267,7 +267,7 @@
     // were submitted with a mistake may well run on the same machine.
     const auto failed_only_here =
         std::count_if(machine.failed_jobs.begin(), machine.failed_jobs.end(),
-                      [this](const std::string& ref) { return model_.has_failed_on_one_machine(ref); });
+                      [this](const std::string& ref) { return model_.has_failed_on_one_machine_only(ref); });
     const bool several_jobs_failed = failed_only_here >= kMinJobsFailedOnlyHere;
     const bool fails_working_job =
         machine.error_streak >= 2 && (job->succeeded_elsewhere || !job->done.empty());
--- a/src/coordination/state/incarnation.cpp
+++ b/src/coordination/state/incarnation.cpp
@@ -25,7 +25,7 @@
           {"prefix", incarnation.prefix},
           {"offset", incarnation.token_offset},
           {"earlier", incarnation.earlier_prefixes},
-          {"begun", rebuild_number}};
+          {"begun", target_incarnation}};
 }
 
 std::optional<MetaRecord> MetaRecord::from_json(const Json& value) {
@@ -41,7 +41,7 @@
     out.incarnation.prefix = value.at("prefix").get<std::string>();
     out.incarnation.token_offset = value.at("offset").get<std::uint64_t>();
     out.incarnation.earlier_prefixes = value.at("earlier").get<std::vector<std::string>>();
-    out.rebuild_number = value.at("begun").get<int>();
+    out.target_incarnation = value.at("begun").get<int>();
   } catch (const Json::exception&) {
     return std::nullopt;
   }
--- a/src/coordination/state/incarnation.hpp
+++ b/src/coordination/state/incarnation.hpp
@@ -35,9 +35,9 @@
   Incarnation incarnation;
   // The highest incarnation number for which a rebuild has been started. It is above `incarnation.number`
   // while a rebuild is in progress. The stored field is named "begun".
-  int rebuild_number = 1;
+  int target_incarnation = 1;
 
-  [[nodiscard]] bool is_rebuilding() const { return rebuild_number > incarnation.number; }
+  [[nodiscard]] bool is_rebuilding() const { return target_incarnation > incarnation.number; }
   [[nodiscard]] Json to_json() const;
   // Returns nullopt if this version does not know the format of the record.
   static std::optional<MetaRecord> from_json(const Json& value);
--- a/src/coordination/state/request_budget.cpp
+++ b/src/coordination/state/request_budget.cpp
@@ -9,8 +9,8 @@
 constexpr double kOvercommitFactor = 1.6;
 constexpr double kRaiseIntervalSeconds = 1.0;
 constexpr int kMinWritesPerTransaction = 4;
-constexpr double kMinCallBurst = 2.0;
-constexpr double kMinWriteBurst = 3.0;
+constexpr double kMinBurstCalls = 2.0;
+constexpr double kMinBurstWrites = 3.0;
 
 // Returns the number of tokens that a priority class must leave for the classes above it.
 double call_reserve(RequestPriority priority) { return static_cast<double>(priority) * 0.5; }
@@ -39,12 +39,12 @@
 
 void RequestBudget::apply_share(double now) {
   const double call_rps = call_rate_.current_rps() * share_;
-  calls_.set_rate(call_rps, std::max(kMinCallBurst, call_rps), now);
+  calls_.set_rate(call_rps, std::max(kMinBurstCalls, call_rps), now);
   // Nodes are rarely busy at the same time, so each may write more than its share and reduces its rate when
   // the service answers 429. Lease renewals are unaffected because they count only as calls.
   const double write_rps = write_rate_.current_rps() * share_;
   const double overcommitted_rps = kOvercommitFactor * write_rps;
-  writes_.set_rate(overcommitted_rps, std::max(kMinWriteBurst, overcommitted_rps), now);
+  writes_.set_rate(overcommitted_rps, std::max(kMinBurstWrites, overcommitted_rps), now);
   max_writes_per_txn_ = std::clamp(static_cast<int>(write_rps), kMinWritesPerTransaction, max_txn_ops_);
 }
 
--- a/src/coordination/state/request_budget.hpp
+++ b/src/coordination/state/request_budget.hpp
@@ -12,9 +12,9 @@
 
 namespace mothslip {
 
-// Priority classes of requests, highest first. kLease includes ownership and loading; kRest covers all
+// Priority classes of requests, highest first. kLease includes ownership and loading; kOther covers all
 // other requests.
-enum class RequestPriority { kLease = 0, kCancel, kAccept, kLaunch, kDone, kRest, kCount };
+enum class RequestPriority { kLease = 0, kCancel, kAccept, kLaunch, kCompletion, kOther, kCount };
 
 class RequestBudget {
  public:
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -17,9 +17,9 @@
 namespace {
 
 // Exit codes of the process.
-constexpr int kSuccess = 0;
-constexpr int kFailure = 1;
-constexpr int kBadSettings = 2;  // also for an invalid command line
+constexpr int kSuccessExitCode = 0;
+constexpr int kFailureExitCode = 1;
+constexpr int kBadSettingsExitCode = 2;  // also for an invalid command line
 
 constexpr const char* kTuningFileName = "mothslip.ini";
 
@@ -86,18 +86,18 @@
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? kSuccess : kBadSettings;
+    return app.exit(error) == 0 ? kSuccessExitCode : kBadSettingsExitCode;
   }
   mothslip::Settings settings;
   try {
     settings = mothslip::load_settings(command_line.config, tuning_path(command_line));
   } catch (const mothslip::SettingsError& error) {
     std::cerr << error.what() << '\n';
-    return kBadSettings;
+    return kBadSettingsExitCode;
   }
   if (command_line.check) {
     std::cout << command_line.config << ": good\n";
-    return kSuccess;
+    return kSuccessExitCode;
   }
   // A write to a connection that the other side has closed must not kill this process.
   std::signal(SIGPIPE, SIG_IGN);
@@ -106,7 +106,7 @@
     run(settings);
   } catch (const std::exception& error) {
     spdlog::critical("controller exits because of an error: {}", error.what());
-    return kFailure;
+    return kFailureExitCode;
   }
-  return kSuccess;
+  return kSuccessExitCode;
 }
--- a/src/recovery/controller.cpp
+++ b/src/recovery/controller.cpp
@@ -70,7 +70,7 @@
   RebuildingMode::Options options;
   if (serving_) options.memory = serving_->memory();
   options.known_evidence = current_evidence(options.memory);
-  options.last = incarnation_;
+  options.last_incarnation = incarnation_;
   options.process_started_at = started_at_;
   serving_.reset();
   start_up_.reset();
@@ -92,7 +92,7 @@
   const bool just_rebuilt =
       serving_started_at_ > 0 && env_.now() - serving_started_at_ < kSnapshotRetentionSeconds;
   if (just_rebuilt) out.merge(last_snapshot_.as_surviving_records());
-  if (serving_) out.highest_revision = std::max(out.highest_revision, serving_->newest_revision());
+  if (serving_) out.newest_revision = std::max(out.newest_revision, serving_->newest_revision());
   if (start_up_) out.merge(start_up_->reported());
   return out;
 }
--- a/src/recovery/evidence.cpp
+++ b/src/recovery/evidence.cpp
@@ -80,7 +80,7 @@
 
 void Evidence::merge(const Evidence& other) {
   shards = std::max(shards, other.shards);
-  highest_revision = std::max(highest_revision, other.highest_revision);
+  newest_revision = std::max(newest_revision, other.newest_revision);
   for (const auto& [shard, owner] : other.owners) owners[shard] = std::max(owners[shard], owner);
   for (const auto& [name, machine] : other.machines) {
     const auto [existing, inserted] = machines.emplace(name, machine);
@@ -99,7 +99,7 @@
   }
   for (const auto& [ref, status] : memory.terminals) merge_ending(out.jobs[ref].ending, status.phase);
   for (const ShardMemory& shard : memory.owned) {
-    out.highest_revision = std::max(out.highest_revision, shard.fencing_token);
+    out.newest_revision = std::max(out.newest_revision, shard.fencing_token);
     out.owners[shard.shard] = {shard.fencing_token, shard.loaded, shard.lease_left_s > 0, shard.lease_left_s};
     for (const JobMemory& job_memory : shard.jobs) {
       JobEvidence& job = out.jobs[job_memory.record.spec.ref];
@@ -125,7 +125,7 @@
 std::vector<Evidence> split_into_chunks(const Evidence& evidence, std::size_t max_entries) {
   std::vector<Evidence> out(1);
   out.front().shards = evidence.shards;
-  out.front().highest_revision = evidence.highest_revision;
+  out.front().newest_revision = evidence.newest_revision;
   out.front().owners = evidence.owners;
   const auto current_chunk = [&out, max_entries]() -> Evidence& {
     if (out.back().jobs.size() + out.back().machines.size() >= max_entries) out.emplace_back();
--- a/src/recovery/evidence_json.cpp
+++ b/src/recovery/evidence_json.cpp
@@ -88,7 +88,7 @@
 
 // Each owner is an array: shard, token, loaded, had_lease, lease_left_s.
 Json Evidence::to_json() const {
-  Json out = {{"shards", shards}, {"newest", highest_revision}};
+  Json out = {{"shards", shards}, {"newest", newest_revision}};
   for (const auto& [shard, owner] : owners)
     out["owners"].push_back({shard, owner.token, owner.loaded, owner.had_lease, owner.lease_left_s});
   for (const auto& [name, machine] : machines) out["machines"][name] = machine.to_json();
@@ -101,7 +101,7 @@
   Evidence out;
   try {
     out.shards = value.at("shards").get<int>();
-    out.highest_revision = value.at("newest").get<std::uint64_t>();
+    out.newest_revision = value.at("newest").get<std::uint64_t>();
     const Json owner_list = value.value("owners", Json::array());
     for (const Json& owner : owner_list)
       out.owners[owner.at(0).get<int>()] = {owner.at(1).get<std::uint64_t>(), owner.at(2).get<bool>(),
--- a/src/recovery/loss_detector.cpp
+++ b/src/recovery/loss_detector.cpp
@@ -5,8 +5,8 @@
 
 namespace mothslip::recovery {
 
-LossDetector::LossDetector(std::uint64_t newest, LossHandler on_loss)
-    : newest_revision_(newest), on_loss_(std::move(on_loss)) {}
+LossDetector::LossDetector(std::uint64_t newest_revision, LossHandler on_loss)
+    : newest_revision_(newest_revision), on_loss_(std::move(on_loss)) {}
 
 void LossDetector::on_revision(std::uint64_t newest_when_asked, std::uint64_t revision) {
   if (revision < newest_when_asked) {
--- a/src/recovery/loss_detector.hpp
+++ b/src/recovery/loss_detector.hpp
@@ -20,8 +20,8 @@
  public:
   // Called once, from within a call of the node, so the handler must not destroy the node.
   using LossHandler = std::function<void(const std::string& reason)>;
-  // `newest` is the newest revision known at the start.
-  LossDetector(std::uint64_t newest, LossHandler on_loss);
+  // `newest_revision` is the newest revision known at the start.
+  LossDetector(std::uint64_t newest_revision, LossHandler on_loss);
 
   [[nodiscard]] std::uint64_t newest_revision() const override { return newest_revision_; }
   [[nodiscard]] bool is_state_lost() const override { return lost_; }
--- a/src/recovery/rebuild.cpp
+++ b/src/recovery/rebuild.cpp
@@ -48,13 +48,13 @@
       plan_(std::move(plan)),
       handlers_(std::move(handlers)),
       started_at_(env.now()),
-      collector_(env_, settings, plan_.meta.rebuild_number) {
+      collector_(env_, settings, plan_.meta.target_incarnation) {
   store_.set_share(kStoreRateFraction);
 }
 
 void Rebuild::start() {
   spdlog::warn("recovery: this controller leads the rebuild of the records as incarnation {}",
-               plan_.meta.rebuild_number);
+               plan_.meta.target_incarnation);
   gather();
 }
 
@@ -156,11 +156,11 @@
   write_records(*surviving);
 }
 
-Incarnation Rebuild::make_incarnation(std::uint64_t highest_revision) const {
+Incarnation Rebuild::make_incarnation(std::uint64_t newest_revision) const {
   Incarnation out;
-  out.number = plan_.meta.rebuild_number;
+  out.number = plan_.meta.target_incarnation;
   out.prefix = "r/" + std::to_string(out.number) + "-" + plan_.nonce + "/";
-  out.token_offset = highest_revision + kTokenGap;
+  out.token_offset = newest_revision + kTokenGap;
   const auto add = [&out](const std::string& prefix) {
     std::vector<std::string>& all = out.earlier_prefixes;
     if (std::find(all.begin(), all.end(), prefix) == all.end()) all.push_back(prefix);
@@ -174,13 +174,13 @@
 
 void Rebuild::write_records(const SurvivingRecords& surviving) {
   phase_ = RebuildPhase::kWriting;
-  const std::uint64_t highest_revision =
-      std::max({surviving.evidence.highest_revision, surviving.revision, plan_.last_incarnation.token_offset,
+  const std::uint64_t newest_revision =
+      std::max({surviving.evidence.newest_revision, surviving.revision, plan_.last_incarnation.token_offset,
                 plan_.meta.incarnation.token_offset});
   RebuiltRecords records = rebuild_records(surviving.evidence, scope_, surviving.endings, settings_);
   counts_ = records.counts;
   next_meta_ = plan_.meta;
-  next_meta_.incarnation = make_incarnation(highest_revision);
+  next_meta_.incarnation = make_incarnation(newest_revision);
   spdlog::warn(
       "recovery: writing the rebuilt records: {} open jobs, {} tasks placed, {} jobs unaccounted with {} "
       "tasks held, {} ended jobs",
--- a/src/recovery/rebuild.hpp
+++ b/src/recovery/rebuild.hpp
@@ -52,7 +52,7 @@
   void read_records();
   void on_records_read(std::optional<SurvivingRecords> surviving);
   void write_records(const SurvivingRecords& surviving);
-  [[nodiscard]] Incarnation make_incarnation(std::uint64_t highest_revision) const;
+  [[nodiscard]] Incarnation make_incarnation(std::uint64_t newest_revision) const;
   void publish();
   void on_publish_reply(const StateReply& reply);
 
--- a/src/recovery/rebuilding_mode.cpp
+++ b/src/recovery/rebuilding_mode.cpp
@@ -18,7 +18,7 @@
   Recovery::Context out;
   out.env = &env_;
   out.settings = &settings;
-  out.last = options.last;
+  out.last_incarnation = options.last_incarnation;
   out.shards = options.memory.shard_count;
   out.process_started_at = options.process_started_at;
   out.own_evidence = [this] { return own_evidence(); };
--- a/src/recovery/rebuilding_mode.hpp
+++ b/src/recovery/rebuilding_mode.hpp
@@ -21,7 +21,7 @@
   struct Options {
     NodeMemory memory;              // of the node that was serving; empty if none was
     Evidence known_evidence;        // everything that this controller knows now
-    Incarnation last;               // the incarnation that this controller served last
+    Incarnation last_incarnation;   // the incarnation that this controller served last
     double process_started_at = 0;  // by the clock of `env`
   };
   // Called once, when a new incarnation is published; never from within this object.
--- a/src/recovery/recovery.cpp
+++ b/src/recovery/recovery.cpp
@@ -20,7 +20,9 @@
 }  // namespace
 
 Recovery::Recovery(Context context)
-    : ctx_(std::move(context)), store_(*ctx_.env, *ctx_.settings), target_incarnation_(ctx_.last.number) {}
+    : ctx_(std::move(context)),
+      store_(*ctx_.env, *ctx_.settings),
+      target_incarnation_(ctx_.last_incarnation.number) {}
 
 void Recovery::start() { read_meta(); }
 
@@ -54,10 +56,11 @@
     return read_meta_later();
   }
   const std::uint64_t revision = stored_revision(reply);
-  target_incarnation_ = std::max(target_incarnation_, meta->rebuild_number);
+  target_incarnation_ = std::max(target_incarnation_, meta->target_incarnation);
   if (meta->is_rebuilding()) return check_for_leader(*meta, revision);
   const int published = meta->incarnation.number;
-  if (published > ctx_.last.number && published >= target_incarnation_) return ctx_.published(*meta);
+  if (published > ctx_.last_incarnation.number && published >= target_incarnation_)
+    return ctx_.published(*meta);
   claim(*meta, revision);
 }
 
@@ -83,12 +86,13 @@
 // incarnation from their owners.
 void Recovery::claim_with_lease(std::uint64_t lease, const MetaRecord& meta, std::uint64_t meta_revision) {
   MetaRecord next = meta;
-  next.rebuild_number = std::max({meta.rebuild_number, target_incarnation_, ctx_.last.number}) + 1;
+  next.target_incarnation =
+      std::max({meta.target_incarnation, target_incarnation_, ctx_.last_incarnation.number}) + 1;
   Transaction transaction;
   transaction.guard(keys::kMeta, meta_revision);
   transaction.guard(kLeaderKey, 0);
   transaction.put(keys::kMeta, next.to_json());
-  transaction.put_with_lease(kLeaderKey, LeaderRecord{ctx_.settings->node, next.rebuild_number}.to_json(),
+  transaction.put_with_lease(kLeaderKey, LeaderRecord{ctx_.settings->node, next.target_incarnation}.to_json(),
                              lease);
   const auto max_operations = static_cast<std::size_t>(ctx_.settings->txn_ops);
   for (int shard = 0; shard < meta.shards && transaction.changes.size() < max_operations; shard++)
@@ -104,13 +108,13 @@
 
 void Recovery::start_leading(std::uint64_t lease, const MetaRecord& meta, std::uint64_t revision) {
   lease_ = lease;
-  target_incarnation_ = meta.rebuild_number;
+  target_incarnation_ = meta.target_incarnation;
   Rebuild::Plan plan;
   plan.meta = meta;
   plan.meta_revision = revision;
   plan.leader_revision = revision;
   plan.nonce = std::to_string(ctx_.env->random() % kNonceLimit);
-  plan.last_incarnation = ctx_.last;
+  plan.last_incarnation = ctx_.last_incarnation;
   plan.process_uptime_s = ctx_.env->now() - ctx_.process_started_at;
   plan.own_evidence = ctx_.own_evidence;
   const auto deposed = [this] { ctx_.env->after(0, [this] { stop_leading(); }); };
--- a/src/recovery/recovery.hpp
+++ b/src/recovery/recovery.hpp
@@ -21,7 +21,7 @@
   struct Context {
     Env* env = nullptr;
     const Settings* settings = nullptr;
-    Incarnation last;                        // the incarnation that this controller served last
+    Incarnation last_incarnation;            // the incarnation that this controller served last
     int shards = 0;                          // number of shards in the cluster; 0 if not known
     double process_started_at = 0;           // by the clock of `env`
     std::function<Evidence()> own_evidence;  // returns everything that this controller knows
--- a/src/recovery/start_up.cpp
+++ b/src/recovery/start_up.cpp
@@ -13,7 +13,7 @@
 namespace {
 constexpr double kRetryDelaySeconds = 0.3;
 constexpr double kPeerTimeoutSeconds = 1.0;
-constexpr int kHttpOk = 200;
+constexpr int kOkStatus = 200;
 }  // namespace
 
 StartUp::StartUp(Env& env, const Settings& settings, Handlers handlers)
@@ -54,7 +54,7 @@
 
 void StartUp::on_peer_status(const HttpReply& reply) {
   const Json body = parse_json(reply.body);
-  if (reply.status == kHttpOk && body.is_object()) {
+  if (reply.status == kOkStatus && body.is_object()) {
     const ControllerStatus peer = ControllerStatus::from_json(body);
     if (peer.serving)
       min_stale_risk_s_ = std::min(min_stale_risk_s_.value_or(kStaleRiskSeconds), peer.stale_risk_s);
@@ -85,7 +85,7 @@
 // `stored_revision` is the state service's own revision, without the offset of the incarnation.
 void StartUp::compare_with_store(std::uint64_t stored_revision) {
   const Incarnation incarnation = meta_ ? meta_->incarnation : Incarnation{};
-  const std::uint64_t newest_known = std::max(reported().highest_revision, newest_peer_revision_);
+  const std::uint64_t newest_known = std::max(reported().newest_revision, newest_peer_revision_);
   const bool service_is_behind = newest_known > KeySpace(incarnation).to_logical_revision(stored_revision);
   // At the first start of a cluster the state service is empty too, but no worker has tasks then.
   const bool records_missing = !meta_ && !reported().jobs.empty();
--- a/src/recovery/suspended_service.cpp
+++ b/src/recovery/suspended_service.cpp
@@ -78,7 +78,7 @@
 }
 
 void SuspendedService::record_reported_tasks(const Report& report) {
-  reported_.highest_revision = std::max(reported_.highest_revision, newest_reported_revision(report));
+  reported_.newest_revision = std::max(reported_.newest_revision, newest_reported_revision(report));
   for (const TaskReport& task : report.tasks) {
     const auto index = static_cast<std::uint32_t>(task.index);
     JobEvidence& job = reported_.jobs[task.ref];
--- a/src/recovery/unaccounted_jobs.cpp
+++ b/src/recovery/unaccounted_jobs.cpp
@@ -48,7 +48,7 @@
     for (const StateItem& item : items) list.entries.push_back(entry_of(item));
     responder.send(200, dump_json(list.to_json()));
   };
-  store_.list(RequestPriority::kRest, keys::kUnaccounted, answer);
+  store_.list(RequestPriority::kOther, keys::kUnaccounted, answer);
 }
 
 void UnaccountedJobs::resolve(const std::string& body, const Responder& responder) {
--- a/src/transport/http.hpp
+++ b/src/transport/http.hpp
@@ -50,9 +50,9 @@
     ~State() { send(HttpAnswer{503, R"({"error":"dropped"})", 1}); }
     void send(const HttpAnswer& answer) {
       if (!sink) return;
-      Sink taken_sink;
-      taken_sink.swap(sink);
-      taken_sink(answer);
+      Sink current_sink;
+      current_sink.swap(sink);
+      current_sink(answer);
     }
     Sink sink;
   };
--- a/tests/recovery_merge_test.cpp
+++ b/tests/recovery_merge_test.cpp
@@ -62,7 +62,7 @@
 Evidence draw_evidence() {
   Evidence out;
   out.shards = kShardCount;
-  out.highest_revision = *rc::gen::inRange<std::uint64_t>(0, 1000);
+  out.newest_revision = *rc::gen::inRange<std::uint64_t>(0, 1000);
   for (int shard = 0; shard < kShardCount; shard++) {
     if (*rc::gen::arbitrary<bool>())
       out.owners[shard] = {*rc::gen::inRange<std::uint64_t>(1, 9), *rc::gen::arbitrary<bool>(),
@@ -250,7 +250,7 @@
   MetaRecord meta;
   meta.shards = 3;
   EXPECT_EQ(meta.to_json(), (Json{{"parts", 3}, {"form", 2}}));
-  meta.rebuild_number = 2;
+  meta.target_incarnation = 2;
   EXPECT_EQ(meta.to_json()["form"], 3);
   EXPECT_TRUE(MetaRecord::from_json(meta.to_json())->is_rebuilding());
   meta.incarnation = {2, "r/2-1/", 99, {""}};
--- a/tests/recovery_test.cpp
+++ b/tests/recovery_test.cpp
@@ -301,12 +301,12 @@
 // With recovery disabled, controllers modify no records from the start of a rebuild on. They behave as the
 // version in production, which knows only one form of `meta`.
 TEST(RecoveryDisabled, RecordsOfRebuildsAreNotModified) {
-  for (const int rebuild_number : {2, 3}) {
+  for (const int target_incarnation : {2, 3}) {
     World world(Options{});
     MetaRecord meta;
     meta.shards = 3;
     meta.incarnation = {2, "r/2-1/", 1000, {""}};
-    meta.rebuild_number = rebuild_number;
+    meta.target_incarnation = target_incarnation;
     const Json put = {{"put", "meta"}, {"data", meta.to_json()}};
     const Json transaction = {{"guards", Json::array()}, {"then", Json::array({put})}};
     world.state.handle("POST", "/commit", dump_json(transaction), [](int, const Json&) {});
