--- a/src/bookkeeping/ledger.hpp
+++ b/src/bookkeeping/ledger.hpp
@@ -67,8 +67,8 @@
   RangeSet waiting;
   RangeSet done;
   RangeSet undurable_completions;  // completed tasks that are not durable yet and must not be reaped
-  bool progress_write_due =
-      false;  // too many completions for journal segments: the job's own record must take them
+  // There are too many completions for journal segments: the job's own record must take them.
+  bool progress_write_due = false;
   double min_machine_cores = 0;  // of the smallest machine type that can hold a task
   std::uint64_t progress_revision = 0;
   // Completions that do not fit into one record are stored in additional ones, each of which covers
--- a/src/recovery/evidence.hpp
+++ b/src/recovery/evidence.hpp
@@ -70,9 +70,9 @@
 };
 
 struct Evidence {
-  int shards = 0;                       // number of shards in the cluster; 0: unknown
-  std::uint64_t newest_revision = 0;    // highest revision or fencing token that any source has seen
-  std::map<int, OwnerEvidence> owners;  // by shard
+  int shards = 0;                                 // number of shards in the cluster; 0: unknown
+  std::uint64_t newest_revision = 0;              // newest revision or fencing token that any source has seen
+  std::map<int, OwnerEvidence> owners;            // by shard
   std::map<std::string, MachineRecord> machines;  // by name, without placements, which `jobs` contains
   std::map<std::string, JobEvidence> jobs;        // by job id
 
