--- a/src/coordination/fleet/demand_estimate.cpp
+++ b/src/coordination/fleet/demand_estimate.cpp
@@ -113,8 +113,8 @@
   // The largest demand is kept until almost none of this work is left.
   const bool is_reset = ordinary_use_.cores < kMinOrdinaryCores;
   for (std::size_t r = 0; r < observed_use.largest_start_demand.size(); r++) {
-    const double kept = is_reset ? 0 : ordinary_use_.largest_start_demand[r];
-    ordinary_use_.largest_start_demand[r] = std::max(kept, observed_use.largest_start_demand[r]);
+    const double previous_demand = is_reset ? 0 : ordinary_use_.largest_start_demand[r];
+    ordinary_use_.largest_start_demand[r] = std::max(previous_demand, observed_use.largest_start_demand[r]);
   }
 }
 
--- a/src/coordination/node/machine_type_catalog.cpp
+++ b/src/coordination/node/machine_type_catalog.cpp
@@ -81,7 +81,7 @@
 
 void MachineTypeCatalog::load() {
   state_.get(RequestPriority::kLease, keys::kTypes, [this](const StateReply& reply) {
-    if (known()) return;
+    if (has_types()) return;
     if (reply.ok() && reply.body.contains("data")) {
       if (auto types = MachineTypes::parse(reply.body["data"])) {
         set_types(std::move(*types), false);
@@ -98,7 +98,7 @@
 
 void MachineTypeCatalog::fetch_from_cloud() {
   cloud_.list_machine_types([this](const CloudReply& reply) {
-    if (known()) return;
+    if (has_types()) return;
     if (reply.status == 200) {
       if (auto types = MachineTypes::parse(reply.body)) {
         set_types(std::move(*types), true);
@@ -113,7 +113,7 @@
 void MachineTypeCatalog::load_split_records() {
   state_.list(RequestPriority::kLease, keys::kSplitTypes,
               [this](Outcome outcome, const std::vector<StateItem>& items, std::uint64_t) {
-                if (known()) return;
+                if (has_types()) return;
                 auto types = outcome == Outcome::kOk ? join_split_records(items) : std::nullopt;
                 if (types) return set_types(std::move(*types), false);
                 env_.after(env_.uniform(kMinRestartDelaySeconds, kMaxRestartDelaySeconds),
@@ -134,7 +134,7 @@
 void MachineTypeCatalog::update(MachineTypes types) { set_types(std::move(types), false); }
 
 void MachineTypeCatalog::set_types(MachineTypes types, bool should_record) {
-  const bool is_first_list = !known();
+  const bool is_first_list = !has_types();
   const bool changed = !is_first_list && !same_names(types, types_);
   types_ = std::move(types);
   if (changed) {
--- a/src/coordination/node/machine_type_catalog.hpp
+++ b/src/coordination/node/machine_type_catalog.hpp
@@ -34,7 +34,7 @@
   // Returns the list, which is empty until it is known. The reference stays valid; `update` changes the list
   // that it refers to.
   [[nodiscard]] const MachineTypes& types() const { return types_; }
-  [[nodiscard]] bool known() const { return !types_.empty(); }
+  [[nodiscard]] bool has_types() const { return !types_.empty(); }
 
  private:
   void load_split_records();
--- a/src/coordination/node/node.cpp
+++ b/src/coordination/node/node.cpp
@@ -30,7 +30,7 @@
           {&env_, &settings_, &state_, &ownership_, &relay_, monitor, [this] { return owned_shards(); }}),
       worker_reports_({&env_, &settings_, &ownership_, &shards_, &relay_, &revisions_}),
       requests_({&user_api_, &worker_reports_, &heartbeats_, &shard_router_,
-                 [this] { return machine_types_.known() && ownership_.shard_count() > 0; }}) {}
+                 [this] { return machine_types_.has_types() && ownership_.shard_count() > 0; }}) {}
 
 Node::~Node() = default;
 
@@ -152,7 +152,7 @@
 
 void Node::on_shard_gained(int shard, std::uint64_t fencing_token) {
   budget_.update();
-  if (!machine_types_.known()) {
+  if (!machine_types_.has_types()) {
     shards_waiting_for_types_[shard] = fencing_token;
     return;
   }
--- a/src/coordination/shard/preemptor.cpp
+++ b/src/coordination/shard/preemptor.cpp
@@ -25,7 +25,7 @@
 // Limit on the work that is lost in order to start a task, in seconds of that task's own cores.
 constexpr double kMaxLostWorkSeconds = 30.0;
 // Fraction of the fleet's planned headroom that is kept free of best-effort work.
-constexpr double kKeptHeadroomFraction = 0.5;
+constexpr double kReservedHeadroomFraction = 0.5;
 // Time until a stopped task runs again elsewhere: its new record is written, and its image is fetched.
 constexpr double kRestartSeconds = 3.0;
 constexpr std::size_t kMaxStopsPerTick = 48;
@@ -173,7 +173,7 @@
     free_cores += std::max(0.0, machine->room[0]);
     all_cores += machine->capacity[0];
   }
-  cores_beyond_headroom_ = free_cores - kKeptHeadroomFraction * headroom_share_ * all_cores;
+  cores_beyond_headroom_ = free_cores - kReservedHeadroomFraction * headroom_share_ * all_cores;
 }
 
 // Stops best-effort tasks on machines that are reserved for a gang, unless the gang itself is preemptible.
--- a/src/scheduling/gang.cpp
+++ b/src/scheduling/gang.cpp
@@ -58,9 +58,9 @@
           it, candidates.end(), [tasks](const Candidate& candidate) { return candidate.slots < tasks; });
       it = std::prev(first_too_small);
     }
-    const int taken = std::min(tasks, it->slots);
-    out.shares.push_back({it->machine, taken});
-    tasks -= taken;
+    const int assigned_tasks = std::min(tasks, it->slots);
+    out.shares.push_back({it->machine, assigned_tasks});
+    tasks -= assigned_tasks;
   }
   return out;
 }
@@ -74,12 +74,12 @@
   std::vector<GangShare> out;
   int tasks_left = needs.tasks;
   for (const Candidate& candidate : candidates) {
-    const int taken =
+    const int assigned_tasks =
         std::min({tasks_left, candidate.slots, needs.max_tasks_per_zone - tasks_by_zone[candidate.zone]});
-    if (taken <= 0) continue;
-    tasks_by_zone[candidate.zone] += taken;
-    tasks_left -= taken;
-    out.push_back({candidate.machine, taken});
+    if (assigned_tasks <= 0) continue;
+    tasks_by_zone[candidate.zone] += assigned_tasks;
+    tasks_left -= assigned_tasks;
+    out.push_back({candidate.machine, assigned_tasks});
   }
   if (tasks_left > 0) out.clear();
   return out;
--- a/src/scheduling/preemption.cpp
+++ b/src/scheduling/preemption.cpp
@@ -11,15 +11,15 @@
               return a.lost_core_s < b.lost_core_s;
             });
   Resources sum = room;
-  std::size_t taken = 0;
-  while (!fits(needed, sum) && taken < candidates.size()) {
-    for (std::size_t r = 0; r < sum.size(); r++) sum[r] += candidates[taken].held[r];
-    taken++;
+  std::size_t chosen_count = 0;
+  while (!fits(needed, sum) && chosen_count < candidates.size()) {
+    for (std::size_t r = 0; r < sum.size(); r++) sum[r] += candidates[chosen_count].held[r];
+    chosen_count++;
   }
   if (!fits(needed, sum)) return {};
   Preemption out;
   // Drops candidates that the others make unnecessary, starting with the most expensive.
-  for (std::size_t i = taken; i-- > 0;) {
+  for (std::size_t i = chosen_count; i-- > 0;) {
     Resources without = sum;
     for (std::size_t r = 0; r < sum.size(); r++) without[r] -= candidates[i].held[r];
     if (fits(needed, without)) {
--- a/src/scheduling/sizing.cpp
+++ b/src/scheduling/sizing.cpp
@@ -102,9 +102,9 @@
   for (auto it = machine.rooms.rbegin(); it != machine.rooms.rend(); ++it) {
     if (usable_in_s(*it, demand) > start_s) continue;
     for (std::size_t r = 0; r < remaining.size(); r++) {
-      const double taken = std::min(remaining[r], it->room[r]);
-      it->room[r] -= taken;
-      remaining[r] -= taken;
+      const double used_amount = std::min(remaining[r], it->room[r]);
+      it->room[r] -= used_amount;
+      remaining[r] -= used_amount;
     }
   }
   const auto position = std::upper_bound(
