--- a/src/recovery/doubt.hpp
+++ b/src/recovery/doubt.hpp
@@ -25,7 +25,7 @@
 
 // How long a node whose records may prove stale for another `stale_risk_s` makes no decisions. A result of 0
 // or less means that it makes decisions at once.
-[[nodiscard]] inline double hold_back_s(const Settings& settings, double stale_risk_s) {
+[[nodiscard]] inline double decision_suspension_s(const Settings& settings, double stale_risk_s) {
   return stale_risk_s - (kStaleRiskSeconds - report_wait_s(settings));
 }
 
--- a/src/recovery/serving_mode.cpp
+++ b/src/recovery/serving_mode.cpp
@@ -18,8 +18,8 @@
       node_(env_, settings, options.capabilities, options.incarnation, &detector_),
       unaccounted_(env_, settings, options.incarnation, node_) {
   for (const auto& [ref, status] : options.terminals) node_.cache_terminal(ref, status);
-  const double hold_s = hold_back_s(settings, options.stale_risk_s);
-  if (hold_s > 0) node_.suspend_decisions(hold_s);
+  const double suspension_s = decision_suspension_s(settings, options.stale_risk_s);
+  if (suspension_s > 0) node_.suspend_decisions(suspension_s);
 }
 
 void ServingMode::on_client_request(const HttpRequest& request, const Responder& responder) {
