--- a/src/coordination/node/machine_type_catalog.hpp
+++ b/src/coordination/node/machine_type_catalog.hpp
@@ -18,8 +18,8 @@
 class MachineTypeCatalog {
  public:
   struct Listener {
-    std::function<void()> changed;      // called when the list differs from the previous one
-    std::function<void()> first_known;  // called when the first list is known
+    std::function<void()> changed;        // called when the list differs from the previous one
+    std::function<void()> on_first_list;  // called when the first list is known
   };
   // All references must outlive this object.
   MachineTypeCatalog(Env& env, StateClient& state, CloudClient& cloud, const Settings& settings,
@@ -34,7 +34,7 @@
   // Returns the list, which is empty until it is known. The reference stays valid; `update` changes the list
   // that it refers to.
   [[nodiscard]] const MachineTypes& types() const { return types_; }
-  [[nodiscard]] bool known() const { return !types_.empty(); }
+  [[nodiscard]] bool has_types() const { return !types_.empty(); }
 
  private:
   void load_split_records();
--- a/src/coordination/ownership/node_lease.cpp
+++ b/src/coordination/ownership/node_lease.cpp
@@ -12,7 +12,9 @@
 constexpr double kRenewTimeoutSeconds = kRenewIntervalSeconds * 1.5;
 constexpr double kMinRenewPauseSeconds = 0.05;  // between an answer and the next renewal
 constexpr double kRetryDelaySeconds = 0.3;
-constexpr double kMaxClockDriftFraction = 0.001;  // twice the drift that the protocol allows
+// Drift of the clocks of the service processes; ShardContext allows more for the clocks of workers. It is
+// twice the drift that the protocol allows.
+constexpr double kMaxClockDriftFraction = 0.001;
 constexpr double kExpiryMarginSeconds = 0.05;
 // Subtracted from cancel_s when worker leases are bounded, for message delays and steps of the worker's
 // clock.
@@ -88,8 +90,8 @@
 // well, the loss must be detected before this node drops its state, so the revision is read first.
 void NodeLease::on_missing() {
   if (monitor_ == nullptr) return expire("the lease of this node expired");
-  if (env_.now() < earliest_expiry_at_)
-    return monitor_->on_contradiction("the lease of this node ended before its expiry time");
+  // This text is shown to operators as the reason in the recovery status and stays as it is.
+  if (env_.now() < earliest_expiry_at_) return monitor_->on_contradiction("a lease ended before its time");
   state_.get(RequestPriority::kLease, keys::kRevisionProbe, [this](const StateReply& reply) {
     if (reply.outcome != Outcome::kMissing) {
       env_.after(kRetryDelaySeconds, [this] { on_missing(); });
